--- a/src/policy/fleet.rs
+++ b/src/policy/fleet.rs
@@ -3,7 +3,7 @@
 use super::cap::{Cap, first_cap};
 use super::{ASK, Balancer};
 use crate::interface::{Action, BackendId, Entry, Health, ListKind};
-use crate::ledger::Backend;
+use crate::request_table::Backend;
 
 /// Time that discovery, one service for all nodes, is left for each node's call.
 const ASK_SPACING: f64 = 25.0;
--- a/src/policy/gates.rs
+++ b/src/policy/gates.rs
@@ -2,11 +2,11 @@
 
 use super::Balancer;
 use crate::interface::{Class, Effect, Group, Outcome, RequestId, Settings};
-use crate::ledger::{Backend, Open};
+use crate::request_table::{Backend, OpenRequest};
 
 impl Balancer {
     /// The gate of every send: the four rules, whatever the picking wants.
-    pub(super) fn may_send(&self, now: f64, open: &Open, index: usize) -> bool {
+    pub(super) fn may_send(&self, now: f64, open: &OpenRequest, index: usize) -> bool {
         let b = &self.backends[index];
         (open.attempts.len() as u32) < self.s.max_attempts
             && (self.s.second_copies || !open.out())
@@ -26,7 +26,7 @@
 
     /// What may end while an attempt waits for its connection: its backend's stay, its client's, its time,
     /// and the window of a repeat.
-    fn stands(&self, now: f64, open: &Open, attempt: usize, b: &Backend) -> bool {
+    fn stands(&self, now: f64, open: &OpenRequest, attempt: usize, b: &Backend) -> bool {
         let window = self.s.classes.get(open.request.class).map_or(0.0, |c| c.key_ttl_ms);
         let effect_kept = match (open.may_have_run_beside(attempt), self.s.effect(open.request.class)) {
             (None, _) | (Some(_), Effect::Safe) => true,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -17,9 +17,9 @@
 mod shared;
 
 use crate::interface::{Action, Discovery, Event, Outcome, RequestId, Settings, SettingsError};
-use crate::ledger::{Backend, Open};
 use crate::measure::{KeyCounts, Learned, Peak};
 use crate::news::News;
+use crate::request_table::{Backend, OpenRequest};
 use crate::tally::Tally;
 use admission::Admission;
 pub(crate) use cap::Cap;
@@ -41,7 +41,7 @@
     rng: fastrand::Rng,
     pub(crate) backends: Vec<Backend>,
     places: Vec<Place>,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, OpenRequest>,
     pub(crate) learned: Vec<Learned>,
     keys: KeyCounts,
     near: Nearness,
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -2,8 +2,8 @@
 
 use super::{Balancer, cold, gates};
 use crate::interface::{Found, RequestId};
-use crate::ledger::{Backend, Open};
 use crate::measure::mix;
+use crate::request_table::{Backend, OpenRequest};
 
 /// Pressure up to which a backend is at ease.
 const AT_EASE: f64 = 0.6;
@@ -116,7 +116,7 @@
     }
 
     /// Neither congested, nor capped, nor out of cold budget, nor tried before by this request.
-    pub(super) fn usable(&self, now: f64, open: &Open, index: usize) -> bool {
+    pub(super) fn usable(&self, now: f64, open: &OpenRequest, index: usize) -> bool {
         let b = &self.backends[index];
         let repeats = || gates::repeats(self.s.classes.get(open.request.class));
         let trial = || !self.s.probes && b.record.trial_due(now) && repeats();
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -4,9 +4,9 @@
 use super::peers::TOLD_ANSWERS;
 use super::{Balancer, gates};
 use crate::interface::{Action, Ended, Outcome, Reporting, Request, RequestId};
-use crate::ledger::{Attempt, Open};
 use crate::measure::{mix, pressed};
 use crate::news::News;
+use crate::request_table::{Attempt, OpenRequest};
 use crate::tally::Stop;
 
 /// Cap of a backend that answers nothing but errors: a request every thirty usual times shows when it mends.
@@ -46,7 +46,8 @@
         (a.retry, a.spill) = ((a.retry + share).min(10.0), (a.spill + share).min(10.0));
         let id = request.id;
         let aim_at = now + (aim - age).max(0.0);
-        let open = Open { request, arrived: now, aim_at, worth, finished: false, attempts: Vec::new() };
+        let open =
+            OpenRequest { request, arrived: now, aim_at, worth, finished: false, attempts: Vec::new() };
         self.open.insert(id, open);
         if let_in {
             self.attempt(now, id, out);
--- a/src/ledger.rs
+++ b/src/request_table.rs
@@ -59,7 +59,7 @@
 
 /// A request that is not over.
 #[derive(Debug)]
-pub(crate) struct Open {
+pub(crate) struct OpenRequest {
     pub(crate) request: Request,
     pub(crate) arrived: f64,
     pub(crate) aim_at: f64,
@@ -68,7 +68,7 @@
     pub(crate) attempts: Vec<Attempt>,
 }
 
-impl Open {
+impl OpenRequest {
     /// An attempt of it has not ended.
     pub(crate) fn out(&self) -> bool {
         self.attempts.iter().any(|a| a.out)
--- a/src/view.rs
+++ b/src/view.rs
@@ -2,9 +2,9 @@
 //! state, and decides nothing.
 
 use crate::interface::{Action, BackendFigures, Figures, Known, Memory, Note, Settings};
-use crate::ledger::Backend;
 use crate::measure::Learned;
 use crate::policy::{Balancer, Cap};
+use crate::request_table::Backend;
 use crate::tally::Look;
 
 impl Balancer {
