--- a/src/control/subset.rs
+++ b/src/control/subset.rs
@@ -9,7 +9,7 @@
 //! of the own zone. `docs/design.md` tells why, and what else was weighed.
 
 use crate::interface::{BackendId, Entry, Health, ListKind, Settings};
-use crate::measure::mix;
+use crate::statistics::mix_bits;
 use std::collections::{BTreeMap, BTreeSet, btree_map};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -56,13 +56,13 @@
 impl Ring {
     fn put(&mut self, line: Target) {
         self.up += usize::from(line.entry.health == Health::Up);
-        let before = self.lines.insert(mix(line.entry.backend.0), line);
+        let before = self.lines.insert(mix_bits(line.entry.backend.0), line);
         self.up -= usize::from(before.is_some_and(|b| b.entry.health == Health::Up));
     }
 
     /// True: it was there.
     fn remove(&mut self, id: BackendId) -> bool {
-        let before = self.lines.remove(&mix(id.0));
+        let before = self.lines.remove(&mix_bits(id.0));
         self.up -= usize::from(before.as_ref().is_some_and(|b| b.entry.health == Health::Up));
         before.is_some()
     }
@@ -105,7 +105,7 @@
         let moved = other.remove(id);
         if line.entry.health == Health::Gone {
             ring.remove(id);
-        } else if full && !moved && !ring.lines.contains_key(&mix(id.0)) {
+        } else if full && !moved && !ring.lines.contains_key(&mix_bits(id.0)) {
             self.left_out += 1;
         } else {
             ring.put(line);
@@ -129,7 +129,7 @@
 
     /// A backend's line.
     pub fn get(&self, id: BackendId) -> Option<&Target> {
-        let at = mix(id.0);
+        let at = mix_bits(id.0);
         self.near.lines.get(&at).or_else(|| self.far.lines.get(&at))
     }
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use super::Balancer;
 use crate::interface::{Reporting, Request};
-use crate::measure::{Evidence, Learned, Rates};
+use crate::statistics::{ClassStatistics, DecayingRates, OutcomeBalance};
 use crate::tally::Stop;
 
 /// Strain that the learned cap and admission settle at.
@@ -21,7 +21,7 @@
     pub(crate) room: f64,
     /// A request has found that full since the last tick.
     pub(super) crowded: bool,
-    pub(super) evidence: Evidence,
+    pub(super) evidence: OutcomeBalance,
     /// Share of backends that are congested or capped.
     pub(super) blocked: f64,
     /// Share of strain in recent outcomes.
@@ -33,7 +33,7 @@
     /// Part of the room that it may fill: less for what is worth least.
     pub(crate) part: Vec<[f64; 2]>,
     /// Requests a second of each tenant at this node.
-    pub(crate) tenants: Rates,
+    pub(crate) tenants: DecayingRates,
     /// Tokens for further attempts and for spills.
     pub(super) retry: f64,
     pub(crate) spill: f64,
@@ -72,9 +72,9 @@
         a.crowded = false;
         a.evidence.fade(seconds);
         let mut order: Vec<(f64, usize, usize)> = Vec::new();
-        let served = |l: &Learned| if l.asked > 0.0 { l.served / l.asked } else { 1.0 };
+        let served = |l: &ClassStatistics| if l.asked > 0.0 { l.served / l.asked } else { 1.0 };
         let worst = self.learned.iter().map(served).fold(1.0, f64::min);
-        let work = |l: &Learned| if self.s.worth_by_work { 1.0 } else { l.mean.max(1.0) };
+        let work = |l: &ClassStatistics| if self.s.worth_by_work { 1.0 } else { l.mean.max(1.0) };
         let total: f64 = self.learned.iter().zip(&self.s.classes).map(|(l, c)| l.asked * c.worth).sum();
         for (i, (l, c)) in self.learned.iter().zip(&self.s.classes).enumerate() {
             let own = (l.asked * c.worth).max(1e-9);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -17,9 +17,9 @@
 mod shared;
 
 use crate::interface::{Action, Discovery, Event, Outcome, RequestId, Settings, SettingsError};
-use crate::measure::{KeyCounts, Learned, Peak};
 use crate::news::News;
 use crate::request_table::{Backend, OpenRequest};
+use crate::statistics::{ClassStatistics, DecayingPeak, KeyCounts};
 use crate::tally::Tally;
 use admission::Admission;
 pub(crate) use cap::Cap;
@@ -42,7 +42,7 @@
     pub(crate) backends: Vec<Backend>,
     places: Vec<Place>,
     open: HashMap<RequestId, OpenRequest>,
-    pub(crate) learned: Vec<Learned>,
+    pub(crate) learned: Vec<ClassStatistics>,
     keys: KeyCounts,
     near: Nearness,
     /// Part of its usual weight that each zone has.
@@ -59,7 +59,7 @@
     /// Mean pressure above which the fleet is too full.
     full_at: f64,
     /// The most requests a second that a warm backend was lately seen to serve for this node.
-    pub(crate) warm: Peak,
+    pub(crate) warm: DecayingPeak,
     ticked: f64,
     ask_failures: u32,
 }
@@ -88,7 +88,7 @@
             in_flight: 0,
             pressure: 0.0,
             full_at: admission::FILLING,
-            warm: Peak::default(),
+            warm: DecayingPeak::default(),
             ticked: 0.0,
             ask_failures: 0,
             s: settings.clone(),
--- a/src/policy/near.rs
+++ b/src/policy/near.rs
@@ -5,7 +5,7 @@
 use super::Balancer;
 use super::admission::TARGET_STRAIN;
 use crate::interface::{Action, Effect};
-use crate::measure::Evidence;
+use crate::statistics::OutcomeBalance;
 
 /// The least weight: enough to see now and then how the others fare.
 const LEAST: f64 = 0.01;
@@ -22,7 +22,7 @@
 pub(super) struct Nearness {
     pub(super) weight: f64,
     /// Of the own zone and of the others.
-    strain: [Evidence; 2],
+    strain: [OutcomeBalance; 2],
 }
 
 impl Default for Nearness {
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -2,8 +2,8 @@
 
 use super::{Balancer, cold, gates};
 use crate::interface::{Found, RequestId};
-use crate::measure::mix;
 use crate::request_table::{Backend, OpenRequest};
+use crate::statistics::mix_bits;
 
 /// Pressure up to which a backend is at ease.
 const AT_EASE: f64 = 0.6;
@@ -28,7 +28,11 @@
             |b: &Backend| cold::ramp(&self.s, now - b.cold_since) * near(b) * self.zone_weight(b.zone);
         self.places = (self.backends.iter().enumerate())
             .filter(|(_, b)| b.up)
-            .map(|(index, b)| Place { salt: mix(b.id.0), per_weight: 1.0 / (b.units * ramp(b)), index })
+            .map(|(index, b)| Place {
+                salt: mix_bits(b.id.0),
+                per_weight: 1.0 / (b.units * ramp(b)),
+                index,
+            })
             .collect();
     }
 
@@ -41,12 +45,13 @@
         // chance: two candidates could not carry it, and nodes that each hold next to nothing in flight
         // cannot see that they do not.
         let given = open.request.key;
-        let key = given.map_or_else(|| self.rng.u64(..), mix);
+        let key = given.map_or_else(|| self.rng.u64(..), mix_bits);
         let sparse = (1.0 - 2.0 * f64::from(self.in_flight) / self.places.len().max(1) as f64).max(0.0);
         let parts = 1.0 + sparse * HOT_KEY_PARTS * self.keys.share(key) * self.places.len() as f64;
-        let key = if parts < 2.0 { key } else { mix(key ^ self.rng.u64(..parts as u64)) };
-        let unit =
-            |p: &Place| ((mix(key ^ p.salt) >> 11) as f64 / (1_u64 << 53) as f64).max(f64::MIN_POSITIVE);
+        let key = if parts < 2.0 { key } else { mix_bits(key ^ self.rng.u64(..parts as u64)) };
+        let unit = |p: &Place| {
+            ((mix_bits(key ^ p.salt) >> 11) as f64 / (1_u64 << 53) as f64).max(f64::MIN_POSITIVE)
+        };
         let rank = |p: &Place| -unit(p).ln() * p.per_weight;
         let mut best = [(f64::INFINITY, usize::MAX); 2];
         for p in &self.places {
--- a/src/policy/record.rs
+++ b/src/policy/record.rs
@@ -3,8 +3,8 @@
 
 use super::Balancer;
 use crate::interface::{Action, Note};
-use crate::measure::Window;
 use crate::news::News;
+use crate::statistics::FailureWindow;
 
 /// Part of attempts that fail at a backend which serves hardly anybody.
 const TOLD_FAILING: f64 = 0.75;
@@ -14,7 +14,7 @@
 /// The failure record: failures and tries in a window of buckets, and the congested state with its PRAT.
 #[derive(Debug, Default)]
 pub(crate) struct Record {
-    pub(super) window: Window,
+    pub(super) window: FailureWindow,
     /// Failures since the last answer of any kind.
     pub(super) doubt: u32,
     pub(crate) congested: bool,
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -4,9 +4,9 @@
 use super::peers::TOLD_ANSWERS;
 use super::{Balancer, gates};
 use crate::interface::{Action, Ended, Outcome, Reporting, Request, RequestId};
-use crate::measure::{mix, pressed};
 use crate::news::News;
 use crate::request_table::{Attempt, OpenRequest};
+use crate::statistics::{mix_bits, pressed};
 use crate::tally::Stop;
 
 /// Cap of a backend that answers nothing but errors: a request every thirty usual times shows when it mends.
@@ -38,7 +38,7 @@
         self.tally.ask();
         let let_in = self.let_in(&request, cost, worth, over || age >= aim);
         if let Some(key) = request.key {
-            self.keys.note(mix(key));
+            self.keys.note(mix_bits(key));
         }
         // Budgets guard a strained fleet: one at ease can bear more.
         let a = &mut self.admission;
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -2,8 +2,8 @@
 //! back. It decides nothing.
 
 use crate::interface::{Action, BackendId, Request};
-use crate::measure::Pressure;
 use crate::policy::{Cap, Record};
+use crate::statistics::Pressure;
 
 /// One backend as this node knows it.
 #[derive(Debug, Default)]
--- a/src/measure.rs
+++ b/src/statistics.rs
@@ -8,12 +8,12 @@
 
 /// Failures and tries within a window of buckets.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Window {
+pub(crate) struct FailureWindow {
     buckets: [(u16, u16); BUCKETS],
     slot: u64,
 }
 
-impl Window {
+impl FailureWindow {
     fn turn(&mut self, now: f64, window: f64) {
         let slot = (now.max(0.0) / (window / BUCKETS as f64)) as u64;
         let passed = slot.saturating_sub(self.slot).min(BUCKETS as u64);
@@ -115,7 +115,7 @@
 
 /// What this node has learned of a class.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Learned {
+pub(crate) struct ClassStatistics {
     /// Mean time of answers, a stand-in for the class's work.
     pub(crate) mean: f64,
     /// Mean deviation of that.
@@ -132,7 +132,7 @@
     pub(crate) served: f64,
 }
 
-impl Learned {
+impl ClassStatistics {
     /// Time that a client has spent on earlier tries. First tries are all given the same time, the most
     /// common one; a try given less, or more (the client's last), shows by its end when the first began.
     pub(crate) fn age(&mut self, given: f64, deadline: f64) -> f64 {
@@ -181,12 +181,12 @@
 
 /// Rates of several sources, in events a second, as means that fade within two seconds.
 #[derive(Debug, Default)]
-pub(crate) struct Rates {
+pub(crate) struct DecayingRates {
     rates: Vec<f64>,
     counts: Vec<u32>,
 }
 
-impl Rates {
+impl DecayingRates {
     pub(crate) fn resize(&mut self, sources: usize) {
         self.rates.resize(sources, 0.0);
         self.counts.resize(sources, 0);
@@ -212,13 +212,13 @@
 /// The most a second that one of several sources was lately seen to give, which fades slowly, and what one gives
 /// now.
 #[derive(Debug, Default)]
-pub(crate) struct Peak {
+pub(crate) struct DecayingPeak {
     pub(crate) most: f64,
     now: f64,
     count: f64,
 }
 
-impl Peak {
+impl DecayingPeak {
     pub(crate) fn note(&mut self) {
         self.count += 1.0;
     }
@@ -238,13 +238,13 @@
 /// Good and bad outcomes, weighed, and how many they were; all fade within about a second, so that small nodes
 /// still have some.
 #[derive(Debug, Default)]
-pub(crate) struct Evidence {
+pub(crate) struct OutcomeBalance {
     good: f64,
     bad: f64,
     seen: f64,
 }
 
-impl Evidence {
+impl OutcomeBalance {
     pub(crate) fn note(&mut self, good: f64, bad: f64, seen: f64) {
         self.good += good;
         self.bad += bad;
@@ -263,7 +263,7 @@
 }
 
 /// Spreads the bits of a number over all of it.
-pub(crate) fn mix(mut h: u64) -> u64 {
+pub(crate) fn mix_bits(mut h: u64) -> u64 {
     h = (h ^ (h >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     h = (h ^ (h >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     h ^ (h >> 31)
--- a/src/view.rs
+++ b/src/view.rs
@@ -2,9 +2,9 @@
 //! state, and decides nothing.
 
 use crate::interface::{Action, BackendFigures, Figures, Known, Memory, Note, Settings};
-use crate::measure::Learned;
 use crate::policy::{Balancer, Cap};
 use crate::request_table::Backend;
+use crate::statistics::ClassStatistics;
 use crate::tally::Look;
 
 impl Balancer {
@@ -38,7 +38,8 @@
             let prat = b.record.congested.then_some(b.record.prat);
             Known { backend: b.id, limit: b.cap.limit, cut_at: b.cap.cut_at, prat }
         };
-        let times = |l: &Learned| if l.seen < 20 { [0.0; 4] } else { [l.mean, l.spread, l.high, l.usual] };
+        let times =
+            |l: &ClassStatistics| if l.seen < 20 { [0.0; 4] } else { [l.mean, l.spread, l.high, l.usual] };
         let classes = self.learned.iter().map(times).collect();
         Memory { warm_rate: self.warm.most, backends: self.backends.iter().map(known).collect(), classes }
     }
