--- a/src/tally.rs
+++ b/src/counters.rs
@@ -8,7 +8,7 @@
 
 /// What stopped a request before an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum StopReason {
     /// Admission's level.
     Level,
     /// More in flight than this node has room for.
@@ -19,8 +19,8 @@
 
 /// Why requests were refused, counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Refusals {
-    /// By what stopped them, in the order of [`Stop`].
+pub struct RefusalCounts {
+    /// By what stopped them, in the order of [`StopReason`].
     pub stopped: [u64; 3],
     /// Given up on for other reasons: no time was left, or nothing for another attempt, or it is worth nothing.
     pub given_up: u64,
@@ -28,20 +28,20 @@
 
 /// Counts since the last line.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct AdmissionCounters {
     since: f64,
     /// Requests that came.
     pub asked: u32,
-    /// Requests and further attempts that were stopped, in the order of [`Stop`].
+    /// Requests and further attempts that were stopped, in the order of [`StopReason`].
     pub stopped: [u32; 3],
     /// Ends of attempts, in the order of [`Outcome::ALL`].
     pub ended: [u32; Outcome::COUNT],
     /// What stopped the request that is looked at.
-    last: Option<Stop>,
-    refusals: Refusals,
+    last: Option<StopReason>,
+    refusals: RefusalCounts,
 }
 
-impl Tally {
+impl AdmissionCounters {
     /// A request came.
     pub(crate) fn ask(&mut self) {
         self.asked = self.asked.saturating_add(1);
@@ -49,7 +49,7 @@
     }
 
     /// A request, or its next attempt, was stopped.
-    pub(crate) fn stop(&mut self, by: Stop) {
+    pub(crate) fn stop(&mut self, by: StopReason) {
         let count = &mut self.stopped[by as usize];
         *count = count.saturating_add(1);
         self.last = Some(by);
@@ -71,19 +71,20 @@
     }
 
     /// Why requests were refused.
-    pub(crate) fn refusals(&self) -> Refusals {
+    pub(crate) fn refusals(&self) -> RefusalCounts {
         self.refusals
     }
 
     /// The counts, to be told at `now` and begun anew: none while nothing was stopped, nor soon after others.
-    pub(crate) fn take(&mut self, now: f64) -> Option<Tally> {
+    pub(crate) fn take(&mut self, now: f64) -> Option<AdmissionCounters> {
         let due = now - self.since >= SPAN_MS && self.stopped != [0; 3];
-        let fresh = Tally { since: now, refusals: self.refusals, ..Tally::default() };
+        let fresh =
+            AdmissionCounters { since: now, refusals: self.refusals, ..AdmissionCounters::default() };
         due.then(|| std::mem::replace(self, fresh))
     }
 }
 
-impl fmt::Display for Tally {
+impl fmt::Display for AdmissionCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [level, room, backend] = self.stopped;
         write!(f, "asked {}, stopped by level {level}, room {room}, ", self.asked)?;
@@ -97,7 +98,7 @@
 
 /// How the fleet looks to a node that tells its counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Look {
+pub struct LoadSnapshot {
     /// Part of the offered work that admission lets in.
     pub level: f64,
     /// Share of strain in recent outcomes.
@@ -116,9 +117,9 @@
     pub in_flight: u32,
 }
 
-impl fmt::Display for Look {
+impl fmt::Display for LoadSnapshot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Look { level, strain, pressure, room, spill, out, capped, in_flight } = self;
+        let LoadSnapshot { level, strain, pressure, room, spill, out, capped, in_flight } = self;
         write!(f, "level {level:.2} strain {strain:.2} pressure {pressure:.2} room {room:.2} ")?;
         write!(f, "spill {spill:.1}; backends out {out}, at cap {capped}, in flight {in_flight}")
     }
@@ -130,30 +131,30 @@
 
     #[test]
     fn a_line_tells_what_stopped_requests_and_starts_the_counts_anew() {
-        let mut tally = Tally::default();
-        tally.ask();
-        tally.end(Outcome::Reset);
-        assert!(tally.take(SPAN_MS).is_none(), "nothing was stopped");
-        tally.stop(Stop::Room);
-        assert!(tally.take(SPAN_MS - 1.0).is_none(), "too soon");
-        let text = tally.take(SPAN_MS).map(|t| t.to_string());
+        let mut counters = AdmissionCounters::default();
+        counters.ask();
+        counters.end(Outcome::Reset);
+        assert!(counters.take(SPAN_MS).is_none(), "nothing was stopped");
+        counters.stop(StopReason::Room);
+        assert!(counters.take(SPAN_MS - 1.0).is_none(), "too soon");
+        let text = counters.take(SPAN_MS).map(|t| t.to_string());
         let wanted = "asked 1, stopped by level 0, room 1, no usable backend 0; attempts ended Reset 1";
         assert_eq!(text.as_deref(), Some(wanted));
-        tally.stop(Stop::Level);
-        assert!(tally.take(SPAN_MS + 1.0).is_none(), "told a moment ago");
+        counters.stop(StopReason::Level);
+        assert!(counters.take(SPAN_MS + 1.0).is_none(), "told a moment ago");
     }
 
     #[test]
     fn a_refusal_counts_for_what_stopped_it_and_outlives_the_line() {
-        let mut tally = Tally::default();
-        tally.ask();
-        tally.stop(Stop::Level);
-        tally.refuse();
-        tally.ask();
-        tally.end(Outcome::TimedOut);
-        tally.refuse();
-        assert!(tally.take(SPAN_MS).is_some());
-        assert_eq!(tally.refusals(), Refusals { stopped: [1, 0, 0], given_up: 1 });
+        let mut counters = AdmissionCounters::default();
+        counters.ask();
+        counters.stop(StopReason::Level);
+        counters.refuse();
+        counters.ask();
+        counters.end(Outcome::TimedOut);
+        counters.refuse();
+        assert!(counters.take(SPAN_MS).is_some());
+        assert_eq!(counters.refusals(), RefusalCounts { stopped: [1, 0, 0], given_up: 1 });
     }
 
     #[test]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -4,7 +4,7 @@
 //! All times are milliseconds of one monotonic clock with an arbitrary origin, handed in with each event.
 //! A host feeds [`Event`]s in the order they happened and carries out the [`Action`]s in the order given.
 
-use crate::tally::{Look, Refusals, Tally};
+use crate::counters::{AdmissionCounters, LoadSnapshot, RefusalCounts};
 use std::fmt;
 use thiserror::Error;
 
@@ -492,7 +492,7 @@
         failed_trials: u32,
     },
     /// Requests were stopped lately.
-    Stopped(Box<(Tally, Look)>),
+    Stopped(Box<(AdmissionCounters, LoadSnapshot)>),
 }
 
 impl fmt::Display for Note {
@@ -514,9 +514,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figures {
     /// How the fleet looks from here.
-    pub look: Look,
+    pub load: LoadSnapshot,
     /// Why requests were refused since the start.
-    pub refusals: Refusals,
+    pub refusals: RefusalCounts,
     /// The most requests a second that a warm backend was lately seen to serve for this node.
     pub warm_rate: f64,
     /// Each backend.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -43,6 +43,7 @@
 
 pub mod calls;
 pub mod control;
+pub mod counters;
 pub mod files;
 pub mod interface;
 mod news;
@@ -51,7 +52,6 @@
 pub mod policy;
 mod request_table;
 mod statistics;
-pub mod tally;
 pub mod tomlfile;
 mod view;
 pub mod wire;
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -526,7 +526,7 @@
             })
             .collect();
         let [level, room, no_backend] = figures.refusals.stopped;
-        let look = figures.look;
+        let look = figures.load;
         let mut json = core.stats.json();
         json["open"] = core.open.len().into();
         json["refused"] = json!({"level": level, "room": room, "no_backend": no_backend,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,9 +1,9 @@
 //! Admission: how much of what is asked may go in, what is worth least going first.
 
 use super::Balancer;
+use crate::counters::StopReason;
 use crate::interface::{Reporting, Request};
 use crate::statistics::{ClassStatistics, DecayingRates, OutcomeBalance};
-use crate::tally::Stop;
 
 /// Strain that the learned cap and admission settle at.
 pub(super) const TARGET_STRAIN: f64 = 0.2;
@@ -115,7 +115,7 @@
         let crowded = self.s.reporting != Reporting::None && f64::from(self.in_flight) + 1.0 > room;
         self.admission.crowded |= crowded;
         if crowded || !let_in {
-            self.tally.stop(if let_in { Stop::Room } else { Stop::Level });
+            self.counters.stop(if let_in { StopReason::Room } else { StopReason::Level });
         }
         let_in && !crowded
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -16,11 +16,11 @@
 mod requests;
 mod shared;
 
+use crate::counters::AdmissionCounters;
 use crate::interface::{Action, Discovery, Event, Outcome, RequestId, Settings, SettingsError};
 use crate::news::News;
 use crate::request_table::{Backend, OpenRequest};
 use crate::statistics::{ClassStatistics, DecayingPeak, KeyCounts};
-use crate::tally::Tally;
 use admission::Admission;
 pub(crate) use cap::Cap;
 use near::Nearness;
@@ -49,7 +49,7 @@
     zones: Vec<f64>,
     shared: Shared,
     pub(crate) admission: Admission,
-    pub(crate) tally: Tally,
+    pub(crate) counters: AdmissionCounters,
     /// Share of recent attempts, over all backends, that failed to connect or answer.
     fleet_failing: f64,
     /// Attempts that are out and not answered yet.
@@ -83,7 +83,7 @@
             zones: Vec::new(),
             shared: Shared::default(),
             admission: Admission { level: 1.0, room: 1.0, retry: 3.0, spill: 3.0, ..Admission::default() },
-            tally: Tally::default(),
+            counters: AdmissionCounters::default(),
             fleet_failing: 0.0,
             in_flight: 0,
             pressure: 0.0,
--- a/src/policy/refusal.rs
+++ b/src/policy/refusal.rs
@@ -20,7 +20,7 @@
             out.push(Action::Fail(id));
             return;
         }
-        self.tally.refuse();
+        self.counters.refuse();
         let retry_after_ms = self.crat(now, aim);
         out.push(Action::Refuse { id, retry_after_ms });
     }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -3,11 +3,11 @@
 use super::admission::TARGET_STRAIN;
 use super::peers::TOLD_ANSWERS;
 use super::{Balancer, gates};
+use crate::counters::StopReason;
 use crate::interface::{Action, Ended, Outcome, Reporting, Request, RequestId};
 use crate::news::News;
 use crate::request_table::{Attempt, OpenRequest};
 use crate::statistics::{mix_bits, pressed};
-use crate::tally::Stop;
 
 /// Cap of a backend that answers nothing but errors: a request every thirty usual times shows when it mends.
 const ERRING_FLOOR: f64 = 1.0 / 32.0;
@@ -35,7 +35,7 @@
         }
         let mean = self.learned.get(request.class).map_or(1.0, |l| l.mean.max(1.0));
         let cost = request.effort_ms.filter(|e| e.is_finite() && *e > 0.0).unwrap_or(mean);
-        self.tally.ask();
+        self.counters.ask();
         let let_in = self.let_in(&request, cost, worth, over || age >= aim);
         if let Some(key) = request.key {
             self.keys.note(mix_bits(key));
@@ -62,7 +62,7 @@
             // What finds every way blocked is pressure too: admission must shed by worth, not by chance.
             // It counts as far as backends are blocked at large: a hot key's two are no matter of the fleet.
             let worth = self.open.get(&id).map_or(0.0, |o| o.worth);
-            self.tally.stop(Stop::NoBackend);
+            self.counters.stop(StopReason::NoBackend);
             let blocked = self.admission.blocked;
             self.admission.evidence.note(0.0, worth * blocked, blocked);
             return self.answer(now, id, out);
@@ -126,7 +126,7 @@
         a.out = false;
         self.in_flight = self.in_flight.saturating_sub(u32::from(!a.begun));
         a.never_ran = gates::never_ran(&self.s, outcome);
-        self.tally.end(outcome);
+        self.counters.end(outcome);
         open.finished |= e.last;
         let (backend, timeout, trial, class) = (a.backend, a.timeout, a.trial, open.request.class);
         let in_aim = outcome == Outcome::Done && now <= open.aim_at;
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,11 +1,11 @@
 //! What others may see of a balancer, and what it takes over from another or from new settings: it reads and restores
 //! state, and decides nothing.
 
+use crate::counters::LoadSnapshot;
 use crate::interface::{Action, BackendFigures, Figures, Known, Memory, Note, Settings};
 use crate::policy::{Balancer, Cap};
 use crate::request_table::Backend;
 use crate::statistics::ClassStatistics;
-use crate::tally::Look;
 
 impl Balancer {
     /// Takes settings on, first or new ones. A class whose number stood for another is learned anew.
@@ -28,8 +28,8 @@
 
     /// Says now and then how many requests were refused, by what, and how the fleet looked from here.
     pub(crate) fn tell(&mut self, now: f64, out: &mut Vec<Action>) {
-        let Some(tally) = self.tally.take(now) else { return };
-        out.push(Action::Log(Note::Stopped(Box::new((tally, self.look(now))))));
+        let Some(counters) = self.counters.take(now) else { return };
+        out.push(Action::Log(Note::Stopped(Box::new((counters, self.load_snapshot(now))))));
     }
 
     /// What the next process of this node can go on from.
@@ -65,9 +65,9 @@
     }
 
     /// How the fleet looks from here.
-    pub(crate) fn look(&self, now: f64) -> Look {
+    pub(crate) fn load_snapshot(&self, now: f64) -> LoadSnapshot {
         let count = |f: &dyn Fn(&Backend) -> bool| self.backends.iter().filter(|b| b.up && f(b)).count();
-        Look {
+        LoadSnapshot {
             level: self.admission.level,
             strain: self.admission.strain,
             pressure: self.pressure,
@@ -92,8 +92,8 @@
             pressure: b.load.at(now, self.pressure),
         };
         Figures {
-            look: self.look(now),
-            refusals: self.tally.refusals(),
+            load: self.load_snapshot(now),
+            refusals: self.counters.refusals(),
             warm_rate: self.warm.most,
             backends: self.backends.iter().map(backend).collect(),
         }
