--- a/src/lib.rs
+++ b/src/lib.rs
@@ -41,6 +41,7 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
+mod balancer_state;
 pub mod calls;
 pub mod control;
 pub mod counters;
@@ -53,7 +54,6 @@
 mod request_table;
 mod statistics;
 pub mod tomlfile;
-mod view;
 pub mod wire;
 
 pub use policy::Balancer;
