--- a/crates/cli/src/call.rs
+++ b/crates/cli/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::page::{Failure, print, table};
 use clap::Subcommand;
-use daleturn::calls::{Call, LONGEST_WHY, ask};
+use daleturn::operator_call::{MAX_REASON_BYTES, OperatorCall, call_node};
 use serde_json::{Value, json};
 use std::fmt::Write;
 use std::io::IsTerminal;
@@ -87,7 +87,7 @@
         /// Its name
         zone: String,
         /// How long, such as 30m; else until return
-        #[arg(long = "for", value_name = "TIME", value_parser = |t: &str| Call::time(t).map_err(|e| e.to_string()))]
+        #[arg(long = "for", value_name = "TIME", value_parser = |t: &str| OperatorCall::parse_time_s(t).map_err(|e| e.to_string()))]
         for_s: Option<u32>,
         /// Even if the rest is not known to carry what is asked
         #[arg(long)]
@@ -108,33 +108,33 @@
 /// A reason as the node takes it: one line.
 fn reason(text: &str) -> Result<String, String> {
     let words = text.split_ascii_whitespace().collect::<Vec<_>>().join(" ");
-    let fits = (1..=LONGEST_WHY).contains(&words.len());
-    if fits { Ok(words) } else { Err(format!("a reason has 1 to {LONGEST_WHY} bytes")) }
+    let fits = (1..=MAX_REASON_BYTES).contains(&words.len());
+    if fits { Ok(words) } else { Err(format!("a reason has 1 to {MAX_REASON_BYTES} bytes")) }
 }
 
 pub fn run(args: &Args) -> Result<(), Failure> {
     let call = match &args.what {
-        What::Health => Call::Health,
+        What::Health => OperatorCall::Health,
         What::Cordon { id, fleet: false, why } => {
-            Call::Cordon { id: id.clone(), why: why.clone().unwrap_or_default() }
+            OperatorCall::Cordon { id: id.clone(), reason: why.clone().unwrap_or_default() }
         }
-        What::Uncordon { id, fleet: false } => Call::Uncordon(id.clone()),
-        What::Cordon { id, fleet: true, .. } => Call::FleetCordon(id.clone()),
-        What::Uncordon { id, fleet: true } => Call::FleetUncordon(id.clone()),
+        What::Uncordon { id, fleet: false } => OperatorCall::Uncordon(id.clone()),
+        What::Cordon { id, fleet: true, .. } => OperatorCall::FleetCordon(id.clone()),
+        What::Uncordon { id, fleet: true } => OperatorCall::FleetUncordon(id.clone()),
         What::Zone(Zone::Leave { zone, for_s, force }) => {
-            Call::ZoneLeave { zone: zone.clone(), for_s: *for_s, force: *force }
+            OperatorCall::ZoneLeave { zone: zone.clone(), for_s: *for_s, force: *force }
         }
-        What::Zone(Zone::Hold { zone }) => Call::ZoneHold(zone.clone()),
-        What::Zone(Zone::Return { zone }) => Call::ZoneReturn(zone.clone()),
-        What::Zones => Call::Zones,
-        What::Upgrade { version } => Call::Upgrade(version.clone()),
-        What::Versions => Call::Versions,
-        What::Quiesce => Call::Quiesce,
-        What::Resume => Call::Resume,
-        What::Stats { .. } => Call::Stats,
+        What::Zone(Zone::Hold { zone }) => OperatorCall::ZoneHold(zone.clone()),
+        What::Zone(Zone::Return { zone }) => OperatorCall::ZoneReturn(zone.clone()),
+        What::Zones => OperatorCall::Zones,
+        What::Upgrade { version } => OperatorCall::Upgrade(version.clone()),
+        What::Versions => OperatorCall::Versions,
+        What::Quiesce => OperatorCall::Quiesce,
+        What::Resume => OperatorCall::Resume,
+        What::Stats { .. } => OperatorCall::Stats,
     };
     let ask = || {
-        let answer = ask(args.address, &call, Duration::from_secs(args.timeout));
+        let answer = call_node(args.address, &call, Duration::from_secs(args.timeout));
         answer.map_err(|e| format!("{}: {e}", args.address))
     };
     if let (What::Zones, false) = (&args.what, args.json) {
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -89,7 +89,7 @@
         rate: f64,
         /// How long
         #[arg(long = "for", value_name = "TIME", default_value = "10s",
-              value_parser = |t: &str| daleturn::calls::Call::time(t).map_err(|e| e.to_string()))]
+              value_parser = |t: &str| daleturn::operator_call::OperatorCall::parse_time_s(t).map_err(|e| e.to_string()))]
         for_s: u32,
         /// A request's time, in milliseconds, from when it was due
         #[arg(long, value_name = "MS", default_value_t = 10_000)]
@@ -186,7 +186,7 @@
         file: PathBuf,
         /// How long
         #[arg(long = "for", value_name = "TIME", default_value = "1m",
-              value_parser = |t: &str| daleturn::calls::Call::time(t).map_err(|e| e.to_string()))]
+              value_parser = |t: &str| daleturn::operator_call::OperatorCall::parse_time_s(t).map_err(|e| e.to_string()))]
         for_s: u32,
         /// Seed of the schedules
         #[arg(long, default_value_t = 1)]
--- a/crates/lab/src/real/nodes.rs
+++ b/crates/lab/src/real/nodes.rs
@@ -5,7 +5,7 @@
 use super::links::{lock, own_ip};
 use crate::scenario::{Kind, Next, What};
 use crate::settings::settings;
-use daleturn::calls::{Call, ask};
+use daleturn::operator_call::{OperatorCall, call_node};
 use daleturn_store::rehearse::{Orders, after_power_loss, order};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -393,9 +393,10 @@
         let operator = self.start(world).map_err(|e| e.to_string())?;
         let end = tokio::time::Instant::now() + YES;
         loop {
-            let yes =
-                tokio::task::spawn_blocking(move || ask(operator, &Call::Health, Duration::from_secs(1)))
-                    .await;
+            let yes = tokio::task::spawn_blocking(move || {
+                call_node(operator, &OperatorCall::Health, Duration::from_secs(1))
+            })
+            .await;
             if matches!(yes, Ok(Ok(Ok(_)))) {
                 return self.stop().await;
             }
@@ -489,8 +490,9 @@
 
 /// What an operator said, and what came back.
 pub async fn say(operator: SocketAddr, words: String) -> Result<String, String> {
-    let call = Call::parse(words.as_bytes()).map_err(|e| e.to_string())?;
-    let asked = tokio::task::spawn_blocking(move || ask(operator, &call, Duration::from_secs(2))).await;
+    let call = OperatorCall::parse(words.as_bytes()).map_err(|e| e.to_string())?;
+    let asked =
+        tokio::task::spawn_blocking(move || call_node(operator, &call, Duration::from_secs(2))).await;
     match asked {
         Ok(Ok(answer)) => answer,
         Ok(Err(e)) => Err(e.to_string()),
--- a/crates/release/src/run.rs
+++ b/crates/release/src/run.rs
@@ -4,7 +4,7 @@
 use crate::gate::Sample;
 use crate::machine::{Action, Event, Machine, Mode, Ms, Order, Seen, Version};
 use crate::plan::{Command, Member, Plan, What};
-use daleturn::calls::{Call, NOBODY, ask};
+use daleturn::operator_call::{NO_HOLDER, OperatorCall, call_node};
 use daleturn_store::{Entry, Limits, RealDisk, Store, StoreError};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -115,7 +115,7 @@
 
 enum Job {
     Look(usize),
-    Say(usize, Call, Said),
+    Say(usize, OperatorCall, Said),
 }
 
 /// What an answer is for.
@@ -242,7 +242,7 @@
         let Some(held) = figures.as_ref().map(|f| &f["lease"]) else { continue };
         let (by, age) =
             (held["holder"].as_str().unwrap_or_default(), held["age_s"].as_u64().unwrap_or(u64::MAX));
-        if !by.is_empty() && by != NOBODY && by != holder && age < LEASE_S {
+        if !by.is_empty() && by != NO_HOLDER && by != holder && age < LEASE_S {
             return Err(RunError::Other(*address, by.to_owned()));
         }
         lease = lease.max(held["number"].as_u64().unwrap_or(0));
@@ -255,7 +255,7 @@
     }
     journal.sync().map_err(store)?;
     // Held at every node that can be reached before anything is done.
-    let taken = say_to_all(&plan.nodes, &Call::Lease { holder: holder.clone(), number: lease });
+    let taken = say_to_all(&plan.nodes, &OperatorCall::Lease { holder: holder.clone(), number: lease });
     for (answer, address) in taken.into_iter().zip(&plan.nodes) {
         if let Some(Err(why)) = answer {
             return Err(RunError::Other(*address, why));
@@ -301,13 +301,13 @@
 }
 
 /// A call to all nodes, a few at a time; none of one that does not answer.
-fn say_to_all(nodes: &[SocketAddr], call: &Call) -> Vec<Option<Result<String, String>>> {
+fn say_to_all(nodes: &[SocketAddr], call: &OperatorCall) -> Vec<Option<Result<String, String>>> {
     let mut all = Vec::new();
     for some in nodes.chunks(CALLERS) {
         let asked: Vec<_> = (some.iter().copied())
             .map(|node| {
                 let call = call.clone();
-                thread::spawn(move || ask(node, &call, CALL).ok())
+                thread::spawn(move || call_node(node, &call, CALL).ok())
             })
             .collect();
         all.extend(asked.into_iter().map(|t| t.join().ok().flatten()));
@@ -316,7 +316,7 @@
 }
 
 fn figures(node: SocketAddr) -> Option<Value> {
-    let said = ask(node, &Call::Stats, CALL).ok()?.ok()?;
+    let said = call_node(node, &OperatorCall::Stats, CALL).ok()?.ok()?;
     serde_json::from_str(&said).ok()
 }
 
@@ -337,7 +337,7 @@
                         Heard::Looked(node, at, nodes.get(node).and_then(|n| figures(*n)))
                     }
                     Ok(Job::Say(node, call, said)) => {
-                        let answer = match nodes.get(node).map(|n| ask(*n, &call, CALL)) {
+                        let answer = match nodes.get(node).map(|n| call_node(*n, &call, CALL)) {
                             Some(Ok(Ok(_))) => Ok(()),
                             Some(Ok(Err(why))) => Err(why),
                             Some(Err(e)) => Err(e.to_string()),
@@ -388,7 +388,7 @@
             if now >= renewed + RENEW_MS {
                 renewed = now;
                 for node in 0..self.nodes.len() {
-                    let call = Call::Lease { holder: self.plan.name.clone(), number: self.lease };
+                    let call = OperatorCall::Lease { holder: self.plan.name.clone(), number: self.lease };
                     let _ = self.jobs.send(Job::Say(node, call, Said::Lease));
                 }
             }
@@ -423,7 +423,10 @@
 
     /// What is over needs no lease. Who does not hear it lets it grow old.
     fn give_up(&self) {
-        say_to_all(&self.plan.nodes, &Call::Lease { holder: NOBODY.to_owned(), number: self.lease });
+        say_to_all(
+            &self.plan.nodes,
+            &OperatorCall::Lease { holder: NO_HOLDER.to_owned(), number: self.lease },
+        );
     }
 
     /// Nothing is half-done any more.
@@ -498,7 +501,7 @@
         match deed {
             Action::Tell { member, node, out } => {
                 let Some(named) = self.plan.member.get(member) else { return };
-                let call = Call::Leased { out, id: named.id.clone(), lease: self.lease };
+                let call = OperatorCall::Leased { cordon: out, id: named.id.clone(), lease: self.lease };
                 let _ = self.jobs.send(Job::Say(node, call, Said::Member(member, out)));
             }
             Action::Run { member, to } => {
@@ -506,8 +509,8 @@
                 if plan.what == What::Nodes {
                     thread::spawn(move || {
                         let version = if to == Version::New { &plan.to } else { &plan.from };
-                        let call = Call::Upgrade(version.clone());
-                        let why = match plan.nodes.get(member).map(|n| ask(*n, &call, UPGRADE)) {
+                        let call = OperatorCall::Upgrade(version.clone());
+                        let why = match plan.nodes.get(member).map(|n| call_node(*n, &call, UPGRADE)) {
                             Some(Ok(Ok(_))) => None,
                             Some(Ok(Err(why))) => Some(why),
                             Some(Err(e)) => Some(e.to_string()),
--- a/crates/release/src/supervise.rs
+++ b/crates/release/src/supervise.rs
@@ -2,8 +2,8 @@
 //! the one that serves, and goes back by itself where a new one only crashes. It answers on an address of the operators'
 //! form; what it does not know itself it passes on to the node that serves.
 
-use daleturn::calls::{Call, LONGEST, ask};
 use daleturn::files::read_text;
+use daleturn::operator_call::{MAX_CALL_BYTES, OperatorCall, call_node};
 use daleturn::tomlfile::{self, TomlError};
 use rustix::process::{Pid, Signal, kill_process};
 use serde::{Deserialize, Serialize};
@@ -129,7 +129,7 @@
 
 /// What the callers' threads want of it.
 struct Wish {
-    call: Call,
+    call: OperatorCall,
     answer: Sender<Result<String, String>>,
 }
 
@@ -203,19 +203,19 @@
     let _ = stream.set_read_timeout(Some(CALL));
     let _ = stream.set_write_timeout(Some(CALL));
     let mut line = String::new();
-    let read = BufReader::new((&stream).take(LONGEST as u64 + 2)).read_line(&mut line);
+    let read = BufReader::new((&stream).take(MAX_CALL_BYTES as u64 + 2)).read_line(&mut line);
     let call = read
         .map_err(|e| e.to_string())
-        .and_then(|_| Call::parse(line.trim_end().as_bytes()).map_err(|e| e.to_string()));
+        .and_then(|_| OperatorCall::parse(line.trim_end().as_bytes()).map_err(|e| e.to_string()));
     let said = call.and_then(|call| match call {
-        Call::Upgrade(_) | Call::Versions => {
+        OperatorCall::Upgrade(_) | OperatorCall::Versions => {
             let (answer, answered) = channel();
             wishes.send(Wish { call, answer }).map_err(|_| "the supervisor ends".to_owned())?;
             answered.recv().unwrap_or_else(|_| Err("the supervisor ends".to_owned()))
         }
         call => {
             let at = serving.lock().ok().and_then(|s| *s).ok_or("no node serves")?;
-            ask(at, &call, CALL).unwrap_or_else(|e| Err(e.to_string()))
+            call_node(at, &call, CALL).unwrap_or_else(|e| Err(e.to_string()))
         }
     });
     let text = match said {
@@ -238,7 +238,7 @@
             self.look(say);
             if let Ok(Wish { call, answer }) = wishes.recv_timeout(TICK) {
                 let said = match call {
-                    Call::Upgrade(version) => self.upgrade(&version, say),
+                    OperatorCall::Upgrade(version) => self.upgrade(&version, say),
                     _ => Ok(self.versions()),
                 };
                 // Who asked may be gone.
@@ -339,7 +339,8 @@
                     self.current
                 ));
             }
-            if matches!(ask(self.config.operators[operator], &Call::Health, CALL), Ok(Ok(_))) {
+            if matches!(call_node(self.config.operators[operator], &OperatorCall::Health, CALL), Ok(Ok(_)))
+            {
                 break;
             }
             if Instant::now() > end {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -42,12 +42,12 @@
 //! ```
 
 mod balancer_state;
-pub mod calls;
 pub mod control;
 pub mod counters;
 pub mod files;
 pub mod interface;
 mod news;
+pub mod operator_call;
 pub mod options;
 pub mod platform;
 pub mod policy;
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -10,8 +10,8 @@
 use crate::socket::Descriptors;
 use crate::upstream::Upstream;
 use crate::zoning::{self, Zoning};
-use daleturn::calls::{Call, CallError, LONGEST, NOBODY};
 use daleturn::control::packet::LONGEST_NAME;
+use daleturn::operator_call::{MAX_CALL_BYTES, NO_HOLDER, OperatorCall, OperatorCallError};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -36,22 +36,24 @@
 /// Why a word for the whole fleet is turned down.
 const UNSHARED: &str = "nothing changed: this node shares nothing ([share] is off); say it to each node";
 /// Reads one line, LF or CRLF at its end.
-async fn line(stream: &mut TcpStream) -> Result<Vec<u8>, CallError> {
+async fn line(stream: &mut TcpStream) -> Result<Vec<u8>, OperatorCallError> {
     let mut line = Vec::new();
     let mut piece = [0; 256];
     loop {
         let n = stream.read(&mut piece).await.unwrap_or(0);
-        let Some(read) = piece.get(..n).filter(|p| !p.is_empty()) else { return Err(CallError::Cut) };
+        let Some(read) = piece.get(..n).filter(|p| !p.is_empty()) else {
+            return Err(OperatorCallError::Unterminated);
+        };
         line.extend_from_slice(read);
         if let Some(end) = line.iter().position(|b| *b == b'\n') {
             line.truncate(end);
             if line.last() == Some(&b'\r') {
                 line.pop();
             }
-        } else if line.len() <= LONGEST {
+        } else if line.len() <= MAX_CALL_BYTES {
             continue;
         }
-        return if line.len() <= LONGEST { Ok(line) } else { Err(CallError::Long) };
+        return if line.len() <= MAX_CALL_BYTES { Ok(line) } else { Err(OperatorCallError::TooLong) };
     }
 }
 
@@ -77,11 +79,11 @@
 
     /// Whether a controller may take or renew it.
     fn check(&self, holder: &str, number: u64) -> Result<(), String> {
-        if holder == NOBODY && number == self.number {
+        if holder == NO_HOLDER && number == self.number {
             return Ok(());
         }
         let lower = number < self.number || (number == self.number && holder != self.holder);
-        let free = self.holder.is_empty() || self.holder == NOBODY || holder == self.holder;
+        let free = self.holder.is_empty() || self.holder == NO_HOLDER || holder == self.holder;
         let held = !free && self.age_s().is_some_and(|s| s < LEASE_S);
         if lower || held {
             return Err(format!("the lease is held by {} with {}", self.holder, self.number));
@@ -164,9 +166,9 @@
     async fn converse(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let line = tokio::time::timeout(CALL_TIME, line(&mut stream)).await;
-        let line = line.unwrap_or(Err(CallError::Late(CALL_TIME.as_secs())));
+        let line = line.unwrap_or(Err(OperatorCallError::TimedOut(CALL_TIME.as_secs())));
         let call = line.as_deref().map_err(ToString::to_string);
-        let answer = call.and_then(|l| Call::parse(l).map_err(|e| e.to_string()));
+        let answer = call.and_then(|l| OperatorCall::parse(l).map_err(|e| e.to_string()));
         let said = match answer {
             Ok(call) => self.carry_out(&call).await,
             Err(why) => Err(why),
@@ -187,22 +189,22 @@
     }
 
     /// A word that is to outlive this machine is on its disk before it holds, and before it is answered.
-    async fn store(&self, call: &Call, cordon: Option<&Cordon>) -> Result<(), String> {
+    async fn store(&self, call: &OperatorCall, cordon: Option<&Cordon>) -> Result<(), String> {
         let Some(durable) = &self.durable else { return Ok(()) };
         let stored = match call {
-            Call::Cordon { id, .. }
-            | Call::Uncordon(id)
-            | Call::FleetCordon(id)
-            | Call::FleetUncordon(id)
-            | Call::Leased { id, .. } => {
+            OperatorCall::Cordon { id, .. }
+            | OperatorCall::Uncordon(id)
+            | OperatorCall::FleetCordon(id)
+            | OperatorCall::FleetUncordon(id)
+            | OperatorCall::Leased { id, .. } => {
                 self.driver.check(id).map_err(|e| e.to_string())?;
                 durable.cordon(id, cordon).await
             }
-            Call::Lease { holder, number } if *number > self.lease.borrow().number => {
+            OperatorCall::Lease { holder, number } if *number > self.lease.borrow().number => {
                 durable.lease(&format!("{holder} {number}")).await
             }
-            Call::Quiesce | Call::Resume if self.server.health().is_ok() => {
-                durable.quiesce(matches!(call, Call::Quiesce)).await
+            OperatorCall::Quiesce | OperatorCall::Resume if self.server.health().is_ok() => {
+                durable.quiesce(matches!(call, OperatorCall::Quiesce)).await
             }
             _ => Ok(()),
         };
@@ -210,11 +212,11 @@
     }
 
     /// What a call makes of a backend's cordon; none where it puts it back.
-    fn said(&self, call: &Call) -> Option<Cordon> {
+    fn said(&self, call: &OperatorCall) -> Option<Cordon> {
         match call {
-            Call::Cordon { why, .. } => Some(Cordon::now(false, why)),
-            Call::FleetCordon(_) => Some(Cordon::now(false, "said for the whole fleet")),
-            Call::Leased { out: true, id, .. } => {
+            OperatorCall::Cordon { reason, .. } => Some(Cordon::now(false, reason)),
+            OperatorCall::FleetCordon(_) => Some(Cordon::now(false, "said for the whole fleet")),
+            OperatorCall::Leased { cordon: true, id, .. } => {
                 let out = self.driver.out().contains(id);
                 Some(Cordon::of_release(self.cordons.borrow().get(id).filter(|_| out)))
             }
@@ -251,8 +253,8 @@
         Ok(format!("{said}, and {others} others hear of it"))
     }
 
-    async fn carry_out(&self, call: &Call) -> Result<String, String> {
-        if let Call::FleetCordon(id) | Call::FleetUncordon(id) = call {
+    async fn carry_out(&self, call: &OperatorCall) -> Result<String, String> {
+        if let OperatorCall::FleetCordon(id) | OperatorCall::FleetUncordon(id) = call {
             // Nothing may hold here that cannot be said to all.
             self.sharing.as_ref().ok_or(UNSHARED)?;
             if id.len() > LONGEST_NAME {
@@ -262,22 +264,22 @@
             }
         }
         let _turn = match call {
-            Call::Cordon { .. }
-            | Call::Uncordon(_)
-            | Call::FleetCordon(_)
-            | Call::FleetUncordon(_)
-            | Call::Leased { .. } => {
+            OperatorCall::Cordon { .. }
+            | OperatorCall::Uncordon(_)
+            | OperatorCall::FleetCordon(_)
+            | OperatorCall::FleetUncordon(_)
+            | OperatorCall::Leased { .. } => {
                 let turn = tokio::time::timeout(TURN, self.turn.lock()).await;
                 Some(turn.map_err(|_| "nothing changed, the word before it is still being stored")?)
             }
             _ => None,
         };
         match call {
-            Call::Lease { holder, number } => self.lease.borrow().check(holder, *number)?,
-            Call::Leased { lease, .. } => self.lease.borrow().counts(*lease)?,
+            OperatorCall::Lease { holder, number } => self.lease.borrow().check(holder, *number)?,
+            OperatorCall::Leased { lease, .. } => self.lease.borrow().counts(*lease)?,
             _ => {}
         }
-        if let Call::Leased { out: false, id, .. } = call
+        if let OperatorCall::Leased { cordon: false, id, .. } = call
             && self.operators(id)
         {
             return Ok(format!("{id} stays out, as an operator said"));
@@ -286,11 +288,11 @@
         let cordon = self.said(call);
         self.store(call, cordon.as_ref()).await?;
         let said = match call {
-            Call::Health => return self.health(),
-            Call::Upgrade(_) | Call::Versions => {
+            OperatorCall::Health => return self.health(),
+            OperatorCall::Upgrade(_) | OperatorCall::Versions => {
                 return Err("a node has no versions: call its supervisor".to_owned());
             }
-            Call::Lease { holder, number } => {
+            OperatorCall::Lease { holder, number } => {
                 let mut lease = self.lease.borrow_mut();
                 (lease.holder, lease.number) = (holder.clone(), *number);
                 let before = lease.renewed.replace(Instant::now());
@@ -299,36 +301,36 @@
                 }
                 "the lease is taken".to_owned()
             }
-            Call::Leased { out: true, id, .. } => {
+            OperatorCall::Leased { cordon: true, id, .. } => {
                 let said = self.driver.cordon(id).map_err(|e| e.to_string())?;
                 self.remember(id, cordon);
                 said
             }
-            Call::Leased { id, .. } | Call::Uncordon(id) => {
+            OperatorCall::Leased { id, .. } | OperatorCall::Uncordon(id) => {
                 let said = self.driver.uncordon(id).map_err(|e| e.to_string())?;
                 self.remember(id, cordon);
                 said
             }
-            Call::Cordon { id, .. } => {
+            OperatorCall::Cordon { id, .. } => {
                 let said = self.driver.cordon(id).map_err(|e| e.to_string())?;
                 self.remember(id, cordon);
                 let lasts = self.durable.is_some() || self.driver.lasts();
                 said + if lasts { "" } else { ", until this process ends" }
             }
-            Call::ZoneLeave { zone, for_s, force } => {
+            OperatorCall::ZoneLeave { zone, for_s, force } => {
                 self.zoning()?.say(zone, true, *for_s, *force).await?
             }
-            Call::ZoneHold(zone) => self.zoning()?.say(zone, true, None, true).await?,
-            Call::ZoneReturn(zone) => self.zoning()?.say(zone, false, None, true).await?,
-            Call::Zones => return Ok(Zoning::figures(&self.driver, &self.rules)?.to_string()),
-            Call::FleetCordon(id) | Call::FleetUncordon(id) => {
-                let said = self.fleet_word(id, matches!(call, Call::FleetCordon(_)))?;
+            OperatorCall::ZoneHold(zone) => self.zoning()?.say(zone, true, None, true).await?,
+            OperatorCall::ZoneReturn(zone) => self.zoning()?.say(zone, false, None, true).await?,
+            OperatorCall::Zones => return Ok(Zoning::figures(&self.driver, &self.rules)?.to_string()),
+            OperatorCall::FleetCordon(id) | OperatorCall::FleetUncordon(id) => {
+                let said = self.fleet_word(id, matches!(call, OperatorCall::FleetCordon(_)))?;
                 self.remember(id, cordon);
                 said
             }
-            Call::Quiesce => self.server.quiesce()?,
-            Call::Resume => self.server.resume()?,
-            Call::Stats => return Ok(self.stats()),
+            OperatorCall::Quiesce => self.server.quiesce()?,
+            OperatorCall::Resume => self.server.resume()?,
+            OperatorCall::Stats => return Ok(self.stats()),
         };
         say!(INFO, "operator", call = call.to_string().as_str(), said = said.as_str(), "operator.called");
         Ok(said)
@@ -403,8 +405,8 @@
         // One that stood still and wakes has the lower number.
         lease.number = 5;
         assert!(lease.counts(4).is_err() && lease.counts(5).is_ok() && lease.counts(6).is_ok());
-        assert!(lease.check(NOBODY, 4).is_err() && lease.check(NOBODY, 5).is_ok());
-        lease.holder = NOBODY.to_owned();
+        assert!(lease.check(NO_HOLDER, 4).is_err() && lease.check(NO_HOLDER, 5).is_ok());
+        lease.holder = NO_HOLDER.to_owned();
         assert!(lease.check("other", 6).is_ok(), "it was given up");
         assert_eq!(Lease::stored(None).number, 0);
     }
--- a/src/calls.rs
+++ b/src/operator_call.rs
@@ -8,19 +8,19 @@
 use thiserror::Error;
 
 /// A longer line is no call.
-pub const LONGEST: usize = 512;
+pub const MAX_CALL_BYTES: usize = 512;
 /// A longer answer is none of a node's.
-const LONGEST_ANSWER: u64 = 8 * 1024 * 1024;
+const MAX_ANSWER_BYTES: u64 = 8 * 1024 * 1024;
 
 /// A longer reason is none.
-pub const LONGEST_WHY: usize = 200;
+pub const MAX_REASON_BYTES: usize = 200;
 
 /// Holder of a lease that is given up.
-pub const NOBODY: &str = "-";
+pub const NO_HOLDER: &str = "-";
 
 /// What an operator wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum OperatorCall {
     /// Whether it takes clients.
     Health,
     /// Take a backend out.
@@ -28,7 +28,7 @@
         /// The backend.
         id: String,
         /// Why, in the operator's words; may be empty.
-        why: String,
+        reason: String,
     },
     /// Put it back.
     Uncordon(String),
@@ -39,7 +39,7 @@
     /// The same of a controller that holds the lease of that number.
     Leased {
         /// Out; else back.
-        out: bool,
+        cordon: bool,
         /// The backend.
         id: String,
         /// The number.
@@ -47,7 +47,7 @@
     },
     /// A controller takes the lease, renews it, or gives it up.
     Lease {
-        /// Its name; [`NOBODY`] gives it up.
+        /// Its name; [`NO_HOLDER`] gives it up.
         holder: String,
         /// Its number: the greater one holds.
         number: u64,
@@ -82,19 +82,19 @@
 
 /// Why a line is no call.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum CallError {
+pub enum OperatorCallError {
     /// It does not end in time.
-    #[error("a call is a line of at most {LONGEST} bytes")]
-    Long,
+    #[error("a call is a line of at most {MAX_CALL_BYTES} bytes")]
+    TooLong,
     /// The connection ended before the line did.
     #[error("the line was not ended")]
-    Cut,
+    Unterminated,
     /// No whole line came in time.
     #[error("no whole call within {0} s")]
-    Late(u64),
+    TimedOut(u64),
     /// It cannot be read.
     #[error("the line is not UTF-8")]
-    Text,
+    NotUtf8,
     /// There is nothing in it.
     #[error("the line is empty")]
     Empty,
@@ -102,19 +102,19 @@
     #[error(
         "unknown call; there are health, cordon [--fleet] ID, uncordon [--fleet] ID, zone, zones, quiesce, resume, stats"
     )]
-    Unknown,
+    UnknownCall,
     /// What follows `zone` is none of its forms.
     #[error("zone takes leave NAME [--for TIME] [--force], hold NAME, or return NAME")]
-    Zone,
+    InvalidZoneCall,
     /// What follows `lease` is no name and number.
     #[error("{0} takes a number above 0")]
-    Number(&'static str),
+    InvalidNumber(&'static str),
     /// Not a time.
     #[error("{0:?} is no time such as 90s, 30m or 2h, of a day at most")]
-    Time(String),
+    InvalidTime(String),
     /// What follows `--why` is no reason.
-    #[error("--why takes a reason of 1 to {LONGEST_WHY} bytes, and comes last")]
-    Why,
+    #[error("--why takes a reason of 1 to {MAX_REASON_BYTES} bytes, and comes last")]
+    InvalidReason,
     /// It takes one word more.
     #[error("{0} takes one backend's ID")]
     NeedsId(&'static str),
@@ -123,39 +123,39 @@
     TakesNothing(&'static str),
 }
 
-impl Call {
+impl OperatorCall {
     /// Reads a line, without its end.
     ///
     /// # Errors
     /// It is no call.
-    pub fn parse(line: &[u8]) -> Result<Call, CallError> {
-        let line = std::str::from_utf8(line).map_err(|_| CallError::Text)?;
+    pub fn parse(line: &[u8]) -> Result<OperatorCall, OperatorCallError> {
+        let line = std::str::from_utf8(line).map_err(|_| OperatorCallError::NotUtf8)?;
         let mut words = line.split_ascii_whitespace();
-        let call = words.next().ok_or(CallError::Empty)?;
+        let call = words.next().ok_or(OperatorCallError::Empty)?;
         if call == "zone" {
-            return Call::zone(&words.collect::<Vec<_>>());
+            return OperatorCall::zone(&words.collect::<Vec<_>>());
         }
         let mut id = words.next();
         if call == "lease" {
             let number = words.next().and_then(|n| n.parse().ok()).filter(|n| *n > 0);
             let (Some(holder), Some(number), None) = (id, number, words.next()) else {
-                return Err(CallError::Number("lease NAME"));
+                return Err(OperatorCallError::InvalidNumber("lease NAME"));
             };
-            return Ok(Call::Lease { holder: holder.to_owned(), number });
+            return Ok(OperatorCall::Lease { holder: holder.to_owned(), number });
         }
         let rest: Vec<&str> = words.clone().collect();
         if let (Some(id), ["--lease", number], "cordon" | "uncordon") = (id, &rest[..], call) {
-            let lease = number.parse().map_err(|_| CallError::Number("--lease"))?;
-            return Ok(Call::Leased { out: call == "cordon", id: id.to_owned(), lease });
+            let lease = number.parse().map_err(|_| OperatorCallError::InvalidNumber("--lease"))?;
+            return Ok(OperatorCall::Leased { cordon: call == "cordon", id: id.to_owned(), lease });
         }
         if let (Some(id), ["--why", words @ ..], "cordon") =
             (id.filter(|id| *id != "--fleet"), &rest[..], call)
         {
-            let (id, why) = (id.to_owned(), words.join(" "));
-            return if (1..=LONGEST_WHY).contains(&why.len()) {
-                Ok(Call::Cordon { id, why })
+            let (id, reason) = (id.to_owned(), words.join(" "));
+            return if (1..=MAX_REASON_BYTES).contains(&reason.len()) {
+                Ok(OperatorCall::Cordon { id, reason })
             } else {
-                Err(CallError::Why)
+                Err(OperatorCallError::InvalidReason)
             };
         }
         let fleet = id == Some("--fleet") && matches!(call, "cordon" | "uncordon");
@@ -163,27 +163,33 @@
             id = words.next();
         }
         let more = words.next().is_some();
-        let with_id = |name| id.filter(|_| !more).map(str::to_owned).ok_or(CallError::NeedsId(name));
-        let alone = |name, call| if id.is_none() { Ok(call) } else { Err(CallError::TakesNothing(name)) };
+        let with_id =
+            |name| id.filter(|_| !more).map(str::to_owned).ok_or(OperatorCallError::NeedsId(name));
+        let alone =
+            |name, call| if id.is_none() { Ok(call) } else { Err(OperatorCallError::TakesNothing(name)) };
         match call {
-            "health" => alone("health", Call::Health),
-            "cordon" if fleet => with_id("cordon").map(Call::FleetCordon),
-            "cordon" => with_id("cordon").map(|id| Call::Cordon { id, why: String::new() }),
-            "uncordon" => with_id("uncordon").map(if fleet { Call::FleetUncordon } else { Call::Uncordon }),
-            "quiesce" => alone("quiesce", Call::Quiesce),
-            "resume" => alone("resume", Call::Resume),
-            "zones" => alone("zones", Call::Zones),
-            "upgrade" => with_id("upgrade").map(Call::Upgrade),
-            "versions" => alone("versions", Call::Versions),
-            "stats" => alone("stats", Call::Stats),
-            _ => Err(CallError::Unknown),
+            "health" => alone("health", OperatorCall::Health),
+            "cordon" if fleet => with_id("cordon").map(OperatorCall::FleetCordon),
+            "cordon" => with_id("cordon").map(|id| OperatorCall::Cordon { id, reason: String::new() }),
+            "uncordon" => with_id("uncordon").map(if fleet {
+                OperatorCall::FleetUncordon
+            } else {
+                OperatorCall::Uncordon
+            }),
+            "quiesce" => alone("quiesce", OperatorCall::Quiesce),
+            "resume" => alone("resume", OperatorCall::Resume),
+            "zones" => alone("zones", OperatorCall::Zones),
+            "upgrade" => with_id("upgrade").map(OperatorCall::Upgrade),
+            "versions" => alone("versions", OperatorCall::Versions),
+            "stats" => alone("stats", OperatorCall::Stats),
+            _ => Err(OperatorCallError::UnknownCall),
         }
     }
 
-    fn zone(words: &[&str]) -> Result<Call, CallError> {
+    fn zone(words: &[&str]) -> Result<OperatorCall, OperatorCallError> {
         match words {
-            ["hold", zone] => Ok(Call::ZoneHold((*zone).to_owned())),
-            ["return", zone] => Ok(Call::ZoneReturn((*zone).to_owned())),
+            ["hold", zone] => Ok(OperatorCall::ZoneHold((*zone).to_owned())),
+            ["return", zone] => Ok(OperatorCall::ZoneReturn((*zone).to_owned())),
             ["leave", zone, more @ ..] => {
                 let (mut for_s, mut force) = (None, false);
                 let mut more = more.iter();
@@ -191,14 +197,16 @@
                     match (*word, for_s, force) {
                         ("--force", _, false) => force = true,
                         ("--for", None, _) => {
-                            for_s = Some(Call::time(more.next().ok_or(CallError::Zone)?)?)
+                            for_s = Some(OperatorCall::parse_time_s(
+                                more.next().ok_or(OperatorCallError::InvalidZoneCall)?,
+                            )?)
                         }
-                        _ => return Err(CallError::Zone),
+                        _ => return Err(OperatorCallError::InvalidZoneCall),
                     }
                 }
-                Ok(Call::ZoneLeave { zone: (*zone).to_owned(), for_s, force })
+                Ok(OperatorCall::ZoneLeave { zone: (*zone).to_owned(), for_s, force })
             }
-            _ => Err(CallError::Zone),
+            _ => Err(OperatorCallError::InvalidZoneCall),
         }
     }
 
@@ -206,54 +214,54 @@
     ///
     /// # Errors
     /// It is none, or longer than a day.
-    pub fn time(text: &str) -> Result<u32, CallError> {
+    pub fn parse_time_s(text: &str) -> Result<u32, OperatorCallError> {
         let read = humantime::parse_duration(text).ok().map(|d| d.as_secs());
         let read = read.and_then(|s| u32::try_from(s).ok()).filter(|s| (1..=86_400).contains(s));
-        read.ok_or_else(|| CallError::Time(text.to_owned()))
+        read.ok_or_else(|| OperatorCallError::InvalidTime(text.to_owned()))
     }
 }
 
-impl fmt::Display for Call {
+impl fmt::Display for OperatorCall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Call::Health => f.write_str("health"),
-            Call::Cordon { id, why } if why.is_empty() => write!(f, "cordon {id}"),
-            Call::Cordon { id, why } => write!(f, "cordon {id} --why {why}"),
-            Call::Uncordon(id) => write!(f, "uncordon {id}"),
-            Call::FleetCordon(id) => write!(f, "cordon --fleet {id}"),
-            Call::FleetUncordon(id) => write!(f, "uncordon --fleet {id}"),
-            Call::Leased { out, id, lease } => {
-                write!(f, "{} {id} --lease {lease}", if *out { "cordon" } else { "uncordon" })
+            OperatorCall::Health => f.write_str("health"),
+            OperatorCall::Cordon { id, reason } if reason.is_empty() => write!(f, "cordon {id}"),
+            OperatorCall::Cordon { id, reason } => write!(f, "cordon {id} --why {reason}"),
+            OperatorCall::Uncordon(id) => write!(f, "uncordon {id}"),
+            OperatorCall::FleetCordon(id) => write!(f, "cordon --fleet {id}"),
+            OperatorCall::FleetUncordon(id) => write!(f, "uncordon --fleet {id}"),
+            OperatorCall::Leased { cordon, id, lease } => {
+                write!(f, "{} {id} --lease {lease}", if *cordon { "cordon" } else { "uncordon" })
             }
-            Call::Upgrade(version) => write!(f, "upgrade {version}"),
-            Call::Versions => f.write_str("versions"),
-            Call::Lease { holder, number } => write!(f, "lease {holder} {number}"),
-            Call::ZoneLeave { zone, for_s, force } => {
+            OperatorCall::Upgrade(version) => write!(f, "upgrade {version}"),
+            OperatorCall::Versions => f.write_str("versions"),
+            OperatorCall::Lease { holder, number } => write!(f, "lease {holder} {number}"),
+            OperatorCall::ZoneLeave { zone, for_s, force } => {
                 write!(f, "zone leave {zone}")?;
                 if let Some(for_s) = for_s {
                     write!(f, " --for {for_s}s")?;
                 }
                 f.write_str(if *force { " --force" } else { "" })
             }
-            Call::ZoneHold(zone) => write!(f, "zone hold {zone}"),
-            Call::ZoneReturn(zone) => write!(f, "zone return {zone}"),
-            Call::Zones => f.write_str("zones"),
-            Call::Quiesce => f.write_str("quiesce"),
-            Call::Resume => f.write_str("resume"),
-            Call::Stats => f.write_str("stats"),
+            OperatorCall::ZoneHold(zone) => write!(f, "zone hold {zone}"),
+            OperatorCall::ZoneReturn(zone) => write!(f, "zone return {zone}"),
+            OperatorCall::Zones => f.write_str("zones"),
+            OperatorCall::Quiesce => f.write_str("quiesce"),
+            OperatorCall::Resume => f.write_str("resume"),
+            OperatorCall::Stats => f.write_str("stats"),
         }
     }
 }
 
 /// Why no answer came.
 #[derive(Debug, Error)]
-pub enum AskError {
+pub enum CallFailure {
     /// Nobody there, or gone meanwhile.
     #[error("{0}")]
     System(#[from] std::io::Error),
     /// What came is no answer.
     #[error("the answer is neither OK nor ERR: {0:?}")]
-    Strange(String),
+    Unreadable(String),
 }
 
 /// Calls the node at `address` and hands back its answer: what follows `OK`, or what follows `ERR`. All of it
@@ -261,7 +269,11 @@
 ///
 /// # Errors
 /// There was no answer, or none that can be read.
-pub fn ask(address: SocketAddr, call: &Call, limit: Duration) -> Result<Result<String, String>, AskError> {
+pub fn call_node(
+    address: SocketAddr,
+    call: &OperatorCall,
+    limit: Duration,
+) -> Result<Result<String, String>, CallFailure> {
     let end = Instant::now() + limit;
     // A time of zero would wait for ever.
     let left = || end.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
@@ -280,8 +292,8 @@
             0 => break,
             n => answer.extend_from_slice(piece.get(..n).unwrap_or_default()),
         }
-        if answer.len() as u64 > LONGEST_ANSWER {
-            return Err(AskError::Strange("longer than any".to_owned()));
+        if answer.len() as u64 > MAX_ANSWER_BYTES {
+            return Err(CallFailure::Unreadable("longer than any".to_owned()));
         }
     }
     let text = String::from_utf8_lossy(&answer);
@@ -290,7 +302,7 @@
     match (rest("OK"), rest("ERR")) {
         (Some(said), _) => Ok(Ok(said.trim_start().to_owned())),
         (_, Some(why)) => Ok(Err(why.trim_start().to_owned())),
-        _ => Err(AskError::Strange(text.chars().take(80).collect())),
+        _ => Err(CallFailure::Unreadable(text.chars().take(80).collect())),
     }
 }
 
@@ -303,42 +315,42 @@
     fn calls_are_read_as_they_are_written() {
         let id = || "s-1".to_owned();
         let all = [
-            Call::Health,
-            Call::Cordon { id: id(), why: String::new() },
-            Call::Cordon { id: id(), why: "disk is being replaced".to_owned() },
-            Call::Uncordon(id()),
-            Call::FleetCordon(id()),
-            Call::FleetUncordon(id()),
-            Call::ZoneLeave { zone: id(), for_s: Some(1800), force: true },
-            Call::ZoneLeave { zone: id(), for_s: None, force: false },
-            Call::ZoneHold(id()),
-            Call::ZoneReturn(id()),
-            Call::Zones,
-            Call::Leased { out: true, id: id(), lease: 7 },
-            Call::Leased { out: false, id: id(), lease: 7 },
-            Call::Lease { holder: id(), number: 7 },
-            Call::Upgrade(id()),
-            Call::Versions,
-            Call::Quiesce,
-            Call::Resume,
-            Call::Stats,
+            OperatorCall::Health,
+            OperatorCall::Cordon { id: id(), reason: String::new() },
+            OperatorCall::Cordon { id: id(), reason: "disk is being replaced".to_owned() },
+            OperatorCall::Uncordon(id()),
+            OperatorCall::FleetCordon(id()),
+            OperatorCall::FleetUncordon(id()),
+            OperatorCall::ZoneLeave { zone: id(), for_s: Some(1800), force: true },
+            OperatorCall::ZoneLeave { zone: id(), for_s: None, force: false },
+            OperatorCall::ZoneHold(id()),
+            OperatorCall::ZoneReturn(id()),
+            OperatorCall::Zones,
+            OperatorCall::Leased { cordon: true, id: id(), lease: 7 },
+            OperatorCall::Leased { cordon: false, id: id(), lease: 7 },
+            OperatorCall::Lease { holder: id(), number: 7 },
+            OperatorCall::Upgrade(id()),
+            OperatorCall::Versions,
+            OperatorCall::Quiesce,
+            OperatorCall::Resume,
+            OperatorCall::Stats,
         ];
         for call in all {
-            assert_eq!(Call::parse(call.to_string().as_bytes()), Ok(call));
+            assert_eq!(OperatorCall::parse(call.to_string().as_bytes()), Ok(call));
         }
-        assert_eq!(Call::parse(b"  uncordon \t s-1 "), Ok(Call::Uncordon(id())));
+        assert_eq!(OperatorCall::parse(b"  uncordon \t s-1 "), Ok(OperatorCall::Uncordon(id())));
     }
 
     #[test]
     fn what_is_no_call_is_told_why() {
-        let why = |line: &[u8]| Call::parse(line).unwrap_err();
-        assert_eq!(why(b""), CallError::Empty);
-        assert_eq!(why(b" \t"), CallError::Empty);
-        assert_eq!(why(b"HEALTH"), CallError::Unknown);
-        assert_eq!(why(b"health now"), CallError::TakesNothing("health"));
-        assert_eq!(why(b"cordon"), CallError::NeedsId("cordon"));
-        assert_eq!(why(b"cordon --fleet"), CallError::NeedsId("cordon"));
-        assert_eq!(why(b"uncordon --fleet a b"), CallError::NeedsId("uncordon"));
+        let why = |line: &[u8]| OperatorCall::parse(line).unwrap_err();
+        assert_eq!(why(b""), OperatorCallError::Empty);
+        assert_eq!(why(b" \t"), OperatorCallError::Empty);
+        assert_eq!(why(b"HEALTH"), OperatorCallError::UnknownCall);
+        assert_eq!(why(b"health now"), OperatorCallError::TakesNothing("health"));
+        assert_eq!(why(b"cordon"), OperatorCallError::NeedsId("cordon"));
+        assert_eq!(why(b"cordon --fleet"), OperatorCallError::NeedsId("cordon"));
+        assert_eq!(why(b"uncordon --fleet a b"), OperatorCallError::NeedsId("uncordon"));
         for line in [
             &b"zone"[..],
             b"zone a",
@@ -347,18 +359,21 @@
             b"zone hold a b",
             b"zone leave a b",
         ] {
-            assert_eq!(why(line), CallError::Zone, "{line:?}");
+            assert_eq!(why(line), OperatorCallError::InvalidZoneCall, "{line:?}");
         }
-        assert_eq!(why(b"lease a"), CallError::Number("lease NAME"));
-        assert_eq!(why(b"lease a 0"), CallError::Number("lease NAME"));
-        assert_eq!(why(b"cordon a --lease x"), CallError::Number("--lease"));
-        assert_eq!(why(b"zone leave a --for 9"), CallError::Time("9".to_owned()));
-        assert_eq!(why(b"zone leave a --for 25h"), CallError::Time("25h".to_owned()));
-        assert_eq!(Call::parse(b"zone leave a --for 30m"), Call::parse(b"zone leave a --for 1800s"));
-        assert_eq!(why(b"health --fleet"), CallError::TakesNothing("health"));
-        assert_eq!(why(b"uncordon a b"), CallError::NeedsId("uncordon"));
-        assert_eq!(why(b"quiesce 5"), CallError::TakesNothing("quiesce"));
-        assert_eq!(why(b"cordon \xff"), CallError::Text);
+        assert_eq!(why(b"lease a"), OperatorCallError::InvalidNumber("lease NAME"));
+        assert_eq!(why(b"lease a 0"), OperatorCallError::InvalidNumber("lease NAME"));
+        assert_eq!(why(b"cordon a --lease x"), OperatorCallError::InvalidNumber("--lease"));
+        assert_eq!(why(b"zone leave a --for 9"), OperatorCallError::InvalidTime("9".to_owned()));
+        assert_eq!(why(b"zone leave a --for 25h"), OperatorCallError::InvalidTime("25h".to_owned()));
+        assert_eq!(
+            OperatorCall::parse(b"zone leave a --for 30m"),
+            OperatorCall::parse(b"zone leave a --for 1800s")
+        );
+        assert_eq!(why(b"health --fleet"), OperatorCallError::TakesNothing("health"));
+        assert_eq!(why(b"uncordon a b"), OperatorCallError::NeedsId("uncordon"));
+        assert_eq!(why(b"quiesce 5"), OperatorCallError::TakesNothing("quiesce"));
+        assert_eq!(why(b"cordon \xff"), OperatorCallError::NotUtf8);
     }
 
     #[test]
@@ -373,15 +388,15 @@
                 stream.write_all(bytes).unwrap();
                 said
             });
-            let answer = ask(address, &Call::Health, Duration::from_secs(5));
+            let answer = call_node(address, &OperatorCall::Health, Duration::from_secs(5));
             assert_eq!(peer.join().unwrap(), "health\n");
             answer
         };
         assert_eq!(answered(b"OK serving\n").unwrap(), Ok("serving".to_owned()));
         assert_eq!(answered(b"OK\n").unwrap(), Ok(String::new()));
         assert_eq!(answered(b"ERR no list\n").unwrap(), Err("no list".to_owned()));
-        assert!(matches!(answered(b"OKAY\n"), Err(AskError::Strange(_))));
-        assert!(matches!(answered(b"HTTP/1.1 400 Bad Request\r\n\r\n"), Err(AskError::Strange(_))));
-        assert!(matches!(answered(b""), Err(AskError::Strange(_))));
+        assert!(matches!(answered(b"OKAY\n"), Err(CallFailure::Unreadable(_))));
+        assert!(matches!(answered(b"HTTP/1.1 400 Bad Request\r\n\r\n"), Err(CallFailure::Unreadable(_))));
+        assert!(matches!(answered(b""), Err(CallFailure::Unreadable(_))));
     }
 }
