--- a/src/balancer_state.rs
+++ b/src/balancer_state.rs
@@ -2,7 +2,7 @@
 //! state, and decides nothing.
 
 use crate::counters::LoadSnapshot;
-use crate::interface::{Action, BackendFigures, Figures, Known, Memory, Note, Settings};
+use crate::interface::{Action, BackendFigures, Figures, Known, LogNote, Memory, Settings};
 use crate::policy::{Balancer, Cap};
 use crate::request_table::Backend;
 use crate::statistics::ClassStatistics;
@@ -29,7 +29,7 @@
     /// Says now and then how many requests were refused, by what, and how the fleet looked from here.
     pub(crate) fn tell(&mut self, now: f64, out: &mut Vec<Action>) {
         let Some(counters) = self.counters.take(now) else { return };
-        out.push(Action::Log(Note::Stopped(Box::new((counters, self.load_snapshot(now))))));
+        out.push(Action::Log(LogNote::Stopped(Box::new((counters, self.load_snapshot(now))))));
     }
 
     /// What the next process of this node can go on from.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -472,7 +472,7 @@
 
 /// What the decisions have to tell whoever is on call. Written out it is one line.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum LogNote {
     /// A backend is congested from here on.
     Congested {
         /// Which.
@@ -495,17 +495,17 @@
     Stopped(Box<(AdmissionCounters, LoadSnapshot)>),
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for LogNote {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Note::Congested { backend, failures, tries, pause_ms } => {
+            LogNote::Congested { backend, failures, tries, pause_ms } => {
                 let id = backend.0;
                 write!(f, "congested {id:016x}: {failures} failures of {tries}, trial in {pause_ms:.0} ms")
             }
-            Note::Live { backend, failed_trials } => {
+            LogNote::Live { backend, failed_trials } => {
                 write!(f, "live {:016x}: trial answered after {failed_trials} failed", backend.0)
             }
-            Note::Stopped(told) => write!(f, "{}; {}", told.0, told.1),
+            LogNote::Stopped(told) => write!(f, "{}; {}", told.0, told.1),
         }
     }
 }
@@ -702,5 +702,5 @@
     /// Subscribe to the list, or end that.
     Watch(bool),
     /// A word for whoever is on call.
-    Log(Note),
+    Log(LogNote),
 }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -16,8 +16,8 @@
 use daleturn::control::subset::{Catalog, News, Subset, Target};
 use daleturn::control::zones::{Change, Order, Zones};
 use daleturn::interface::{
-    Action, BackendFigures, BackendId, Ended, Entry, Event, FleetNews, Found, Health, ListKind, Memory,
-    Note, Outcome, Reporting, Request, RequestId, Settings,
+    Action, BackendFigures, BackendId, Ended, Entry, Event, FleetNews, Found, Health, ListKind, LogNote,
+    Memory, Outcome, Reporting, Request, RequestId, Settings,
 };
 use daleturn::options::Options;
 use daleturn::wire::stable_hash;
@@ -240,20 +240,20 @@
 }
 
 /// Says what the decisions have to tell, in an event's form.
-fn tell(core: &Core, note: &Note) {
+fn tell(core: &Core, note: &LogNote) {
     let name = |id: &BackendId| {
         let listed = core.listed.get(id).map(|l| l.uid.to_string());
         listed.unwrap_or_else(|| format!("{:016x}", id.0))
     };
     match note {
-        Note::Congested { backend, failures, tries, pause_ms } => {
+        LogNote::Congested { backend, failures, tries, pause_ms } => {
             let (backend, pause_ms) = (name(backend), pause_ms.round());
             say!(WARN, "backend", backend, failures, tries, pause_ms, "backend.congested");
         }
-        Note::Live { backend, failed_trials } => {
+        LogNote::Live { backend, failed_trials } => {
             say!(INFO, "backend", backend = name(backend), failed_trials, "backend.live");
         }
-        Note::Stopped(told) => {
+        LogNote::Stopped(told) => {
             let (counts, look) = (told.0.to_string(), told.1.to_string());
             say!(INFO, "admission", counts = counts.as_str(), look = look.as_str(), "admission.stopped");
         }
--- a/src/policy/record.rs
+++ b/src/policy/record.rs
@@ -2,7 +2,7 @@
 //! the trials that end it. It knows outcomes, not requests.
 
 use super::Balancer;
-use crate::interface::{Action, Note};
+use crate::interface::{Action, LogNote};
 use crate::news::News;
 use crate::statistics::FailureWindow;
 
@@ -77,7 +77,7 @@
             let b = &mut self.backends[i];
             b.record.congested = true;
             b.record.prat = now + t;
-            out.push(Action::Log(Note::Congested { backend: b.id, failures, tries, pause_ms: t }));
+            out.push(Action::Log(LogNote::Congested { backend: b.id, failures, tries, pause_ms: t }));
             if own > 0.0 {
                 self.found(i, true, out);
             }
@@ -105,7 +105,7 @@
             b.cold_tokens = self.rng.f64();
         }
         b.record.revive();
-        out.push(Action::Log(Note::Live { backend: b.id, failed_trials }));
+        out.push(Action::Log(LogNote::Live { backend: b.id, failed_trials }));
         self.found(i, false, out);
     }
 }
