--- a/src/balancer_state.rs
+++ b/src/balancer_state.rs
@@ -2,7 +2,7 @@
 //! state, and decides nothing.
 
 use crate::counters::LoadSnapshot;
-use crate::interface::{Action, BackendFigures, Figures, Known, LogNote, Memory, Settings};
+use crate::interface::{Action, BackendFigures, BackendMemory, Figures, LogNote, Memory, Settings};
 use crate::policy::{Balancer, Cap};
 use crate::request_table::Backend;
 use crate::statistics::ClassStatistics;
@@ -36,7 +36,7 @@
     pub fn memory(&self) -> Memory {
         let known = |b: &Backend| {
             let prat = b.record.congested.then_some(b.record.prat);
-            Known { backend: b.id, limit: b.cap.limit, cut_at: b.cap.cut_at, prat }
+            BackendMemory { backend: b.id, limit: b.cap.limit, cut_at: b.cap.cut_at, prat }
         };
         let times =
             |l: &ClassStatistics| if l.seen < 20 { [0.0; 4] } else { [l.mean, l.spread, l.high, l.usual] };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -451,7 +451,7 @@
     /// Requests a second that a warm backend serves for this node.
     pub warm_rate: f64,
     /// What is known of backends.
-    pub backends: Vec<Known>,
+    pub backends: Vec<BackendMemory>,
     /// Usual times by class: the mean, its deviation, what four of five stay below, and that in easy times; all
     /// 0 where little is known.
     pub classes: Vec<[f64; 4]>,
@@ -459,7 +459,7 @@
 
 /// What is known of one backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Known {
+pub struct BackendMemory {
     /// Which.
     pub backend: BackendId,
     /// Requests that it may have in flight.
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -3,7 +3,7 @@
 //! Each file is written whole and renamed into place. One that is absent, torn or strange counts as none.
 
 use crate::log::say;
-use daleturn::interface::{BackendId, Known, Memory};
+use daleturn::interface::{BackendId, BackendMemory, Memory};
 use daleturn::wire::{Names, stable_hash};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -222,7 +222,12 @@
         let [id, limit, cut_at, prat] = entry.as_array()?.as_slice() else { return None };
         let limit = figure(limit).filter(|l| *l > 0.0)?;
         let prat = if prat.is_null() { None } else { Some(figure(prat)?) };
-        backends.push(Known { backend: BackendId(id.as_u64()?), limit, cut_at: figure(cut_at)?, prat });
+        backends.push(BackendMemory {
+            backend: BackendId(id.as_u64()?),
+            limit,
+            cut_at: figure(cut_at)?,
+            prat,
+        });
     }
     let mut classes = Vec::new();
     for (name, entry) in json.get("classes")?.as_object()? {
@@ -356,7 +361,7 @@
     fn what_was_learned_is_read_as_it_was_left_and_once() {
         let tmp = scratch("memory");
         let state = State::open_in(&tmp, ([127, 0, 0, 1], 80).into(), 1);
-        let known = |n: u64, prat| Known { backend: BackendId(n), limit: 0.5, cut_at: 17.25, prat };
+        let known = |n: u64, prat| BackendMemory { backend: BackendId(n), limit: 0.5, cut_at: 17.25, prat };
         let memory = Memory {
             warm_rate: 12.5,
             backends: vec![known(u64::MAX, None), known(3, Some(1e12))],
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -947,7 +947,7 @@
     assert!(with > 5 + 2 * without, "{with} served, and {without} without");
     // Backends that are not listed any more, and classes that are not there, do no harm.
     let mut strange = out.clone();
-    strange.backends.push(Known { backend: BackendId(7), limit: 1.0, cut_at: 0.0, prat: None });
+    strange.backends.push(BackendMemory { backend: BackendId(7), limit: 1.0, cut_at: 0.0, prat: None });
     strange.classes.extend([[1.0; 4]; 5]);
     assert_eq!(next(Some(strange)), with);
 }
