--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -12,8 +12,8 @@
 use daleturn::control::members::Node;
 use daleturn::control::zones::{Order, Zones};
 use daleturn::interface::{
-    Action, BackendId, Ended, Entry, Event, FleetNews, Found, Health, ListKind, Load, Memory, Outcome,
-    Request, RequestId, Settings,
+    Action, BackendId, Ended, Entry, Event, Health, ListKind, Load, Memory, Observation, Outcome, Request,
+    RequestId, Settings, SharedUpdate,
 };
 use daleturn::options::Options;
 use daleturn::wire::stable_hash;
@@ -936,14 +936,22 @@
                     if start_of(self.machines[n].listed.1) == start {
                         let backend = BackendId(stable_hash(&self.plan.machines[n].name));
                         let until_ms = now + verdicts - age as f64;
-                        self.feed(node, Event::Fleet(FleetNews::Verdict { backend, who, bad, until_ms }));
+                        self.feed(
+                            node,
+                            Event::Fleet(SharedUpdate::Verdict {
+                                backend,
+                                node: who,
+                                failing: bad,
+                                until_ms,
+                            }),
+                        );
                     }
                 }
                 fleet::Action::Place { key, server, age } => {
                     let Some(n) = self.shorts.get(&server).copied() else { continue };
                     let backend = BackendId(stable_hash(&self.plan.machines[n].name));
                     let until_ms = now + affinity - age as f64;
-                    self.feed(node, Event::Fleet(FleetNews::Placed { key, backend, until_ms }));
+                    self.feed(node, Event::Fleet(SharedUpdate::KeyLocation { key, backend, until_ms }));
                 }
                 fleet::Action::Word { about, out, .. } => self.word(node, &about, out),
             }
@@ -979,13 +987,13 @@
         self.feed(node, Event::List { kind: ListKind::Changes, entries });
     }
 
-    fn found(&mut self, node: usize, found: Found) {
+    fn found(&mut self, node: usize, found: Observation) {
         match found {
-            Found::Backend { backend, bad } => {
+            Observation::Backend { backend, failing: bad } => {
                 let start = self.ids.get(&backend).map_or(0, |n| start_of(self.machines[*n].listed.1));
                 self.share(node, fleet::Event::Found { server: backend.short(), start, bad });
             }
-            Found::Key { key, backend } => {
+            Observation::Key { key, backend } => {
                 self.share(node, fleet::Event::Placed { key, server: backend.short() })
             }
         }
@@ -1006,7 +1014,7 @@
             };
             let parts: Vec<Option<f64>> = (0..asked.len()).map(within).collect();
             self.share(node, fleet::Event::Asked(&rates));
-            self.feed(node, Event::Fleet(FleetNews::Within(parts)));
+            self.feed(node, Event::Fleet(SharedUpdate::TenantShares(parts)));
         }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -546,23 +546,23 @@
 
 /// What the nodes of a fleet share with this one.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FleetNews {
+pub enum SharedUpdate {
     /// What part of each tenant's requests is within its share over the whole fleet, by index; none where that is
     /// not known, or not well enough.
-    Within(Vec<Option<f64>>),
+    TenantShares(Vec<Option<f64>>),
     /// Another node found that a backend fails, or serves again.
     Verdict {
         /// Which.
         backend: BackendId,
         /// Number of the node that found it.
-        who: u16,
+        node: u16,
         /// It fails.
-        bad: bool,
+        failing: bool,
         /// Until when it may be believed.
         until_ms: f64,
     },
     /// A key is known to a backend that is none of its candidates.
-    Placed {
+    KeyLocation {
         /// The key's short hash.
         key: u32,
         /// Where.
@@ -574,13 +574,13 @@
 
 /// What a node has found that the others should know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum Observation {
     /// A backend fails, or serves again.
     Backend {
         /// Which.
         backend: BackendId,
         /// It fails.
-        bad: bool,
+        failing: bool,
     },
     /// A key went to a backend that is none of its candidates.
     Key {
@@ -639,7 +639,7 @@
         load: Load,
     },
     /// News that the fleet shares; the first of it tells that findings are wanted.
-    Fleet(FleetNews),
+    Fleet(SharedUpdate),
     /// What part of its usual weight each zone has, by number: 1 where none is told, a trickle where it is left.
     Zones(Vec<f64>),
     /// A message from another node.
@@ -698,7 +698,7 @@
         bytes: Vec<u8>,
     },
     /// Share a finding; only where the fleet's news came before.
-    Share(Found),
+    Share(Observation),
     /// Subscribe to the list, or end that.
     Watch(bool),
     /// A word for whoever is on call.
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -16,8 +16,8 @@
 use daleturn::control::subset::{Catalog, News, Subset, Target};
 use daleturn::control::zones::{Change, Order, Zones};
 use daleturn::interface::{
-    Action, BackendFigures, BackendId, Ended, Entry, Event, FleetNews, Found, Health, ListKind, LogNote,
-    Memory, Outcome, Reporting, Request, RequestId, Settings,
+    Action, BackendFigures, BackendId, Ended, Entry, Event, Health, ListKind, LogNote, Memory, Observation,
+    Outcome, Reporting, Request, RequestId, Settings, SharedUpdate,
 };
 use daleturn::options::Options;
 use daleturn::wire::stable_hash;
@@ -173,7 +173,7 @@
     /// A timer is due.
     Timer(u64),
     /// News that the fleet shares.
-    Fleet(FleetNews),
+    Fleet(SharedUpdate),
     /// New weights of zones.
     Zones(Vec<f64>),
     /// Another node's message.
@@ -327,7 +327,7 @@
 const HEADROOM: f64 = 1.5;
 
 /// Takes a finding with its backend's start.
-type Sharer = Box<dyn Fn(Found, u32)>;
+type Sharer = Box<dyn Fn(Observation, u32)>;
 
 /// Events in, actions out.
 pub struct Driver {
@@ -587,7 +587,7 @@
 
     /// Findings that the fleet shares go there, each with its backend's start. It is called while an event is
     /// handled, and must not come back here.
-    pub fn share(&self, share: impl Fn(Found, u32) + 'static) {
+    pub fn share(&self, share: impl Fn(Observation, u32) + 'static) {
         self.share.replace(Some(Box::new(share)));
     }
 
@@ -840,7 +840,7 @@
             }
             // Discovery may have ended with the node.
             Action::Share(found) => {
-                let (Found::Backend { backend, .. } | Found::Key { backend, .. }) = found;
+                let (Observation::Backend { backend, .. } | Observation::Key { backend, .. }) = found;
                 let start = core.listed.get(&backend).map_or(0, |t| start_of(&t.entry));
                 if let Some(share) = &*self.share.borrow() {
                     share(found, start);
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -9,7 +9,7 @@
 use daleturn::control::fleet::{Action, Bounds, Event, Fleet};
 use daleturn::control::members::{Ms, Node, Status};
 use daleturn::control::packet::LONGEST_NAME;
-use daleturn::interface::{FleetNews, Found};
+use daleturn::interface::{Observation, SharedUpdate};
 use daleturn::options::Share;
 use daleturn::wire::stable_hash;
 use hdrhistogram::Histogram;
@@ -184,12 +184,12 @@
         }
     }
 
-    fn found(&self, found: Found, start: u32) {
+    fn found(&self, found: Observation, start: u32) {
         match found {
-            Found::Backend { backend, bad } => {
+            Observation::Backend { backend, failing: bad } => {
                 self.act(Event::Found { server: backend.short(), start, bad })
             }
-            Found::Key { key, backend } => self.act(Event::Placed { key, server: backend.short() }),
+            Observation::Key { key, backend } => self.act(Event::Placed { key, server: backend.short() }),
         }
     }
 
@@ -205,7 +205,7 @@
                     self.uses.borrow_mut().verdicts.note(age);
                     let until_ms = clock + f64::from(self.verdicts_ms.get()) - age as f64;
                     if let Some(backend) = self.driver.listed_as(server, Some(start)) {
-                        let news = FleetNews::Verdict { backend, who, bad, until_ms };
+                        let news = SharedUpdate::Verdict { backend, node: who, failing: bad, until_ms };
                         self.driver.take(Input::Fleet(news));
                     }
                 }
@@ -213,7 +213,11 @@
                     self.uses.borrow_mut().affinity.note(age);
                     let until_ms = clock + f64::from(self.affinity_ms.get()) - age as f64;
                     if let Some(backend) = self.driver.listed_as(server, None) {
-                        self.driver.take(Input::Fleet(FleetNews::Placed { key, backend, until_ms }));
+                        self.driver.take(Input::Fleet(SharedUpdate::KeyLocation {
+                            key,
+                            backend,
+                            until_ms,
+                        }));
                     }
                 }
                 Action::Word { about, out, for_s, age } => self.word(&about, out, for_s, age),
@@ -275,7 +279,7 @@
                 None => uses.alone += 1,
             }
         }
-        self.driver.take(Input::Fleet(FleetNews::Within(parts)));
+        self.driver.take(Input::Fleet(SharedUpdate::TenantShares(parts)));
     }
 
     /// An operator's word for the whole fleet, which holds at this node already.
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -1,7 +1,7 @@
 //! Picking: two candidates by the request's key, the freer of them, and the spill where both are blocked.
 
 use super::{Balancer, cold, gates};
-use crate::interface::{Found, RequestId};
+use crate::interface::{Observation, RequestId};
 use crate::request_table::{Backend, OpenRequest};
 use crate::statistics::mix_bits;
 
@@ -102,7 +102,9 @@
         self.admission.spill = (self.admission.spill - 1.0).max(0.0);
         let spill = spill.map(|s| s.2);
         if let (true, Some(i), Some(key)) = (self.shared.on, spill, given) {
-            self.shared.spilled.push(Found::Key { key: (key >> 32) as u32, backend: self.backends[i].id });
+            self.shared
+                .spilled
+                .push(Observation::Key { key: (key >> 32) as u32, backend: self.backends[i].id });
         }
         spill
     }
--- a/src/policy/shared.rs
+++ b/src/policy/shared.rs
@@ -2,7 +2,7 @@
 //! should know. All of it is past its time some seconds later; then the node decides as it does alone.
 
 use super::Balancer;
-use crate::interface::{Action, BackendId, FleetNews, Found};
+use crate::interface::{Action, BackendId, Observation, SharedUpdate};
 use std::collections::HashMap;
 
 /// Nodes whose word against a backend is kept: more tell nothing new.
@@ -21,19 +21,19 @@
     pub(super) within: Vec<Option<f64>>,
     placed: HashMap<u32, (BackendId, f64)>,
     /// Keys that went elsewhere than to their candidates, to be told.
-    pub(super) spilled: Vec<Found>,
+    pub(super) spilled: Vec<Observation>,
 }
 
 impl Balancer {
-    pub(super) fn on_fleet(&mut self, now: f64, news: FleetNews, out: &mut Vec<Action>) {
+    pub(super) fn on_fleet(&mut self, now: f64, news: SharedUpdate, out: &mut Vec<Action>) {
         self.shared.on = true;
         match news {
-            FleetNews::Within(parts) => self.shared.within = parts,
-            FleetNews::Placed { key, backend, until_ms } => {
+            SharedUpdate::TenantShares(parts) => self.shared.within = parts,
+            SharedUpdate::KeyLocation { key, backend, until_ms } => {
                 self.shared.placed.retain(|_, place| place.1 > now);
                 self.shared.placed.insert(key, (backend, until_ms));
             }
-            FleetNews::Verdict { backend, who, bad, until_ms } => {
+            SharedUpdate::Verdict { backend, node: who, failing: bad, until_ms } => {
                 let Some(i) = self.find(backend) else { return };
                 let spread = RETRY_SPREAD * self.rng.f64();
                 let record = &mut self.backends[i].record;
@@ -64,7 +64,7 @@
         let b = &mut self.backends[i];
         if self.shared.on && b.record.told != bad {
             b.record.told = bad;
-            out.push(Action::Share(Found::Backend { backend: b.id, bad }));
+            out.push(Action::Share(Observation::Backend { backend: b.id, failing: bad }));
         }
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -128,7 +128,7 @@
     pub timers: Vec<(f64, u64)>,
     pub probes: Vec<BackendId>,
     pub logs: Vec<String>,
-    pub found: Vec<Found>,
+    pub found: Vec<Observation>,
     pub watches: Vec<f64>,
     /// Last release of the idle connections to a backend.
     pub released: BTreeMap<BackendId, f64>,
