--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -127,7 +127,7 @@
         self.out.clear();
         while self.open.len() > 8 {
             let Some((id, backend)) = self.open.pop_front() else { return };
-            let ended = Ended {
+            let ended = AttemptEnded {
                 id,
                 attempt: 0,
                 backend,
@@ -136,7 +136,7 @@
                 elapsed_ms: 30.0,
                 load: Load::default(),
             };
-            self.tell(Event::Ended(ended));
+            self.tell(Event::AttemptEnded(ended));
             self.out.clear();
         }
     }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -12,8 +12,8 @@
 use daleturn::control::members::Node;
 use daleturn::control::zones::{Order, Zones};
 use daleturn::interface::{
-    Action, BackendId, Ended, Entry, Event, Health, ListKind, Load, Memory, Observation, Outcome, Request,
-    RequestId, Settings, SharedUpdate,
+    Action, AttemptEnded, BackendId, Entry, Event, Health, ListKind, Load, Memory, Observation, Outcome,
+    Request, RequestId, Settings, SharedUpdate,
 };
 use daleturn::options::Options;
 use daleturn::wire::stable_hash;
@@ -765,8 +765,8 @@
             self.settle(node, id, Answer::Served { genuine: true }, None);
         }
         let backend = BackendId(stable_hash(&self.plan.machines[server].name));
-        let ended = Ended { id, attempt, backend, outcome, last, elapsed_ms, load: Load::default() };
-        self.feed(node, Event::Ended(ended));
+        let ended = AttemptEnded { id, attempt, backend, outcome, last, elapsed_ms, load: Load::default() };
+        self.feed(node, Event::AttemptEnded(ended));
         self.forget(node, id);
     }
 
@@ -877,7 +877,7 @@
         let open = self.nodes[node].as_ref().and_then(|h| h.open.get(&id));
         if open.is_some_and(|o| !o.answered) {
             self.settle(node, id, Answer::Failed, None);
-            self.feed(node, Event::Left(id));
+            self.feed(node, Event::ClientLeft(id));
         }
     }
 
@@ -938,7 +938,7 @@
                         let until_ms = now + verdicts - age as f64;
                         self.feed(
                             node,
-                            Event::Fleet(SharedUpdate::Verdict {
+                            Event::Shared(SharedUpdate::Verdict {
                                 backend,
                                 node: who,
                                 failing: bad,
@@ -951,7 +951,7 @@
                     let Some(n) = self.shorts.get(&server).copied() else { continue };
                     let backend = BackendId(stable_hash(&self.plan.machines[n].name));
                     let until_ms = now + affinity - age as f64;
-                    self.feed(node, Event::Fleet(SharedUpdate::KeyLocation { key, backend, until_ms }));
+                    self.feed(node, Event::Shared(SharedUpdate::KeyLocation { key, backend, until_ms }));
                 }
                 fleet::Action::Word { about, out, .. } => self.word(node, &about, out),
             }
@@ -1014,7 +1014,7 @@
             };
             let parts: Vec<Option<f64>> = (0..asked.len()).map(within).collect();
             self.share(node, fleet::Event::Asked(&rates));
-            self.feed(node, Event::Fleet(SharedUpdate::TenantShares(parts)));
+            self.feed(node, Event::Shared(SharedUpdate::TenantShares(parts)));
         }
     }
 
@@ -1057,7 +1057,7 @@
         for (server, bad) in told {
             self.share(node, fleet::Event::Found { server, start: 0, bad });
         }
-        self.feed(node, Event::Zones(weights));
+        self.feed(node, Event::ZoneWeights(weights));
     }
 
     /// A node waits for news of the list.
@@ -1331,7 +1331,7 @@
                     self.share(to, fleet::Event::Heard(from as Node, &bytes))
                 }
                 What::Message { from, to, bytes } => {
-                    self.feed(to, Event::Message { from: from as u32, bytes });
+                    self.feed(to, Event::PeerMessage { from: from as u32, bytes });
                 }
                 What::Deliver { node, epoch, id, attempt, server, begun } => {
                     self.deliver(node, epoch, id, attempt, server, begun);
@@ -1360,7 +1360,10 @@
                         zones.seen(zone, backend.short(), outcome, false);
                     }
                     let elapsed_ms = self.now - begun;
-                    self.feed(node, Event::Probed { backend, outcome, elapsed_ms, load: Load::default() });
+                    self.feed(
+                        node,
+                        Event::ProbeEnded { backend, outcome, elapsed_ms, load: Load::default() },
+                    );
                 }
                 // Whoever was back before it was missed is not missed any more.
                 What::Note { server, state: Health::Gone, .. } if self.machines[server].up => {}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -428,7 +428,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// The request.
     pub id: RequestId,
     /// Which attempt.
@@ -609,7 +609,7 @@
     /// A request to answer.
     Request(Request),
     /// A streamed answer has begun.
-    Started {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// Which attempt.
@@ -620,15 +620,15 @@
         elapsed_ms: f64,
     },
     /// An attempt is over.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// What another process of the same node has learned, for a balancer that has only its first list.
     Memory(Box<Memory>),
     /// The client is gone; nothing is owed.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// A timer set by [`Action::Timer`].
     Timer(u64),
     /// A probe is over.
-    Probed {
+    ProbeEnded {
         /// At which backend.
         backend: BackendId,
         /// How.
@@ -639,11 +639,11 @@
         load: Load,
     },
     /// News that the fleet shares; the first of it tells that findings are wanted.
-    Fleet(SharedUpdate),
+    Shared(SharedUpdate),
     /// What part of its usual weight each zone has, by number: 1 where none is told, a trickle where it is left.
-    Zones(Vec<f64>),
+    ZoneWeights(Vec<f64>),
     /// A message from another node.
-    Message {
+    PeerMessage {
         /// Its number.
         from: u32,
         /// What it said.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use daleturn::Balancer;
 //! use daleturn::interface::{
-//!     Action, BackendId, Ended, Entry, Event, Health, ListKind, Outcome, Request, RequestId,
+//!     Action, BackendId, AttemptEnded, Entry, Event, Health, ListKind, Outcome, Request, RequestId,
 //! };
 //!
 //! // Settings can be built by hand; the codec reads them from JSON and fills in defaults.
@@ -34,7 +34,7 @@
 //!
 //! // The answer reaches the client by itself: nothing is left to do.
 //! actions.clear();
-//! balancer.handle(60.0, Event::Ended(Ended {
+//! balancer.handle(60.0, Event::AttemptEnded(AttemptEnded {
 //!     id, attempt: 0, backend, outcome: Outcome::Done, last: true, elapsed_ms: 50.0, load: Default::default(),
 //! }), &mut actions);
 //! assert!(actions.is_empty());
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -16,8 +16,8 @@
 use daleturn::control::subset::{Catalog, News, Subset, Target};
 use daleturn::control::zones::{Change, Order, Zones};
 use daleturn::interface::{
-    Action, BackendFigures, BackendId, Ended, Entry, Event, Health, ListKind, LogNote, Memory, Observation,
-    Outcome, Reporting, Request, RequestId, Settings, SharedUpdate,
+    Action, AttemptEnded, BackendFigures, BackendId, Entry, Event, Health, ListKind, LogNote, Memory,
+    Observation, Outcome, Reporting, Request, RequestId, Settings, SharedUpdate,
 };
 use daleturn::options::Options;
 use daleturn::wire::stable_hash;
@@ -1019,7 +1019,7 @@
                 // After the answer this is no news.
                 self.open.get(&id)?.owed.as_ref()?;
                 self.settle(id, Answer::Failed, true);
-                Event::Left(id)
+                Event::ClientLeft(id)
             }
             Input::Ended { id, attempt, backend, finish, elapsed_ms } => {
                 let open = self.open.get_mut(&id)?;
@@ -1041,7 +1041,7 @@
                 if open.over() {
                     self.open.remove(&id);
                 }
-                Event::Ended(Ended { id, attempt, backend, outcome, last, elapsed_ms, load })
+                Event::AttemptEnded(AttemptEnded { id, attempt, backend, outcome, last, elapsed_ms, load })
             }
             Input::Started { id, attempt, backend, reply, elapsed_ms } => {
                 let open = self.open.get_mut(&id)?;
@@ -1053,18 +1053,18 @@
                     self.stats.ended(open.rules.names.class_name(open.class), open.served());
                     owed.settle(Answer::Served(reply));
                 }
-                Event::Started { id, attempt, backend, elapsed_ms }
+                Event::ResponseStarted { id, attempt, backend, elapsed_ms }
             }
             Input::Probed(backend, finish, elapsed_ms) => {
                 if let (Some(zones), Some(target)) = (&mut self.zones, self.listed.get(&backend)) {
                     zones.seen(target.entry.zone, backend.short(), finish.outcome, false);
                 }
-                Event::Probed { backend, outcome: finish.outcome, elapsed_ms, load: finish.load }
+                Event::ProbeEnded { backend, outcome: finish.outcome, elapsed_ms, load: finish.load }
             }
             Input::Timer(token) => Event::Timer(token),
-            Input::Fleet(news) => Event::Fleet(news),
-            Input::Zones(weights) => Event::Zones(weights),
-            Input::Message(from, bytes) => Event::Message { from, bytes },
+            Input::Fleet(news) => Event::Shared(news),
+            Input::Zones(weights) => Event::ZoneWeights(weights),
+            Input::Message(from, bytes) => Event::PeerMessage { from, bytes },
         })
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -111,21 +111,23 @@
             }
             Event::List { kind, entries } => self.on_list(now, kind, &entries, out),
             Event::Request(r) => self.on_request(now, r, out),
-            Event::Ended(e) => self.on_ended(now, &e, out),
+            Event::AttemptEnded(e) => self.on_ended(now, &e, out),
             Event::Memory(memory) => self.go_on_from(&memory),
-            Event::Left(id) => self.on_left(id, out),
+            Event::ClientLeft(id) => self.on_left(id, out),
             Event::Timer(TICK) => self.on_tick(now, out),
             Event::Timer(ASK) => out.push(Action::Watch(true)),
-            Event::Probed { backend, outcome, .. } => {
+            Event::ProbeEnded { backend, outcome, .. } => {
                 if let Some(i) = self.find(backend).filter(|&i| self.backends[i].record.trial_out) {
                     let live = outcome == Outcome::Done;
                     self.trial_over(now, i, if live { News::Live } else { News::TrialFailed }, out);
                 }
             }
-            Event::Zones(weights) => self.on_zones(now, weights, out),
-            Event::Fleet(news) => self.on_fleet(now, news, out),
-            Event::Message { bytes, .. } => self.on_news(now, &bytes, out),
-            Event::Started { id, attempt, elapsed_ms, .. } => self.on_started(now, id, attempt, elapsed_ms),
+            Event::ZoneWeights(weights) => self.on_zones(now, weights, out),
+            Event::Shared(news) => self.on_fleet(now, news, out),
+            Event::PeerMessage { bytes, .. } => self.on_news(now, &bytes, out),
+            Event::ResponseStarted { id, attempt, elapsed_ms, .. } => {
+                self.on_started(now, id, attempt, elapsed_ms)
+            }
             Event::Settings(s) if s.check().is_ok() => self.take_on(*s),
             Event::Timer(_) | Event::Settings(_) => {}
         }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -4,7 +4,7 @@
 use super::peers::TOLD_ANSWERS;
 use super::{Balancer, gates};
 use crate::counters::StopReason;
-use crate::interface::{Action, Ended, Outcome, Reporting, Request, RequestId};
+use crate::interface::{Action, AttemptEnded, Outcome, Reporting, Request, RequestId};
 use crate::news::News;
 use crate::request_table::{Attempt, OpenRequest};
 use crate::statistics::{mix_bits, pressed};
@@ -117,7 +117,7 @@
         }
     }
 
-    pub(super) fn on_ended(&mut self, now: f64, e: &Ended, out: &mut Vec<Action>) {
+    pub(super) fn on_ended(&mut self, now: f64, e: &AttemptEnded, out: &mut Vec<Action>) {
         let (id, outcome) = (e.id, e.outcome);
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(a) = open.attempts.get_mut(e.attempt as usize).filter(|a| a.out) else { return };
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,8 +1,8 @@
 //! The codec between the bench's text wire and [`crate::interface`]. No decisions.
 
 use crate::interface::{
-    Action, BackendId, Class, Discovery, Effect, Ended, Entry, Event, Goal, Group, Health, ListKind, Load,
-    Outcome, Prices, Reporting, Request, RequestId, Settings, Tenant, Weights,
+    Action, AttemptEnded, BackendId, Class, Discovery, Effect, Entry, Event, Goal, Group, Health, ListKind,
+    Load, Outcome, Prices, Reporting, Request, RequestId, Settings, Tenant, Weights,
 };
 use serde_json::Value;
 use std::collections::HashMap;
@@ -230,7 +230,7 @@
                 effort_ms: line.opt_time("effortMs")?,
                 retry: line.flag("isRetry"),
             }),
-            "result" => Event::Ended(Ended {
+            "result" => Event::AttemptEnded(AttemptEnded {
                 id: id()?,
                 attempt: attempt()?,
                 backend: self.backend(line.need("backend")?),
@@ -239,21 +239,21 @@
                 elapsed_ms: line.opt_time("elapsedMs")?.unwrap_or(0.0),
                 load: load(line)?,
             }),
-            "begun" => Event::Started {
+            "begun" => Event::ResponseStarted {
                 id: id()?,
                 attempt: attempt()?,
                 backend: self.backend(line.need("backend")?),
                 elapsed_ms: line.opt_time("elapsedMs")?.unwrap_or(0.0),
             },
-            "left" => Event::Left(id()?),
+            "left" => Event::ClientLeft(id()?),
             "alarm" => Event::Timer(line.int("keyBack")?),
-            "probed" => Event::Probed {
+            "probed" => Event::ProbeEnded {
                 backend: self.backend(line.need("backend")?),
                 outcome: outcome(line.need("disposition")?)?,
                 elapsed_ms: line.opt_time("elapsedMs")?.unwrap_or(0.0),
                 load: load(line)?,
             },
-            "inbox" => Event::Message {
+            "inbox" => Event::PeerMessage {
                 from: u32::try_from(line.int("sender")?).map_err(|_| bad("sender", "too large"))?,
                 bytes: unhex(line.need("msg")?)?,
             },
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -446,7 +446,7 @@
         w.asked.get_mut(&id).expect("asked").answer = Some("done");
         let elapsed_ms = [f64::NAN, f64::INFINITY, -5.0][n as usize % 3];
         let outcome = Outcome::Done;
-        w.feed(Event::Ended(Ended {
+        w.feed(Event::AttemptEnded(AttemptEnded {
             id,
             attempt: 0,
             backend,
@@ -501,7 +501,7 @@
             let Some(backend) = w.at(id) else { continue };
             out += 1;
             if begun {
-                w.feed(Event::Started { id, attempt: 0, backend, elapsed_ms: 1.0 });
+                w.feed(Event::ResponseStarted { id, attempt: 0, backend, elapsed_ms: 1.0 });
             }
         }
         out
@@ -731,7 +731,7 @@
 
 fn told(w: &mut World, news: u8, backend: BackendId) {
     let bytes = [&[news][..], &backend.short().to_be_bytes()].concat();
-    w.feed(Event::Message { from: 7, bytes });
+    w.feed(Event::PeerMessage { from: 7, bytes });
 }
 
 fn congested(w: &World) -> usize {
@@ -807,9 +807,9 @@
     w.trace.clear();
     for _ in 0..50 {
         for bytes in [vec![], vec![FAILED], vec![200, 1, 2, 3, 4], vec![FAILED, 1, 2, 3, 4], vec![1; 256]] {
-            w.feed(Event::Message { from: 7, bytes });
+            w.feed(Event::PeerMessage { from: 7, bytes });
         }
-        w.feed(Event::Message { from: 7, bytes: [&backend[..], &[FAILED]].concat() });
+        w.feed(Event::PeerMessage { from: 7, bytes: [&backend[..], &[FAILED]].concat() });
     }
     assert!(w.trace.is_empty(), "{:?}", w.trace);
 }
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -87,12 +87,12 @@
     let mut n = names();
     let Ok(Event::Request(r)) = read(&mut n, LINES[0]) else { panic!("a request") };
     assert_eq!((r.id, r.class, r.tenant, r.deadline_ms, r.retry), (RequestId(41), 0, Some(0), 99.5, true));
-    let Ok(Event::Ended(Ended { outcome, last, load, .. })) = read(&mut n, LINES[1]) else {
+    let Ok(Event::AttemptEnded(AttemptEnded { outcome, last, load, .. })) = read(&mut n, LINES[1]) else {
         panic!("an outcome")
     };
     assert_eq!((outcome, last), (Outcome::Done, true));
     assert_eq!(load, Load { busy: Some(0.5), queue: Some(2.0), ..Load::default() });
-    let Ok(Event::Probed { load, .. }) = read(
+    let Ok(Event::ProbeEnded { load, .. }) = read(
         &mut n,
         "probed who=3 disposition=done backend=b1 pressure=lat_ms:7,rif:3,rate:9,fail_rate:1,odd:x",
     ) else {
@@ -101,7 +101,7 @@
     let figures = (load.latency_ms, load.in_hand, load.rate, load.errors);
     assert_eq!(figures, (Some(7.0), Some(3.0), Some(9.0), Some(1.0)));
     assert_eq!(read(&mut n, LINES[4]), Ok(Event::Timer(77)));
-    assert_eq!(read(&mut n, LINES[6]), Ok(Event::Message { from: 2, bytes: vec![10, 255] }));
+    assert_eq!(read(&mut n, LINES[6]), Ok(Event::PeerMessage { from: 2, bytes: vec![10, 255] }));
     let unknown = read(&mut n, "demand who=3 requestId=1 priority=other deadlineMs=9");
     assert!(matches!(unknown, Ok(Event::Request(r)) if r.class == usize::MAX));
     assert_eq!(list_kind("disk"), Ok(ListKind::Saved));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -332,7 +332,15 @@
         if let Some(since) = self.draining.get_mut(&backend) {
             *since = now;
         }
-        self.feed(Event::Ended(Ended { id, attempt: n as u32, backend, outcome, last, elapsed_ms, load }));
+        self.feed(Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt: n as u32,
+            backend,
+            outcome,
+            last,
+            elapsed_ms,
+            load,
+        }));
     }
 
     /// Plays a long answer whose first bytes come after `first` and its last ones after `rest` more.
@@ -345,7 +353,7 @@
             asked.attempts[n].ends = f64::INFINITY;
         }
         if told {
-            self.feed(Event::Started { id, attempt: n as u32, backend, elapsed_ms: first });
+            self.feed(Event::ResponseStarted { id, attempt: n as u32, backend, elapsed_ms: first });
         }
         self.wait(rest);
         if let Some(asked) = self.asked.get_mut(&id) {
@@ -353,7 +361,7 @@
             asked.answer = Some("done");
         }
         let (outcome, load) = (Outcome::Done, Load::default());
-        self.feed(Event::Ended(Ended {
+        self.feed(Event::AttemptEnded(AttemptEnded {
             id,
             attempt: n as u32,
             backend,
@@ -368,7 +376,7 @@
         if let Some(a) = self.asked.get_mut(&id) {
             a.answer.get_or_insert("left");
         }
-        self.feed(Event::Left(id));
+        self.feed(Event::ClientLeft(id));
     }
 
     /// What the last look says of each attempt that is out, now and later, is what the rules say.
@@ -439,7 +447,7 @@
 
     pub fn probed(&mut self, outcome: Outcome) {
         for backend in std::mem::take(&mut self.probes) {
-            self.feed(Event::Probed { backend, outcome, elapsed_ms: 1.0, load: Load::default() });
+            self.feed(Event::ProbeEnded { backend, outcome, elapsed_ms: 1.0, load: Load::default() });
         }
     }
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -99,14 +99,14 @@
             Step::Stray(n) => {
                 // Events for what this node does not know are ignored.
                 w.feed(Event::Timer(n.wrapping_add(100)));
-                w.feed(Event::Left(RequestId(n | 1 << 40)));
-                w.feed(Event::Probed {
+                w.feed(Event::ClientLeft(RequestId(n | 1 << 40)));
+                w.feed(Event::ProbeEnded {
                     backend: BackendId(*n),
                     outcome: Outcome::Done,
                     elapsed_ms: 1.0,
                     load: Load::default(),
                 });
-                w.feed(Event::Ended(Ended {
+                w.feed(Event::AttemptEnded(AttemptEnded {
                     id: RequestId(n | 1 << 40),
                     attempt: 0,
                     backend: BackendId(*n),
