--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -537,7 +537,7 @@
             Action::Fail(id) => self.settle(node, id, Answer::Failed, None),
             Action::Timer { token, at_ms } => self.push(at_ms, What::Timer { node, epoch, token }),
             Action::Probe(backend) => self.probe(node, backend),
-            Action::Tell { to, bytes } => {
+            Action::SendPeerMessage { to, bytes } => {
                 self.judge.datagram(self.now, bytes.len());
                 let all: Vec<usize> = match to {
                     Some(n) => vec![n as usize],
@@ -550,8 +550,8 @@
                 }
             }
             Action::Watch(true) => self.watch(node),
-            Action::Share(found) => self.found(node, found),
-            Action::Watch(false) | Action::Release(_) | Action::Log(_) => {}
+            Action::ShareObservation(found) => self.found(node, found),
+            Action::Watch(false) | Action::CloseIdleConnections(_) | Action::Log(_) => {}
         }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -689,16 +689,16 @@
     /// Probe a backend.
     Probe(BackendId),
     /// Close the connections to a backend that carry nothing.
-    Release(BackendId),
+    CloseIdleConnections(BackendId),
     /// Send a message of at most 256 bytes to another node, or to all where none is named.
-    Tell {
+    SendPeerMessage {
         /// Its number.
         to: Option<u32>,
         /// What to say.
         bytes: Vec<u8>,
     },
     /// Share a finding; only where the fleet's news came before.
-    Share(Observation),
+    ShareObservation(Observation),
     /// Subscribe to the list, or end that.
     Watch(bool),
     /// A word for whoever is on call.
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -832,14 +832,14 @@
                 });
             }
             Action::Probe(backend) => self.probe(core, backend),
-            Action::Release(backend) => self.upstream.release(backend),
-            Action::Tell { to, bytes } => {
+            Action::CloseIdleConnections(backend) => self.upstream.release(backend),
+            Action::SendPeerMessage { to, bytes } => {
                 if let Some(peers) = &self.peers {
                     peers.send(to, &bytes);
                 }
             }
             // Discovery may have ended with the node.
-            Action::Share(found) => {
+            Action::ShareObservation(found) => {
                 let (Observation::Backend { backend, .. } | Observation::Key { backend, .. }) = found;
                 let start = core.listed.get(&backend).map_or(0, |t| start_of(&t.entry));
                 if let Some(share) = &*self.share.borrow() {
--- a/src/policy/fleet.rs
+++ b/src/policy/fleet.rs
@@ -81,7 +81,7 @@
         let b = &mut self.backends[index];
         if let Some(within) = self.s.drain_close_ms.filter(|_| !b.up) {
             b.close_until = now + within / 2.0;
-            out.push(Action::Release(b.id));
+            out.push(Action::CloseIdleConnections(b.id));
         }
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -160,9 +160,14 @@
         let shut = |b: &&Backend| b.up && (b.record.congested || b.cap.blocks(now, b.in_flight));
         self.admission.blocked = self.backends.iter().filter(shut).count() as f64 / up;
         self.admission_tick(seconds);
-        out.extend(self.shared.spilled.drain(..).map(Action::Share));
+        out.extend(self.shared.spilled.drain(..).map(Action::ShareObservation));
         self.tell(now, out);
-        out.extend(self.backends.iter().filter(|b| now < b.close_until).map(|b| Action::Release(b.id)));
+        out.extend(
+            self.backends
+                .iter()
+                .filter(|b| now < b.close_until)
+                .map(|b| Action::CloseIdleConnections(b.id)),
+        );
         // Trials by probe, one at a time, for backends past their PRAT.
         if self.s.probes {
             for b in self.backends.iter_mut().filter(|b| b.up && b.record.trial_due(now)) {
--- a/src/policy/peers.rs
+++ b/src/policy/peers.rs
@@ -25,7 +25,7 @@
     /// Tells the other nodes what each of them would otherwise have to find out by itself.
     pub(super) fn tell_all(&self, news: News, i: usize, out: &mut Vec<Action>) {
         if self.seldom() && self.fleet_failing < SHARED_FAILING {
-            out.push(Action::Tell { to: None, bytes: news.to_bytes(self.backends[i].id) });
+            out.push(Action::SendPeerMessage { to: None, bytes: news.to_bytes(self.backends[i].id) });
         }
     }
 
--- a/src/policy/shared.rs
+++ b/src/policy/shared.rs
@@ -64,7 +64,7 @@
         let b = &mut self.backends[i];
         if self.shared.on && b.record.told != bad {
             b.record.told = bad;
-            out.push(Action::Share(Observation::Backend { backend: b.id, failing: bad }));
+            out.push(Action::ShareObservation(Observation::Backend { backend: b.id, failing: bad }));
         }
     }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -283,13 +283,13 @@
                 writeln!(out, "wake_me who={who} keyBack={token} instantMs={at_ms:.3}")
             }
             Action::Probe(b) => writeln!(out, "probe who={who} backend={}", word(b)),
-            Action::Release(b) => writeln!(out, "release who={who} backend={}", word(b)),
-            Action::Tell { to, bytes } => {
+            Action::CloseIdleConnections(b) => writeln!(out, "release who={who} backend={}", word(b)),
+            Action::SendPeerMessage { to, bytes } => {
                 let to = to.map_or_else(|| "all".to_owned(), |n| n.to_string());
                 writeln!(out, "announce who={who} neighbourId={to} msg={}", hex(bytes))
             }
             // The simulator's nodes share nothing but messages.
-            Action::Share(_) => Ok(()),
+            Action::ShareObservation(_) => Ok(()),
             Action::Watch(on) => writeln!(out, "watch who={who} want={}", u8::from(*on)),
             Action::Log(text) => writeln!(out, "say_log who={who} text={text}"),
         };
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -795,7 +795,10 @@
         let id = w.ask(0, Some(1));
         let at = w.at(id).expect("sent");
         w.end(id, Outcome::Reset);
-        let wanted = Action::Tell { to: None, bytes: [&[FAILED][..], &at.short().to_be_bytes()].concat() };
+        let wanted = Action::SendPeerMessage {
+            to: None,
+            bytes: [&[FAILED][..], &at.short().to_be_bytes()].concat(),
+        };
         assert_eq!(w.trace.contains(&wanted), tells, "{instances} nodes: {:?}", w.trace);
     }
 }
@@ -994,9 +997,13 @@
     let since = w.now;
     w.wait(1400.0);
     assert!(w.released[&backend] > since, "and once more, for a handshake that was under way");
-    let count = w.trace.iter().filter(|a| matches!(a, Action::Release(_))).count();
+    let count = w.trace.iter().filter(|a| matches!(a, Action::CloseIdleConnections(_))).count();
     w.wait(20_000.0);
-    assert_eq!(count, w.trace.iter().filter(|a| matches!(a, Action::Release(_))).count(), "then it ends");
+    assert_eq!(
+        count,
+        w.trace.iter().filter(|a| matches!(a, Action::CloseIdleConnections(_))).count(),
+        "then it ends"
+    );
     // Up again, sent to, and draining again: a notice of its own.
     w.list(ListKind::Changes, vec![up(1)]);
     let id = w.ask(0, Some(1));
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -140,9 +140,9 @@
     let mut out = String::new();
     n.action(3, &Action::Send { id: RequestId(7), backend: entry.backend, timeout_ms: 80.0 }, &mut out);
     n.action(3, &Action::Refuse { id: RequestId(7), retry_after_ms: 0.0 }, &mut out);
-    n.action(3, &Action::Release(entry.backend), &mut out);
-    n.action(3, &Action::Tell { to: None, bytes: vec![104, 10] }, &mut out);
-    n.action(3, &Action::Tell { to: Some(5), bytes: vec![] }, &mut out);
+    n.action(3, &Action::CloseIdleConnections(entry.backend), &mut out);
+    n.action(3, &Action::SendPeerMessage { to: None, bytes: vec![104, 10] }, &mut out);
+    n.action(3, &Action::SendPeerMessage { to: Some(5), bytes: vec![] }, &mut out);
     let lines: Vec<_> = out.lines().collect();
     assert_eq!(lines[2], "release who=3 backend=b1");
     assert_eq!(lines[3], "announce who=3 neighbourId=all msg=680a");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -224,12 +224,12 @@
                 assert!(self.s.probes, "probing is not allowed");
                 self.probes.push(*b);
             }
-            Action::Release(b) => {
+            Action::CloseIdleConnections(b) => {
                 assert!(self.list.contains_key(b), "released one that no list has named");
                 self.released.insert(*b, self.now);
             }
-            Action::Tell { .. } => assert!(self.s.peer_messages, "messages are not allowed"),
-            Action::Share(found) => self.found.push(*found),
+            Action::SendPeerMessage { .. } => assert!(self.s.peer_messages, "messages are not allowed"),
+            Action::ShareObservation(found) => self.found.push(*found),
             Action::Log(note) => self.logs.push(note.to_string()),
             Action::Watch(_) => self.watches.push(self.now),
         }
