--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1030,7 +1030,7 @@
         let short = |zone: &str| (stable_hash(&format!("zone:{zone}")) >> 32) as u32;
         let Some(host) = &mut self.nodes[node] else { return };
         let mut tripped = BTreeMap::new();
-        for b in host.balancer.figures(now).backends.iter().filter(|b| b.up && b.trial_at_ms.is_some()) {
+        for b in host.balancer.snapshot(now).backends.iter().filter(|b| b.up && b.trial_at_ms.is_some()) {
             *tripped.entry(b.zone).or_insert(0_usize) += 1;
         }
         let Some(zones) = &mut host.zones else { return };
--- a/src/balancer_state.rs
+++ b/src/balancer_state.rs
@@ -2,7 +2,9 @@
 //! state, and decides nothing.
 
 use crate::counters::LoadSnapshot;
-use crate::interface::{Action, BackendFigures, BackendMemory, Figures, LogNote, Memory, Settings};
+use crate::interface::{
+    Action, BackendMemory, BackendSnapshot, BalancerSnapshot, LogNote, Memory, Settings,
+};
 use crate::policy::{Balancer, Cap};
 use crate::request_table::Backend;
 use crate::statistics::ClassStatistics;
@@ -80,8 +82,8 @@
     }
 
     /// What the decisions know, for whoever is on call.
-    pub fn figures(&self, now: f64) -> Figures {
-        let backend = |b: &Backend| BackendFigures {
+    pub fn snapshot(&self, now: f64) -> BalancerSnapshot {
+        let backend = |b: &Backend| BackendSnapshot {
             backend: b.id,
             zone: b.zone,
             up: b.up,
@@ -91,7 +93,7 @@
             cold: now - b.cold_since < self.s.cold_ms,
             pressure: b.load.at(now, self.pressure),
         };
-        Figures {
+        BalancerSnapshot {
             load: self.load_snapshot(now),
             refusals: self.counters.refusals(),
             warm_rate: self.warm.most,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -512,7 +512,7 @@
 
 /// What the decisions know, for whoever is on call.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct BalancerSnapshot {
     /// How the fleet looks from here.
     pub load: LoadSnapshot,
     /// Why requests were refused since the start.
@@ -520,12 +520,12 @@
     /// The most requests a second that a warm backend was lately seen to serve for this node.
     pub warm_rate: f64,
     /// Each backend.
-    pub backends: Vec<BackendFigures>,
+    pub backends: Vec<BackendSnapshot>,
 }
 
 /// What the decisions know of one backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BackendFigures {
+pub struct BackendSnapshot {
     /// Which.
     pub backend: BackendId,
     /// Its zone.
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -16,7 +16,7 @@
 use daleturn::control::subset::{Catalog, News, Subset, Target};
 use daleturn::control::zones::{Change, Order, Zones};
 use daleturn::interface::{
-    Action, AttemptEnded, BackendFigures, BackendId, Entry, Event, Health, ListKind, LogNote, Memory,
+    Action, AttemptEnded, BackendId, BackendSnapshot, Entry, Event, Health, ListKind, LogNote, Memory,
     Observation, Outcome, Reporting, Request, RequestId, Settings, SharedUpdate,
 };
 use daleturn::options::Options;
@@ -472,8 +472,8 @@
     pub fn figures(&self, rules: &Rules) -> Value {
         let now = self.clock.now_ms();
         let core = &mut *self.core.borrow_mut();
-        let figures = core.balancer.figures(now);
-        let known: HashMap<BackendId, &BackendFigures> =
+        let figures = core.balancer.snapshot(now);
+        let known: HashMap<BackendId, &BackendSnapshot> =
             figures.backends.iter().map(|b| (b.backend, b)).collect();
         let zone_name = |zone: u16| rules.names.zone_name(zone).unwrap_or("?").to_owned();
         let mut zones: BTreeMap<String, [u64; 7]> = BTreeMap::new();
@@ -639,7 +639,7 @@
         }
         let now = self.clock.now_ms();
         let mut tripped = BTreeMap::new();
-        for b in core.balancer.figures(now).backends.iter().filter(|b| b.up && b.trial_at_ms.is_some()) {
+        for b in core.balancer.snapshot(now).backends.iter().filter(|b| b.up && b.trial_at_ms.is_some()) {
             *tripped.entry(b.zone).or_insert(0_usize) += 1;
         }
         zones.servers(now, &up, &tripped);
@@ -669,8 +669,8 @@
     /// It does not, as far as is known; with the figures.
     pub fn without_zone(&self, zone: u16) -> Result<(), String> {
         let core = self.core.borrow();
-        let figures = core.balancer.figures(self.clock.now_ms());
-        let left_out = |b: &BackendFigures| {
+        let figures = core.balancer.snapshot(self.clock.now_ms());
+        let left_out = |b: &BackendSnapshot| {
             let zones = core.zones.as_ref().map(Zones::figures).unwrap_or_default();
             b.zone == zone || zones.iter().any(|z| z.zone == b.zone && matches!(z.stand, "out" | "held"))
         };
