--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -85,7 +85,7 @@
             open: std::collections::VecDeque::new(),
         };
         w.tell(Event::Start);
-        let entry = |n: u32| Entry {
+        let entry = |n: u32| ListEntry {
             backend: BackendId(u64::from(n)),
             zone: (n % 4) as u16,
             cell: 0,
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -12,8 +12,8 @@
 use daleturn::control::members::Node;
 use daleturn::control::zones::{Order, Zones};
 use daleturn::interface::{
-    Action, AttemptEnded, BackendId, Entry, Event, Health, ListKind, Load, Memory, Observation, Outcome,
-    Request, RequestId, Settings, SharedUpdate,
+    Action, AttemptEnded, BackendId, Event, Health, ListEntry, ListKind, Load, Memory, Observation,
+    Outcome, Request, RequestId, Settings, SharedUpdate,
 };
 use daleturn::options::Options;
 use daleturn::wire::stable_hash;
@@ -493,7 +493,7 @@
     }
 
     /// Lines of the list that are newer than a version, as a node's operators leave them.
-    fn entries(&self, node: usize, after: u64, whole: bool) -> Vec<Entry> {
+    fn entries(&self, node: usize, after: u64, whole: bool) -> Vec<ListEntry> {
         let cordoned = |s: usize| self.nodes[node].as_ref().is_some_and(|h| h.cordoned.contains(&s));
         let lines = self.machines.iter().enumerate().filter(|(_, m)| m.listed.2 > after);
         let lines = lines.filter(|(_, m)| !whole || m.listed.0 != Health::Gone);
@@ -502,7 +502,7 @@
                 let health =
                     if m.listed.0 == Health::Up && cordoned(s) { Health::Draining } else { m.listed.0 };
                 let zone = self.plan.machines[s].zone;
-                Entry {
+                ListEntry {
                     backend: BackendId(stable_hash(&self.plan.machines[s].name)),
                     zone: zone as u16,
                     cell: zone as u32,
--- a/src/control/subset.rs
+++ b/src/control/subset.rs
@@ -8,7 +8,7 @@
 //! changes the subsets of those nodes alone. Where crossing zones has a price, half of the subset is taken from a ring
 //! of the own zone. `docs/design.md` tells why, and what else was weighed.
 
-use crate::interface::{BackendId, Entry, Health, ListKind, Settings};
+use crate::interface::{BackendId, Health, ListEntry, ListKind, Settings};
 use crate::statistics::mix_bits;
 use std::collections::{BTreeMap, BTreeSet, btree_map};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// What the decisions need.
-    pub entry: Entry,
+    pub entry: ListEntry,
     /// Where it listens; one that was removed need not say.
     pub address: Option<SocketAddr>,
     /// What operators call it.
@@ -35,7 +35,7 @@
 impl Target {
     /// The same backend, removed.
     fn gone(&self) -> Target {
-        let entry = Entry { health: Health::Gone, ..self.entry };
+        let entry = ListEntry { health: Health::Gone, ..self.entry };
         Target { entry, address: None, uid: self.uid.clone() }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -174,9 +174,9 @@
     pub held_by: Option<u32>,
     /// This node's number among them, from 0.
     pub slot: u32,
-    /// This node's zone, if it was told; comparable with [`Entry::zone`].
+    /// This node's zone, if it was told; comparable with [`ListEntry::zone`].
     pub zone: Option<u16>,
-    /// What [`Entry::units`] means.
+    /// What [`ListEntry::units`] means.
     pub weights: Weights,
     /// How load is reported.
     pub reporting: Reporting,
@@ -339,7 +339,7 @@
 
 /// One line of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct ListEntry {
     /// Which backend.
     pub backend: BackendId,
     /// Its zone.
@@ -604,7 +604,7 @@
         /// What the entries are.
         kind: ListKind,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<ListEntry>,
     },
     /// A request to answer.
     Request(Request),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use daleturn::Balancer;
 //! use daleturn::interface::{
-//!     Action, BackendId, AttemptEnded, Entry, Event, Health, ListKind, Outcome, Request, RequestId,
+//!     Action, BackendId, AttemptEnded, ListEntry, Event, Health, ListKind, Outcome, Request, RequestId,
 //! };
 //!
 //! // Settings can be built by hand; the codec reads them from JSON and fills in defaults.
@@ -20,7 +20,7 @@
 //!
 //! // The list names one backend, up for a long time.
 //! let backend = BackendId(42);
-//! let entry = Entry { backend, zone: 0, cell: 0, health: Health::Up, units: 1.0, ready_at_ms: 0.0 };
+//! let entry = ListEntry { backend, zone: 0, cell: 0, health: Health::Up, units: 1.0, ready_at_ms: 0.0 };
 //! balancer.handle(0.0, Event::List { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //!
 //! // A request arrives at 10 ms and is sent there.
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -16,7 +16,7 @@
 use daleturn::control::subset::{Catalog, News, Subset, Target};
 use daleturn::control::zones::{Change, Order, Zones};
 use daleturn::interface::{
-    Action, AttemptEnded, BackendId, BackendSnapshot, Entry, Event, Health, ListKind, LogNote, Memory,
+    Action, AttemptEnded, BackendId, BackendSnapshot, Event, Health, ListEntry, ListKind, LogNote, Memory,
     Observation, Outcome, Reporting, Request, RequestId, Settings, SharedUpdate,
 };
 use daleturn::options::Options;
@@ -276,7 +276,7 @@
 }
 
 /// Tells a backend's starts apart, in the few bytes that a datagram has for it.
-fn start_of(entry: &Entry) -> u32 {
+fn start_of(entry: &ListEntry) -> u32 {
     // The low bits are what differs.
     entry.ready_at_ms.max(0.0) as u64 as u32
 }
@@ -1141,7 +1141,7 @@
         self.place(kind, &targets, upstream);
         let entries = targets.into_iter().map(|target| {
             let entry = target.entry;
-            Entry { ready_at_ms: self.starts.own(now, entry.backend, entry.ready_at_ms), ..entry }
+            ListEntry { ready_at_ms: self.starts.own(now, entry.backend, entry.ready_at_ms), ..entry }
         });
         Event::List { kind, entries: entries.collect() }
     }
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -4,7 +4,7 @@
 use crate::rules::Current;
 use bytes::Bytes;
 use daleturn::control::subset::{Catalog, Target, home};
-use daleturn::interface::{BackendId, Entry, Health};
+use daleturn::interface::{BackendId, Health, ListEntry};
 use daleturn::wire::{Names, stable_hash};
 use serde::Deserialize;
 use serde_json::Value;
@@ -173,7 +173,7 @@
     if !leaves && !(0.0..=f64::from(u32::MAX)).contains(&cell) {
         return Err("pod_group");
     }
-    let entry = Entry {
+    let entry = ListEntry {
         backend: BackendId(stable_hash(uid)),
         zone: names.zone(text("az")),
         cell: cell as u32,
--- a/src/policy/fleet.rs
+++ b/src/policy/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::cap::{Cap, first_cap};
 use super::{ASK, Balancer};
-use crate::interface::{Action, BackendId, Entry, Health, ListKind};
+use crate::interface::{Action, BackendId, Health, ListEntry, ListKind};
 use crate::request_table::Backend;
 
 /// Time that discovery, one service for all nodes, is left for each node's call.
@@ -18,7 +18,13 @@
         self.backends.binary_search_by_key(&id, |b| b.id).ok()
     }
 
-    pub(super) fn on_list(&mut self, now: f64, kind: ListKind, entries: &[Entry], out: &mut Vec<Action>) {
+    pub(super) fn on_list(
+        &mut self,
+        now: f64,
+        kind: ListKind,
+        entries: &[ListEntry],
+        out: &mut Vec<Action>,
+    ) {
         if kind == ListKind::Failed {
             // Asked again at a jittered pace that backs off, but often enough not to count as deaf: that time
             // is four times as long after a failed call. What waits in vain keeps the service busy too.
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,8 +1,8 @@
 //! The codec between the bench's text wire and [`crate::interface`]. No decisions.
 
 use crate::interface::{
-    Action, AttemptEnded, BackendId, Class, Discovery, Effect, Entry, Event, Goal, Group, Health, ListKind,
-    Load, Outcome, Prices, Reporting, Request, RequestId, Settings, Tenant, Weights,
+    Action, AttemptEnded, BackendId, Class, Discovery, Effect, Event, Goal, Group, Health, ListEntry,
+    ListKind, Load, Outcome, Prices, Reporting, Request, RequestId, Settings, Tenant, Weights,
 };
 use serde_json::Value;
 use std::collections::HashMap;
@@ -195,14 +195,14 @@
     }
 
     /// Reads one `backend` line of a list.
-    pub fn entry(&mut self, line: &Line<'_>) -> Result<Entry, WireError> {
+    pub fn entry(&mut self, line: &Line<'_>) -> Result<ListEntry, WireError> {
         let health = match line.need("health")? {
             "U" => Health::Up,
             "L" => Health::Draining,
             "D" => Health::Gone,
             other => return Err(bad("health", format!("unknown value {other:?}"))),
         };
-        Ok(Entry {
+        Ok(ListEntry {
             backend: self.backend(line.need("backend")?),
             zone: self.zone(line.get("locality")),
             cell: match line.get("pod") {
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -4,7 +4,7 @@
 use daleturn::control::asking::{Ask, Asking, Call, LateAnswer, Next, Told};
 use daleturn::control::departures::Departures;
 use daleturn::control::subset::Target;
-use daleturn::interface::{BackendId, Discovery, Entry, Health};
+use daleturn::interface::{BackendId, Discovery, Health, ListEntry};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -454,7 +454,7 @@
 fn target(uid: u64, up: bool) -> Target {
     let health = if up { Health::Up } else { Health::Draining };
     let backend = BackendId(uid);
-    let entry = Entry { backend, zone: 0, cell: 0, health, units: 1.0, ready_at_ms: 0.0 };
+    let entry = ListEntry { backend, zone: 0, cell: 0, health, units: 1.0, ready_at_ms: 0.0 };
     Target { entry, address: None, uid: uid.to_string().into() }
 }
 
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -245,7 +245,7 @@
     };
     let before: Vec<_> = (0..100).map(|k| home(&mut w, k)).collect();
     let gone = up(3).backend;
-    w.list(ListKind::Changes, vec![Entry { health: Health::Gone, ..up(3) }]);
+    w.list(ListKind::Changes, vec![ListEntry { health: Health::Gone, ..up(3) }]);
     for (key, old) in before.iter().enumerate() {
         let new = home(&mut w, key as u64);
         assert!(new == *old || *old == Some(gone), "key {key} moved without need");
@@ -594,7 +594,7 @@
 fn a_fresh_start_is_within_its_share_of_the_cold_budget() {
     let mut w = safe(4);
     w.warm_up(400, 0, 10.0);
-    let fresh = Entry { ready_at_ms: w.now, ..up(9) };
+    let fresh = ListEntry { ready_at_ms: w.now, ..up(9) };
     w.list(ListKind::Changes, vec![fresh]);
     // A warm backend serves about 25 a second for this node: the cold one may be sent fall_multiple times its
     // present part of that by all four nodes together.
@@ -617,7 +617,7 @@
     let s = Settings { classes, instances: 2, fall_ms: 2000.0, start_capacity: 0.5, ..settings() };
     let mut w = World::with_backends(s, 1, 2);
     w.warm_up(3000, 0, 10.0);
-    let fresh = Entry { ready_at_ms: w.now, ..up(9) };
+    let fresh = ListEntry { ready_at_ms: w.now, ..up(9) };
     w.list(ListKind::Changes, vec![fresh]);
     let (mut sent, from) = (0, w.now);
     for n in 0..1500 {
@@ -642,7 +642,7 @@
             let mut w = World::with_backends(Settings { classes: classes.clone(), ..settings() }, seed, 4);
             w.warm_up(600, 0, 10.0);
             w.warm_up(lull, 0, 100.0);
-            let fresh = Entry { ready_at_ms: w.now, ..up(9) };
+            let fresh = ListEntry { ready_at_ms: w.now, ..up(9) };
             w.list(ListKind::Changes, vec![fresh]);
             for n in 0..300 {
                 let id = w.ask(0, Some(n));
@@ -675,7 +675,7 @@
     w.warm_up(50, 0, 20.0);
     for n in 0..60 {
         let health = if n % 2 == 0 { Health::Gone } else { Health::Up };
-        w.list(ListKind::Changes, vec![Entry { health, ..up(1 + n % 3) }]);
+        w.list(ListKind::Changes, vec![ListEntry { health, ..up(1 + n % 3) }]);
         let id = w.ask(0, Some(n));
         if n % 7 == 0 {
             w.wait(900.0);
@@ -928,7 +928,7 @@
     let next = |memory: Option<Memory>| {
         let mut w = World::new(s.clone(), 2);
         w.now = old.now;
-        let entries = (1..=4).map(up).map(|e| Entry { ready_at_ms: old.now - 1000.0, ..e });
+        let entries = (1..=4).map(up).map(|e| ListEntry { ready_at_ms: old.now - 1000.0, ..e });
         w.list(ListKind::Full, entries.collect());
         let told = memory.is_some();
         if let Some(memory) = memory {
@@ -989,7 +989,7 @@
     let mut w = World::with_backends(Settings { drain_close_ms: Some(1500.0), ..settings() }, 1, 1);
     let id = w.ask(0, Some(1));
     let backend = w.at(id).expect("sent");
-    w.list(ListKind::Changes, vec![Entry { health: Health::Draining, ..up(1) }]);
+    w.list(ListKind::Changes, vec![ListEntry { health: Health::Draining, ..up(1) }]);
     assert_eq!(w.released.get(&backend), Some(&w.now), "at the notice");
     w.wait(200.0);
     w.end(id, Outcome::Done);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -79,7 +79,7 @@
 /// The operators' rule on repeats, for one more attempt, or for the `n`th, beside the others.
 fn may_repeat(
     s: &Settings,
-    list: &BTreeMap<BackendId, Entry>,
+    list: &BTreeMap<BackendId, ListEntry>,
     asked: &Asked,
     n: usize,
     backend: BackendId,
@@ -123,7 +123,7 @@
     pub s: Settings,
     pub balancer: Balancer,
     pub now: f64,
-    pub list: BTreeMap<BackendId, Entry>,
+    pub list: BTreeMap<BackendId, ListEntry>,
     pub asked: BTreeMap<RequestId, Asked>,
     pub timers: Vec<(f64, u64)>,
     pub probes: Vec<BackendId>,
@@ -235,7 +235,7 @@
         }
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn list(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             for e in self.list.values_mut() {
                 e.health = Health::Gone;
@@ -255,14 +255,14 @@
     }
 
     /// What the decisions hear of it.
-    fn part(&mut self, kind: ListKind, entries: Vec<Entry>) -> (ListKind, Vec<Entry>) {
+    fn part(&mut self, kind: ListKind, entries: Vec<ListEntry>) -> (ListKind, Vec<ListEntry>) {
         let Some((subset, held)) = &mut self.subset else { return (kind, entries) };
         let line = |entry| Target { entry, address: None, uid: "".into() };
         let news = subset.take(kind, entries.into_iter().map(line).collect());
         if matches!(news.kind, ListKind::Full | ListKind::Saved) {
             held.clear();
         }
-        let entries: Vec<Entry> = news.lines.into_iter().map(|line| line.entry).collect();
+        let entries: Vec<ListEntry> = news.lines.into_iter().map(|line| line.entry).collect();
         for e in &entries {
             if e.health == Health::Up {
                 held.insert(e.backend)
@@ -452,8 +452,8 @@
     }
 }
 
-pub fn up(n: u64) -> Entry {
-    Entry {
+pub fn up(n: u64) -> ListEntry {
+    ListEntry {
         backend: BackendId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         zone: (n % 2) as u16,
         cell: (n % 3) as u32,
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -87,7 +87,7 @@
             Step::List(kind, entries) => {
                 let now = w.now;
                 let entries = (entries.iter())
-                    .map(|(n, health, fresh)| Entry {
+                    .map(|(n, health, fresh)| ListEntry {
                         health: *health,
                         ready_at_ms: if *fresh { now } else { 0.0 },
                         ..up(*n)
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -5,7 +5,7 @@
 
 use common::settings;
 use daleturn::control::subset::{Catalog, MOST_LINES, News, Subset, Target};
-use daleturn::interface::{BackendId, Entry, Health, ListKind, Settings};
+use daleturn::interface::{BackendId, Health, ListEntry, ListKind, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
 
 fn line(n: u64, zone: u16, health: Health) -> Target {
     let backend = BackendId(n.wrapping_mul(0xd134_2543_de82_ef95) + 1);
-    let entry = Entry { backend, zone, cell: 0, health, units: 1.0, ready_at_ms: 0.0 };
+    let entry = ListEntry { backend, zone, cell: 0, health, units: 1.0, ready_at_ms: 0.0 };
     Target { entry, address: Some(([127, 0, 0, 1], 80).into()), uid: format!("s-{n}").into() }
 }
 
@@ -23,7 +23,7 @@
 }
 
 fn with(line: Target, health: Health) -> Target {
-    Target { entry: Entry { health, ..line.entry }, ..line }
+    Target { entry: ListEntry { health, ..line.entry }, ..line }
 }
 
 fn node(slot: u32, home: Option<u16>) -> Settings {
@@ -34,7 +34,7 @@
 
 /// What the decisions know, by what they were told.
 #[derive(Default)]
-struct Told(BTreeMap<BackendId, Entry>);
+struct Told(BTreeMap<BackendId, ListEntry>);
 
 impl Told {
     fn take(&mut self, news: &News) {
@@ -100,7 +100,7 @@
     ) {
         let settings = node(slot, home);
         let (mut subset, mut told) = (Subset::new(size, &settings), Told::default());
-        let mut model: BTreeMap<BackendId, Entry> = BTreeMap::new();
+        let mut model: BTreeMap<BackendId, ListEntry> = BTreeMap::new();
         for (kind, raw) in words {
             let kind = [ListKind::Full, ListKind::Saved, ListKind::Changes][usize::from(kind.min(2))];
             let lines = lines_of(&raw);
@@ -167,7 +167,7 @@
     home: impl Fn(u32) -> Option<u16>,
     units: impl Fn(u64) -> f64,
 ) -> (Vec<usize>, Vec<f64>) {
-    let weighed = |n| Target { entry: Entry { units: units(n), ..up(n).entry }, ..up(n) };
+    let weighed = |n| Target { entry: ListEntry { units: units(n), ..up(n).entry }, ..up(n) };
     let (mut subset, mut told) = drawn(size, &node(0, home(0)), (0..backends).map(weighed));
     let mut held: BTreeMap<BackendId, (usize, f64)> =
         (0..backends).map(|n| (up(n).entry.backend, (0, 0.0))).collect();
@@ -177,7 +177,7 @@
     for slot in slots {
         as_node(&mut subset, &mut told, &node(slot, home(slot)));
         // Traffic that does not cross: all of it goes to the own zone.
-        let own = |e: &Entry| home(slot).is_none_or(|zone| zone == e.zone);
+        let own = |e: &ListEntry| home(slot).is_none_or(|zone| zone == e.zone);
         let near: f64 = told.0.values().filter(|e| own(e)).map(|e| e.units).sum();
         for entry in told.0.values() {
             let held = held.get_mut(&entry.backend).unwrap();
@@ -266,7 +266,7 @@
         assert!(!told.zones().contains_key(&zone));
         // It returns cold: each line with a later start.
         let back = (0..12_000).map(up).filter(|l| l.entry.zone == zone);
-        let back = back.map(|l| Target { entry: Entry { ready_at_ms: 5e9, ..l.entry }, ..l }).collect();
+        let back = back.map(|l| Target { entry: ListEntry { ready_at_ms: 5e9, ..l.entry }, ..l }).collect();
         told.take(&subset.take(ListKind::Changes, back));
         assert_eq!(told.up(), before);
         assert!(
@@ -314,7 +314,7 @@
     let drains: Vec<Target> = told
         .0
         .values()
-        .map(|e| Target { entry: Entry { health: Health::Draining, ..*e }, ..up(0) })
+        .map(|e| Target { entry: ListEntry { health: Health::Draining, ..*e }, ..up(0) })
         .collect();
     let drained: BTreeSet<BackendId> = drains.iter().map(|l| l.entry.backend).collect();
     told.take(&subset.take(ListKind::Changes, drains));
