--- a/src/interface.rs
+++ b/src/interface.rs
@@ -251,12 +251,12 @@
 
 impl Settings {
     /// How many nodes send to a backend: what all may send it together each divides by them.
-    pub fn holders(&self) -> u32 {
+    pub fn nodes_per_backend(&self) -> u32 {
         self.held_by.unwrap_or(self.instances).max(1)
     }
 
     /// The longest aim of all classes.
-    pub fn longest_aim_ms(&self) -> f64 {
+    pub fn max_aim_ms(&self) -> f64 {
         self.classes.iter().map(|c| c.aim_ms).fold(0.0, f64::max)
     }
 
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -536,7 +536,7 @@
         json["list"] = json!({"version": self.version.get(), "backends": subset.listed, "up": subset.up,
             "held": subset.held, "joined": subset.joined, "left_out": subset.left_out, "too_long": self.too_long.get(),
             "late": self.late_lists.get(),
-            "held_by": core.balancer.settings().holders()});
+            "held_by": core.balancer.settings().nodes_per_backend()});
         json["backends"] = backends.into();
         json["zones"] = zones.into();
         json
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -108,7 +108,7 @@
         offered[over] += cost;
         let chance = self.admission.chance[class][over];
         let let_in = worth > 0.0 && (chance >= 1.0 || self.rng.f64() < chance);
-        let nodes = f64::from(self.s.holders());
+        let nodes = f64::from(self.s.nodes_per_backend());
         let room = self.admission.room * FIRST_CROWD * self.places.len() as f64 / nodes;
         // Where that is a few requests, chance alone exceeds it.
         let room = (room + 3.0 * room.sqrt()).max(1.0) * self.admission.part[class][over];
--- a/src/policy/cap.rs
+++ b/src/policy/cap.rs
@@ -53,7 +53,7 @@
 
 /// The cap of a backend that nothing is known of: two, or eight over all nodes where they are few; where they
 /// are many, their share of 32, lest all of them together flood it before any has learned.
-pub(super) fn first_cap(holders: u32) -> f64 {
-    let nodes = f64::from(holders.max(1));
+pub(super) fn first_cap(nodes_per_backend: u32) -> f64 {
+    let nodes = f64::from(nodes_per_backend.max(1));
     (32.0 / nodes).clamp(0.4, 2.0).max(8.0 / nodes)
 }
--- a/src/policy/fleet.rs
+++ b/src/policy/fleet.rs
@@ -50,7 +50,7 @@
                     id: e.backend,
                     cold_since: ready,
                     cold_tokens: self.rng.f64(),
-                    cap: Cap { limit: first_cap(self.s.holders()), ..Cap::default() },
+                    cap: Cap { limit: first_cap(self.s.nodes_per_backend()), ..Cap::default() },
                     ..Backend::default()
                 };
                 let i = self.backends.partition_point(|b| b.id < e.backend);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -232,7 +232,7 @@
         let mean = self.learned.get(class).map_or(0.0, |l| l.mean);
         let (floor, elapsed) = match outcome {
             Outcome::Error => (ERRING_FLOOR, elapsed.max(mean)),
-            _ => (0.5 / f64::from(self.s.holders()), elapsed),
+            _ => (0.5 / f64::from(self.s.nodes_per_backend()), elapsed),
         };
         let fleet = self.admission.strain;
         let shrink = 0.5 * strain * (2.0 * fleet / TARGET_STRAIN).min(1.0);
