--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1005,7 +1005,7 @@
             let now = self.now as u64;
             let short = |n: usize| (stable_hash(&self.plan.scenario.tenant[n].name) >> 32) as u32;
             let Some(host) = &self.nodes[node] else { return };
-            let asked = host.balancer.asked();
+            let asked = host.balancer.tenant_request_rates();
             let rates: Vec<(u32, f32)> =
                 asked.iter().enumerate().map(|(n, r)| (short(n), *r as f32)).collect();
             let within = |n: usize| {
--- a/src/balancer_state.rs
+++ b/src/balancer_state.rs
@@ -11,8 +11,8 @@
 
 impl Balancer {
     /// Takes settings on, first or new ones. A class whose number stood for another is learned anew.
-    pub(crate) fn take_on(&mut self, s: Settings) {
-        let same = |i: usize| self.s.classes.get(i) == s.classes.get(i);
+    pub(crate) fn apply_settings(&mut self, s: Settings) {
+        let same = |i: usize| self.settings.classes.get(i) == s.classes.get(i);
         let learned = |i| self.learned.get(i).filter(|_| same(i)).cloned().unwrap_or_default();
         self.learned = (0..s.classes.len()).map(learned).collect();
         let a = &mut self.admission;
@@ -20,16 +20,16 @@
         a.chance.resize(s.classes.len(), [1.0; 2]);
         a.part.resize(s.classes.len(), [1.0; 2]);
         a.tenants.resize(s.tenants.len());
-        self.s = s;
+        self.settings = s;
     }
 
     /// The settings that hold.
     pub fn settings(&self) -> &Settings {
-        &self.s
+        &self.settings
     }
 
     /// Says now and then how many requests were refused, by what, and how the fleet looked from here.
-    pub(crate) fn tell(&mut self, now: f64, out: &mut Vec<Action>) {
+    pub(crate) fn log_counters(&mut self, now: f64, out: &mut Vec<Action>) {
         let Some(counters) = self.counters.take(now) else { return };
         out.push(Action::Log(LogNote::Stopped(Box::new((counters, self.load_snapshot(now))))));
     }
@@ -47,7 +47,7 @@
     }
 
     /// Goes on from that.
-    pub(crate) fn go_on_from(&mut self, memory: &Memory) {
+    pub(crate) fn restore_memory(&mut self, memory: &Memory) {
         self.warm.most = self.warm.most.max(memory.warm_rate);
         for k in &memory.backends {
             let Some(i) = self.find(k.backend) else { continue };
@@ -62,8 +62,8 @@
     }
 
     /// Requests a second that each tenant asks of this node, by index.
-    pub fn asked(&self) -> Vec<f64> {
-        (0..self.s.tenants.len()).map(|t| self.admission.tenants.at(t)).collect()
+    pub fn tenant_request_rates(&self) -> Vec<f64> {
+        (0..self.settings.tenants.len()).map(|t| self.admission.tenants.at(t)).collect()
     }
 
     /// How the fleet looks from here.
@@ -90,7 +90,7 @@
             trial_at_ms: b.record.congested.then_some(b.record.prat),
             cap: b.cap.limit,
             in_flight: b.in_flight,
-            cold: now - b.cold_since < self.s.cold_ms,
+            cold: now - b.cold_since < self.settings.cold_ms,
             pressure: b.load.at(now, self.pressure),
         };
         BalancerSnapshot {
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -593,7 +593,7 @@
 
     /// Requests a second that tenants ask of this node, by their number.
     pub fn asked(&self) -> Vec<f64> {
-        self.core.borrow().balancer.asked()
+        self.core.borrow().balancer.tenant_request_rates()
     }
 
     /// The backend with that short id, if this start of it, or any, is listed.
@@ -910,7 +910,7 @@
     /// The last look at an attempt: how it ends unsent, if it must not go.
     fn bars(&self, errand: &Errand, id: RequestId, attempt: u32) -> Option<Outcome> {
         self.strays(errand.backend, errand.address)
-            .or_else(|| self.core.borrow().balancer.bars(self.clock.now_ms(), id, attempt))
+            .or_else(|| self.core.borrow().balancer.check_before_send(self.clock.now_ms(), id, attempt))
     }
 
     /// Whoever is connected there is not, or not any more, the backend that is meant.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -74,15 +74,16 @@
         let mut order: Vec<(f64, usize, usize)> = Vec::new();
         let served = |l: &ClassStatistics| if l.asked > 0.0 { l.served / l.asked } else { 1.0 };
         let worst = self.learned.iter().map(served).fold(1.0, f64::min);
-        let work = |l: &ClassStatistics| if self.s.worth_by_work { 1.0 } else { l.mean.max(1.0) };
-        let total: f64 = self.learned.iter().zip(&self.s.classes).map(|(l, c)| l.asked * c.worth).sum();
-        for (i, (l, c)) in self.learned.iter().zip(&self.s.classes).enumerate() {
+        let work = |l: &ClassStatistics| if self.settings.worth_by_work { 1.0 } else { l.mean.max(1.0) };
+        let total: f64 =
+            self.learned.iter().zip(&self.settings.classes).map(|(l, c)| l.asked * c.worth).sum();
+        for (i, (l, c)) in self.learned.iter().zip(&self.settings.classes).enumerate() {
             let own = (l.asked * c.worth).max(1e-9);
             let near = (1.0 - (served(l) - worst) / 0.05).max(0.0);
-            let gain = (self.s.goal.whole + self.s.goal.worst_window) / total.max(1e-9)
-                + self.s.goal.worst_class * near / own;
+            let gain = (self.settings.goal.whole + self.settings.goal.worst_window) / total.max(1e-9)
+                + self.settings.goal.worst_class * near / own;
             for over in 0..2 {
-                let part = if over == 1 { self.s.over_share_worth } else { 1.0 };
+                let part = if over == 1 { self.settings.over_share_worth } else { 1.0 };
                 order.push((c.worth * gain * part / work(l), i, over));
             }
         }
@@ -108,11 +109,11 @@
         offered[over] += cost;
         let chance = self.admission.chance[class][over];
         let let_in = worth > 0.0 && (chance >= 1.0 || self.rng.f64() < chance);
-        let nodes = f64::from(self.s.nodes_per_backend());
+        let nodes = f64::from(self.settings.nodes_per_backend());
         let room = self.admission.room * FIRST_CROWD * self.places.len() as f64 / nodes;
         // Where that is a few requests, chance alone exceeds it.
         let room = (room + 3.0 * room.sqrt()).max(1.0) * self.admission.part[class][over];
-        let crowded = self.s.reporting != Reporting::None && f64::from(self.in_flight) + 1.0 > room;
+        let crowded = self.settings.reporting != Reporting::None && f64::from(self.in_flight) + 1.0 > room;
         self.admission.crowded |= crowded;
         if crowded || !let_in {
             self.counters.stop(if let_in { StopReason::Room } else { StopReason::Level });
@@ -122,14 +123,15 @@
 
     /// Over its share: by chance, as often as the tenant's traffic exceeds this node's part of its quota.
     pub(super) fn over_share(&mut self, tenant: Option<usize>) -> bool {
-        let Some((i, quota)) = tenant.and_then(|t| self.s.tenants.get(t).map(|q| (t, q.quota_rps))) else {
+        let Some((i, quota)) = tenant.and_then(|t| self.settings.tenants.get(t).map(|q| (t, q.quota_rps)))
+        else {
             return false;
         };
         self.admission.tenants.note(i);
         if let Some(part) = self.shared.within.get(i).copied().flatten() {
             return self.rng.f64() > part;
         }
-        let own = quota / f64::from(self.s.instances.max(1));
+        let own = quota / f64::from(self.settings.instances.max(1));
         let rate = self.admission.tenants.at(i);
         own > 0.0 && rate > own && self.rng.f64() > own / rate
     }
--- a/src/policy/cold.rs
+++ b/src/policy/cold.rs
@@ -17,10 +17,10 @@
     /// `fall_multiple` times its present capacity; chance is allowed for: the mean plus three
     /// deviations stay below.
     pub(super) fn cold_rate(&self, now: f64, index: usize) -> f64 {
-        let part = ramp(&self.s, now - self.backends[index].cold_since);
-        let seconds = self.s.fall_ms / 1000.0;
-        let all = f64::from(self.s.nodes_per_backend());
-        let budget = self.s.fall_multiple * part * self.warm.most * all * seconds / COLD_KEY_WORK;
+        let part = ramp(&self.settings, now - self.backends[index].cold_since);
+        let seconds = self.settings.fall_ms / 1000.0;
+        let all = f64::from(self.settings.nodes_per_backend());
+        let budget = self.settings.fall_multiple * part * self.warm.most * all * seconds / COLD_KEY_WORK;
         let root = ((18.0 + 4.0 * budget).sqrt() - 18.0_f64.sqrt()) / 2.0;
         (root * root / seconds / all).min(part * self.warm.most)
     }
--- a/src/policy/fleet.rs
+++ b/src/policy/fleet.rs
@@ -11,7 +11,7 @@
 impl Balancer {
     /// The calls of all nodes that start at once are spread over this long.
     pub(super) fn ask_spread(&self) -> f64 {
-        (ASK_SPACING * f64::from(self.s.instances)).min(self.s.must_ask_in_ms / 2.0)
+        (ASK_SPACING * f64::from(self.settings.instances)).min(self.settings.must_ask_in_ms / 2.0)
     }
 
     pub(crate) fn find(&self, id: BackendId) -> Option<usize> {
@@ -30,8 +30,10 @@
             // is four times as long after a failed call. What waits in vain keeps the service busy too.
             self.ask_failures = (self.ask_failures + 1).min(5);
             let least = self.tick_span().max(self.ask_spread());
-            let most =
-                (self.s.must_ask_in_ms / 2.0).max(4.0 * least).min(2.0 * self.s.must_ask_in_ms).max(1.0);
+            let most = (self.settings.must_ask_in_ms / 2.0)
+                .max(4.0 * least)
+                .min(2.0 * self.settings.must_ask_in_ms)
+                .max(1.0);
             let wait = (least * f64::from(1_u32 << self.ask_failures)).min(most);
             out.push(Action::Timer { token: ASK, at_ms: now + wait * (0.5 + 0.5 * self.rng.f64()) });
             return;
@@ -50,7 +52,7 @@
                     id: e.backend,
                     cold_since: ready,
                     cold_tokens: self.rng.f64(),
-                    cap: Cap { limit: first_cap(self.s.nodes_per_backend()), ..Cap::default() },
+                    cap: Cap { limit: first_cap(self.settings.nodes_per_backend()), ..Cap::default() },
                     ..Backend::default()
                 };
                 let i = self.backends.partition_point(|b| b.id < e.backend);
@@ -60,7 +62,7 @@
             let b = &mut self.backends[index];
             if ready > b.cold_since {
                 // A new start: what the old process did says nothing of this one.
-                if now - ready < self.s.cold_ms {
+                if now - ready < self.settings.cold_ms {
                     b.cold_tokens = self.rng.f64();
                 }
                 b.cold_since = ready;
@@ -85,7 +87,7 @@
     /// and at every outcome there, and at each tick for half the time allowed after either.
     pub(super) fn close_idle(&mut self, now: f64, index: usize, out: &mut Vec<Action>) {
         let b = &mut self.backends[index];
-        if let Some(within) = self.s.drain_close_ms.filter(|_| !b.up) {
+        if let Some(within) = self.settings.drain_close_ms.filter(|_| !b.up) {
             b.close_until = now + within / 2.0;
             out.push(Action::CloseIdleConnections(b.id));
         }
--- a/src/policy/gates.rs
+++ b/src/policy/gates.rs
@@ -8,15 +8,16 @@
     /// The gate of every send: the four rules, whatever the picking wants.
     pub(super) fn may_send(&self, now: f64, open: &OpenRequest, index: usize) -> bool {
         let b = &self.backends[index];
-        (open.attempts.len() as u32) < self.s.max_attempts
-            && (self.s.second_copies || !open.out())
-            && (now - b.cold_since >= self.s.cold_ms || b.cold_tokens + self.cold_gain(now, index) >= 1.0)
+        (open.attempts.len() as u32) < self.settings.max_attempts
+            && (self.settings.second_copies || !open.out())
+            && (now - b.cold_since >= self.settings.cold_ms
+                || b.cold_tokens + self.cold_gain(now, index) >= 1.0)
             && self.stands(now, open, usize::MAX, b)
     }
 
     /// The last look, after every wait and right before an attempt's first byte: none where it goes, else
     /// how it ends unsent.
-    pub fn bars(&self, now: f64, id: RequestId, attempt: u32) -> Option<Outcome> {
+    pub fn check_before_send(&self, now: f64, id: RequestId, attempt: u32) -> Option<Outcome> {
         let Some(open) = self.open.get(&id) else { return Some(Outcome::Skipped) };
         let n = attempt as usize;
         let backend = open.attempts.get(n).and_then(|a| self.find(a.backend)).map(|i| &self.backends[i]);
@@ -27,19 +28,20 @@
     /// What may end while an attempt waits for its connection: its backend's stay, its client's, its time,
     /// and the window of a repeat.
     fn stands(&self, now: f64, open: &OpenRequest, attempt: usize, b: &Backend) -> bool {
-        let window = self.s.classes.get(open.request.class).map_or(0.0, |c| c.key_ttl_ms);
-        let effect_kept = match (open.may_have_run_beside(attempt), self.s.effect(open.request.class)) {
-            (None, _) | (Some(_), Effect::Safe) => true,
-            (Some(_), Effect::Unsafe) => false,
-            (Some(a), Effect::Keyed(group)) => {
-                let same = match group {
-                    Group::All => true,
-                    Group::Zone => a.zone == b.zone,
-                    Group::Cell => a.cell == b.cell,
-                };
-                same && now < a.sent + window
-            }
-        };
+        let window = self.settings.classes.get(open.request.class).map_or(0.0, |c| c.key_ttl_ms);
+        let effect_kept =
+            match (open.may_have_run_beside(attempt), self.settings.effect(open.request.class)) {
+                (None, _) | (Some(_), Effect::Safe) => true,
+                (Some(_), Effect::Unsafe) => false,
+                (Some(a), Effect::Keyed(group)) => {
+                    let same = match group {
+                        Group::All => true,
+                        Group::Zone => a.zone == b.zone,
+                        Group::Cell => a.cell == b.cell,
+                    };
+                    same && now < a.sent + window
+                }
+            };
         !open.finished && now < open.request.deadline_ms && b.up && effect_kept
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -37,7 +37,7 @@
 /// See the crate's page for an example.
 #[derive(Debug)]
 pub struct Balancer {
-    pub(crate) s: Settings,
+    pub(crate) settings: Settings,
     rng: fastrand::Rng,
     pub(crate) backends: Vec<Backend>,
     places: Vec<Place>,
@@ -91,9 +91,9 @@
             warm: DecayingPeak::default(),
             ticked: 0.0,
             ask_failures: 0,
-            s: settings.clone(),
+            settings: settings.clone(),
         };
-        balancer.take_on(settings);
+        balancer.apply_settings(settings);
         Ok(balancer)
     }
 
@@ -103,7 +103,7 @@
             Event::Start => {
                 self.ticked = now;
                 out.push(Action::Timer { token: TICK, at_ms: now + self.tick_span() });
-                if self.s.discovery == Discovery::OnRequest {
+                if self.settings.discovery == Discovery::OnRequest {
                     // The list that is known serves meanwhile.
                     let wait = self.ask_spread() * self.rng.f64();
                     out.push(Action::Timer { token: ASK, at_ms: now + wait });
@@ -112,7 +112,7 @@
             Event::List { kind, entries } => self.on_list(now, kind, &entries, out),
             Event::Request(r) => self.on_request(now, r, out),
             Event::AttemptEnded(e) => self.on_ended(now, &e, out),
-            Event::Memory(memory) => self.go_on_from(&memory),
+            Event::Memory(memory) => self.restore_memory(&memory),
             Event::ClientLeft(id) => self.on_left(id, out),
             Event::Timer(TICK) => self.on_tick(now, out),
             Event::Timer(ASK) => out.push(Action::Watch(true)),
@@ -128,25 +128,25 @@
             Event::ResponseStarted { id, attempt, elapsed_ms, .. } => {
                 self.on_started(now, id, attempt, elapsed_ms)
             }
-            Event::Settings(s) if s.check().is_ok() => self.take_on(*s),
+            Event::Settings(s) if s.check().is_ok() => self.apply_settings(*s),
             Event::Timer(_) | Event::Settings(_) => {}
         }
     }
 
     /// Housekeeping comes ten times within a fall window or so, never faster than twenty batches.
     fn tick_span(&self) -> f64 {
-        (self.s.fall_ms / 6.0).max(20.0 * self.s.tick_ms).max(1.0)
+        (self.settings.fall_ms / 6.0).max(20.0 * self.settings.tick_ms).max(1.0)
     }
 
     fn on_tick(&mut self, now: f64, out: &mut Vec<Action>) {
         let seconds = ((now - self.ticked) / 1000.0).max(1e-3);
         out.push(Action::Timer { token: TICK, at_ms: now + self.tick_span() });
-        let cold = |b: &Backend| now - b.cold_since < self.s.cold_ms;
+        let cold = |b: &Backend| now - b.cold_since < self.settings.cold_ms;
         // What a warm backend can serve for this node is the yardstick of the cold budget. What it serves
         // now may be less, where little is asked or where time-outs are all that a crowd leaves of it: the
         // most that was seen counts, and fades within a cold time.
         let warm = self.backends.iter().filter(|b| b.up && !b.record.congested && !cold(b)).count();
-        self.warm.tick(seconds, warm, self.s.cold_ms);
+        self.warm.tick(seconds, warm, self.settings.cold_ms);
         for i in 0..self.backends.len() {
             let gain = self.cold_gain(now, i);
             let b = &mut self.backends[i];
@@ -154,14 +154,14 @@
         }
         self.ticked = now;
         self.keys.fade(seconds);
-        self.near.tick(seconds, self.s.prices.cross_zone);
+        self.near.tick(seconds, self.settings.prices.cross_zone);
         self.place(now);
         let up = self.backends.iter().filter(|b| b.up).count().max(1) as f64;
         let shut = |b: &&Backend| b.up && (b.record.congested || b.cap.blocks(now, b.in_flight));
         self.admission.blocked = self.backends.iter().filter(shut).count() as f64 / up;
         self.admission_tick(seconds);
         out.extend(self.shared.spilled.drain(..).map(Action::ShareObservation));
-        self.tell(now, out);
+        self.log_counters(now, out);
         out.extend(
             self.backends
                 .iter()
@@ -169,7 +169,7 @@
                 .map(|b| Action::CloseIdleConnections(b.id)),
         );
         // Trials by probe, one at a time, for backends past their PRAT.
-        if self.s.probes {
+        if self.settings.probes {
             for b in self.backends.iter_mut().filter(|b| b.up && b.record.trial_due(now)) {
                 b.record.trial_out = true;
                 out.push(Action::Probe(b.id));
--- a/src/policy/near.rs
+++ b/src/policy/near.rs
@@ -59,8 +59,8 @@
         self.zones = weights;
         self.place(now);
         let first = out.len();
-        for open in self.open.values().filter(|o| self.s.may_cancel && !o.finished) {
-            let safe = self.s.effect(open.request.class) == Effect::Safe;
+        for open in self.open.values().filter(|o| self.settings.may_cancel && !o.finished) {
+            let safe = self.settings.effect(open.request.class) == Effect::Safe;
             out.extend(open.cancel(|a| safe && self.left(a.zone)));
         }
         // A map has no order that another process would find again.
@@ -77,6 +77,6 @@
 
     /// Whether a send to this zone crosses, where that has a price.
     pub(super) fn far(&self, zone: u16) -> bool {
-        self.s.prices.cross_zone > 0.0 && self.s.zone.is_some_and(|own| own != zone)
+        self.settings.prices.cross_zone > 0.0 && self.settings.zone.is_some_and(|own| own != zone)
     }
 }
--- a/src/policy/peers.rs
+++ b/src/policy/peers.rs
@@ -15,7 +15,7 @@
 impl Balancer {
     /// Whether one node meets a backend too seldom to learn of it alone. Then nodes tell each other.
     pub(super) fn seldom(&self) -> bool {
-        self.s.peer_messages && self.s.instances > 1 && self.meets_few()
+        self.settings.peer_messages && self.settings.instances > 1 && self.meets_few()
     }
 
     pub(super) fn meets_few(&self) -> bool {
--- a/src/policy/pick.rs
+++ b/src/policy/pick.rs
@@ -24,8 +24,9 @@
     /// Rebuilds the table that keyed candidates are looked up in.
     pub(super) fn place(&mut self, now: f64) {
         let near = |b: &Backend| if self.far(b.zone) { self.near.weight } else { 1.0 };
-        let ramp =
-            |b: &Backend| cold::ramp(&self.s, now - b.cold_since) * near(b) * self.zone_weight(b.zone);
+        let ramp = |b: &Backend| {
+            cold::ramp(&self.settings, now - b.cold_since) * near(b) * self.zone_weight(b.zone)
+        };
         self.places = (self.backends.iter().enumerate())
             .filter(|(_, b)| b.up)
             .map(|(index, b)| Place {
@@ -82,7 +83,7 @@
         // A spilled key is work anew at a backend that has not met it: spills keep to a budget.
         // It is strain on its zone, too, though no outcome shows it.
         let far = self.backends.get(first).is_none_or(|b| self.far(b.zone));
-        if self.s.warm_keys && self.admission.spill < 1.0 {
+        if self.settings.warm_keys && self.admission.spill < 1.0 {
             self.near.note(far, 1.0);
             return None;
         }
@@ -125,8 +126,8 @@
     /// Neither congested, nor capped, nor out of cold budget, nor tried before by this request.
     pub(super) fn usable(&self, now: f64, open: &OpenRequest, index: usize) -> bool {
         let b = &self.backends[index];
-        let repeats = || gates::repeats(self.s.classes.get(open.request.class));
-        let trial = || !self.s.probes && b.record.trial_due(now) && repeats();
+        let repeats = || gates::repeats(self.settings.classes.get(open.request.class));
+        let trial = || !self.settings.probes && b.record.trial_due(now) && repeats();
         (!b.record.congested || trial())
             && (!self.left(b.zone) || repeats())
             && !b.cap.blocks(now, b.in_flight)
--- a/src/policy/record.rs
+++ b/src/policy/record.rs
@@ -47,16 +47,16 @@
 impl Balancer {
     /// N: half of the time a restart takes to warm, so that a failure is forgotten before its cause recurs.
     pub(super) fn window(&self) -> f64 {
-        (self.s.cold_ms / 2.0).max(2.0 * self.s.max_aim_ms())
+        (self.settings.cold_ms / 2.0).max(2.0 * self.settings.max_aim_ms())
     }
 
     /// t: the longest aim at first, doubled by each failed trial, a quarter of the cold time at most.
     pub(super) fn pause(&mut self, failed_trials: u32) -> f64 {
-        let most = (self.s.cold_ms / 4.0).max(self.s.max_aim_ms());
-        let t = (self.s.max_aim_ms() * f64::from(1_u32 << failed_trials.min(6))).min(most);
+        let most = (self.settings.cold_ms / 4.0).max(self.settings.max_aim_ms());
+        let t = (self.settings.max_aim_ms() * f64::from(1_u32 << failed_trials.min(6))).min(most);
         // Nodes that tell each other trip together: whoever tries first spares the others their trial.
         let spread =
-            if self.seldom() { TRIAL_SPACING * f64::from(self.s.nodes_per_backend()) } else { 0.0 };
+            if self.seldom() { TRIAL_SPACING * f64::from(self.settings.nodes_per_backend()) } else { 0.0 };
         t * (0.75 + 0.5 * self.rng.f64()) + spread * self.rng.f64()
     }
 
--- a/src/policy/refusal.rs
+++ b/src/policy/refusal.rs
@@ -11,7 +11,7 @@
             return;
         }
         open.finished = true;
-        let effect = self.s.effect(open.request.class);
+        let effect = self.settings.effect(open.request.class);
         let none_ran = open.may_have_run().is_none();
         let harmless = none_ran || matches!(effect, Effect::Safe | Effect::Keyed(Group::All));
         let aim = (open.aim_at - open.arrived).max(1.0);
@@ -31,7 +31,7 @@
         let open = up().any(|b| !b.record.congested);
         let prat = up().map(|b| b.record.prat).fold(f64::INFINITY, f64::min);
         let wait = if open || !prat.is_finite() { 0.0 } else { (prat - now).max(0.0) };
-        let t = aim.min(self.s.max_retry_after_ms / 2.0);
-        (wait + t * (1.0 + self.rng.f64())).min(self.s.max_retry_after_ms)
+        let t = aim.min(self.settings.max_retry_after_ms / 2.0);
+        (wait + t * (1.0 + self.rng.f64())).min(self.settings.max_retry_after_ms)
     }
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -15,7 +15,7 @@
 impl Balancer {
     pub(super) fn on_request(&mut self, now: f64, request: Request, out: &mut Vec<Action>) {
         let given = (request.deadline_ms - now).max(0.0);
-        let class = self.s.classes.get(request.class);
+        let class = self.settings.classes.get(request.class);
         let (aim, deadline) = class.map_or((given, given), |c| (c.aim_ms, c.deadline_ms));
         let mut worth = class.map_or(1.0, |c| c.worth);
         let late_worth = class.map_or(0.0, |c| c.late_worth);
@@ -28,7 +28,7 @@
         }
         let over = self.over_share(request.tenant);
         if over {
-            worth *= self.s.over_share_worth;
+            worth *= self.settings.over_share_worth;
         }
         if age >= aim {
             worth *= late_worth;
@@ -69,7 +69,7 @@
         };
         let gain = self.cold_gain(now, index);
         let Some(open) = self.open.get_mut(&id) else { return };
-        let class = self.s.classes.get(open.request.class);
+        let class = self.settings.classes.get(open.request.class);
         let late = class.is_some_and(|c| c.late_worth > 0.0);
         let end = if late && self.admission.level > 0.95 { open.request.deadline_ms } else { open.aim_at };
         let mut timeout = end.min(open.request.deadline_ms) - now;
@@ -81,14 +81,14 @@
                 timeout = timeout.min(l.mean + 4.0 * l.spread);
             }
         }
-        if timeout < self.s.tick_ms {
+        if timeout < self.settings.tick_ms {
             return self.answer(now, id, out);
         }
         b.in_flight += 1;
         self.in_flight += 1;
         let trial = b.record.congested;
         b.record.trial_out |= trial;
-        if now - b.cold_since < self.s.cold_ms {
+        if now - b.cold_since < self.settings.cold_ms {
             b.cold_tokens = b.cold_tokens.min(1.0 - gain) - 1.0;
         }
         let (backend, zone, cell) = (b.id, b.zone, b.cell);
@@ -109,7 +109,7 @@
     pub(super) fn on_left(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get_mut(&id) else { return };
         open.finished = true;
-        if self.s.may_cancel {
+        if self.settings.may_cancel {
             out.extend(open.cancel(|_| true));
         }
         if !open.out() {
@@ -125,23 +125,23 @@
         let elapsed = if e.elapsed_ms.is_finite() { e.elapsed_ms } else { now - a.sent }.max(0.0);
         a.out = false;
         self.in_flight = self.in_flight.saturating_sub(u32::from(!a.begun));
-        a.never_ran = gates::never_ran(&self.s, outcome);
+        a.never_ran = gates::never_ran(&self.settings, outcome);
         self.counters.end(outcome);
         open.finished |= e.last;
         let (backend, timeout, trial, class) = (a.backend, a.timeout, a.trial, open.request.class);
         let in_aim = outcome == Outcome::Done && now <= open.aim_at;
         let worth = open.worth;
         // A time-out that was noticed long after it was due is this node's own stall.
-        let own_stall = elapsed > timeout + 20.0 * self.s.tick_ms;
+        let own_stall = elapsed > timeout + 20.0 * self.settings.tick_ms;
         if let Some(i) = self.find(backend) {
             self.backends[i].in_flight = self.backends[i].in_flight.saturating_sub(1);
             self.close_idle(now, i, out);
             // A backend that fails or refuses fast looks idle: its failures count as full pressure, but only
             // where answers bring reports, which alone lower it again.
             let heard = match outcome {
-                Outcome::Done => pressed(&e.load, self.s.aim_ms(class)),
+                Outcome::Done => pressed(&e.load, self.settings.aim_ms(class)),
                 Outcome::Cancelled | Outcome::Skipped | Outcome::Rejected => None,
-                _ => Some(1.0).filter(|_| self.s.reporting == Reporting::Answers),
+                _ => Some(1.0).filter(|_| self.settings.reporting == Reporting::Answers),
             };
             if let Some(value) = heard {
                 self.backends[i].load.hear(now, self.pressure, value);
@@ -172,7 +172,7 @@
             return;
         }
         // Further attempts multiply load: each takes from a budget, less where nothing ran.
-        let price = if gates::never_ran(&self.s, outcome) { 0.25 } else { 1.0 };
+        let price = if gates::never_ran(&self.settings, outcome) { 0.25 } else { 1.0 };
         if self.admission.retry >= price && outcome != Outcome::Skipped && now < open.aim_at {
             self.admission.retry -= price;
             self.attempt(now, id, out);
@@ -201,10 +201,10 @@
         {
             l.answer(elapsed);
         }
-        if outcome == Outcome::Done && now - self.backends[i].cold_since >= self.s.cold_ms {
+        if outcome == Outcome::Done && now - self.backends[i].cold_since >= self.settings.cold_ms {
             self.warm.note();
         }
-        let aim = self.s.aim_ms(class);
+        let aim = self.settings.aim_ms(class);
         let strain = match outcome {
             Outcome::Done if in_aim => {
                 // Strain starts half-way, as ratios go, from the class's usual time to its aim: holding
@@ -232,7 +232,7 @@
         let mean = self.learned.get(class).map_or(0.0, |l| l.mean);
         let (floor, elapsed) = match outcome {
             Outcome::Error => (ERRING_FLOOR, elapsed.max(mean)),
-            _ => (0.5 / f64::from(self.s.nodes_per_backend()), elapsed),
+            _ => (0.5 / f64::from(self.settings.nodes_per_backend()), elapsed),
         };
         let fleet = self.admission.strain;
         let shrink = 0.5 * strain * (2.0 * fleet / TARGET_STRAIN).min(1.0);
--- a/src/policy/shared.rs
+++ b/src/policy/shared.rs
@@ -70,7 +70,7 @@
 
     /// Where a key is known to be, if a candidate, none or one that is cold, would have to learn it.
     pub(super) fn placed(&self, now: f64, key: Option<u64>, candidate: Option<usize>) -> Option<usize> {
-        let warm = |i: &usize| now - self.backends[*i].cold_since >= self.s.cold_ms;
+        let warm = |i: &usize| now - self.backends[*i].cold_since >= self.settings.cold_ms;
         let place = self.shared.placed.get(&((key? >> 32) as u32)).filter(|place| place.1 > now)?;
         self.find(place.0).filter(|i| warm(i) && !candidate.as_ref().is_some_and(warm))
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -390,7 +390,7 @@
                         && asked.answer.is_none()
                         && at < asked.request.deadline_ms
                         && may_repeat(&self.s, &self.list, asked, n, sent.backend, at);
-                    let bars = self.balancer.bars(at, *id, n as u32);
+                    let bars = self.balancer.check_before_send(at, *id, n as u32);
                     assert_eq!(bars.is_none(), goes, "{id:?}, attempt {n}, at {at}: {bars:?}");
                     // Neither may have run, and only a backend that leaves is held against it.
                     let unsent = if up { Outcome::Skipped } else { Outcome::NotConnected };
