--- a/src/policy/fleet.rs
+++ b/src/policy/backend_list.rs
@@ -1,6 +1,6 @@
 //! The list of backends: who is on it, when it is asked for again, and when what drains is let go of.
 
-use super::cap::{Cap, first_cap};
+use super::concurrency_cap::{Cap, first_cap};
 use super::{ASK, Balancer};
 use crate::interface::{Action, BackendId, Health, ListEntry, ListKind};
 use crate::request_table::Backend;
--- a/src/policy/record.rs
+++ b/src/policy/failure_record.rs
@@ -13,7 +13,7 @@
 
 /// The failure record: failures and tries in a window of buckets, and the congested state with its PRAT.
 #[derive(Debug, Default)]
-pub(crate) struct Record {
+pub(crate) struct FailureRecord {
     pub(super) window: FailureWindow,
     /// Failures since the last answer of any kind.
     pub(super) doubt: u32,
@@ -28,7 +28,7 @@
     pub(super) told: bool,
 }
 
-impl Record {
+impl FailureRecord {
     pub(super) fn note(&mut self, now: f64, window: f64, failed: bool) {
         self.window.note(now, window, failed);
         self.doubt = if failed { self.doubt.saturating_add(1) } else { 0 };
@@ -40,7 +40,11 @@
 
     pub(super) fn revive(&mut self) {
         self.window.clear();
-        *self = Record { window: std::mem::take(&mut self.window), told: self.told, ..Record::default() };
+        *self = FailureRecord {
+            window: std::mem::take(&mut self.window),
+            told: self.told,
+            ..FailureRecord::default()
+        };
     }
 }
 
--- a/src/policy/near.rs
+++ b/src/policy/locality.rs
@@ -19,19 +19,19 @@
 
 /// Strain here and beyond, and the weight that it has led to.
 #[derive(Debug)]
-pub(super) struct Nearness {
+pub(super) struct Locality {
     pub(super) weight: f64,
     /// Of the own zone and of the others.
     strain: [OutcomeBalance; 2],
 }
 
-impl Default for Nearness {
-    fn default() -> Nearness {
-        Nearness { weight: LEAST, strain: Default::default() }
+impl Default for Locality {
+    fn default() -> Locality {
+        Locality { weight: LEAST, strain: Default::default() }
     }
 }
 
-impl Nearness {
+impl Locality {
     /// An outcome's strain, near or far.
     pub(super) fn note(&mut self, far: bool, strain: f64) {
         self.strain[usize::from(far)].note(1.0 - strain, strain, 1.0);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,17 +4,17 @@
 //! `may_send`, every refusal `answer`.
 
 mod admission;
-mod cap;
-mod cold;
-mod fleet;
-mod gates;
-mod near;
-mod peers;
-mod pick;
-mod record;
+mod backend_list;
+mod concurrency_cap;
+mod failure_record;
+mod locality;
+mod peer_messages;
 mod refusal;
-mod requests;
-mod shared;
+mod request_lifecycle;
+mod selection;
+mod send_rules;
+mod shared_state;
+mod slow_start;
 
 use crate::counters::AdmissionCounters;
 use crate::interface::{Action, Discovery, Event, Outcome, RequestId, Settings, SettingsError};
@@ -22,11 +22,11 @@
 use crate::request_table::{Backend, OpenRequest};
 use crate::statistics::{ClassStatistics, DecayingPeak, KeyCounts};
 use admission::Admission;
-pub(crate) use cap::Cap;
-use near::Nearness;
-use pick::Place;
-pub(crate) use record::Record;
-use shared::Shared;
+pub(crate) use concurrency_cap::Cap;
+pub(crate) use failure_record::FailureRecord;
+use locality::Locality;
+use selection::Place;
+use shared_state::Shared;
 use std::collections::HashMap;
 
 const TICK: u64 = 1;
@@ -44,7 +44,7 @@
     open: HashMap<RequestId, OpenRequest>,
     pub(crate) learned: Vec<ClassStatistics>,
     keys: KeyCounts,
-    near: Nearness,
+    near: Locality,
     /// Part of its usual weight that each zone has.
     zones: Vec<f64>,
     shared: Shared,
@@ -79,7 +79,7 @@
             open: HashMap::new(),
             learned: Vec::new(),
             keys: KeyCounts::new(),
-            near: Nearness::default(),
+            near: Locality::default(),
             zones: Vec::new(),
             shared: Shared::default(),
             admission: Admission { level: 1.0, room: 1.0, retry: 3.0, spill: 3.0, ..Admission::default() },
--- a/src/policy/requests.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,8 +1,8 @@
 //! The life of a request: it comes, is tried, fails, is tried again, and ends; and what each end teaches.
 
 use super::admission::TARGET_STRAIN;
-use super::peers::TOLD_ANSWERS;
-use super::{Balancer, gates};
+use super::peer_messages::TOLD_ANSWERS;
+use super::{Balancer, send_rules};
 use crate::counters::StopReason;
 use crate::interface::{Action, AttemptEnded, Outcome, Reporting, Request, RequestId};
 use crate::news::News;
@@ -77,7 +77,7 @@
         if let Some(l) = self.learned.get(open.request.class).filter(|l| l.seen >= 20) {
             // n is short where the backend is in doubt and a repeat is allowed: a silent one costs little.
             let doubt = b.record.congested || b.record.doubt > 0;
-            if doubt && gates::repeats(class) && self.admission.retry >= 1.0 {
+            if doubt && send_rules::repeats(class) && self.admission.retry >= 1.0 {
                 timeout = timeout.min(l.mean + 4.0 * l.spread);
             }
         }
@@ -125,7 +125,7 @@
         let elapsed = if e.elapsed_ms.is_finite() { e.elapsed_ms } else { now - a.sent }.max(0.0);
         a.out = false;
         self.in_flight = self.in_flight.saturating_sub(u32::from(!a.begun));
-        a.never_ran = gates::never_ran(&self.settings, outcome);
+        a.never_ran = send_rules::never_ran(&self.settings, outcome);
         self.counters.end(outcome);
         open.finished |= e.last;
         let (backend, timeout, trial, class) = (a.backend, a.timeout, a.trial, open.request.class);
@@ -172,7 +172,7 @@
             return;
         }
         // Further attempts multiply load: each takes from a budget, less where nothing ran.
-        let price = if gates::never_ran(&self.settings, outcome) { 0.25 } else { 1.0 };
+        let price = if send_rules::never_ran(&self.settings, outcome) { 0.25 } else { 1.0 };
         if self.admission.retry >= price && outcome != Outcome::Skipped && now < open.aim_at {
             self.admission.retry -= price;
             self.attempt(now, id, out);
--- a/src/policy/pick.rs
+++ b/src/policy/selection.rs
@@ -1,6 +1,6 @@
 //! Picking: two candidates by the request's key, the freer of them, and the spill where both are blocked.
 
-use super::{Balancer, cold, gates};
+use super::{Balancer, send_rules, slow_start};
 use crate::interface::{Observation, RequestId};
 use crate::request_table::{Backend, OpenRequest};
 use crate::statistics::mix_bits;
@@ -25,7 +25,7 @@
     pub(super) fn place(&mut self, now: f64) {
         let near = |b: &Backend| if self.far(b.zone) { self.near.weight } else { 1.0 };
         let ramp = |b: &Backend| {
-            cold::ramp(&self.settings, now - b.cold_since) * near(b) * self.zone_weight(b.zone)
+            slow_start::ramp(&self.settings, now - b.cold_since) * near(b) * self.zone_weight(b.zone)
         };
         self.places = (self.backends.iter().enumerate())
             .filter(|(_, b)| b.up)
@@ -126,7 +126,7 @@
     /// Neither congested, nor capped, nor out of cold budget, nor tried before by this request.
     pub(super) fn usable(&self, now: f64, open: &OpenRequest, index: usize) -> bool {
         let b = &self.backends[index];
-        let repeats = || gates::repeats(self.settings.classes.get(open.request.class));
+        let repeats = || send_rules::repeats(self.settings.classes.get(open.request.class));
         let trial = || !self.settings.probes && b.record.trial_due(now) && repeats();
         (!b.record.congested || trial())
             && (!self.left(b.zone) || repeats())
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -2,7 +2,7 @@
 //! back. It decides nothing.
 
 use crate::interface::{Action, BackendId, Request};
-use crate::policy::{Cap, Record};
+use crate::policy::{Cap, FailureRecord};
 use crate::statistics::Pressure;
 
 /// One backend as this node knows it.
@@ -22,7 +22,7 @@
     pub(crate) cold_since: f64,
     /// Work that the cold budget allowed at the last tick, less what was sent since, in mean requests.
     pub(crate) cold_tokens: f64,
-    pub(crate) record: Record,
+    pub(crate) record: FailureRecord,
     pub(crate) cap: Cap,
     pub(crate) load: Pressure,
 }
