--- a/src/bin/daleturn-sim.rs
+++ b/src/bin/daleturn-sim.rs
@@ -40,7 +40,7 @@
         let who = line.int("who")?;
         match line.name {
             "provision" => {
-                let (settings, names) = settings(line.need("config")?)?;
+                let (settings, names) = settings(line.required("config")?)?;
                 let balancer = Balancer::new(settings, line.int("prng")?)?;
                 self.instances.insert(who, Instance { names, balancer });
                 self.feed(who, now, Event::Start);
@@ -49,7 +49,7 @@
                 self.instances.remove(&who);
             }
             "update" => {
-                let kind = list_kind(line.need("form")?)?;
+                let kind = list_kind(line.required("form")?)?;
                 let count = if kind == ListKind::Failed { 0 } else { line.int("elements")? };
                 let mut entries = Vec::new();
                 for _ in 0..count {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -75,13 +75,13 @@
     }
 
     /// A field that must be there.
-    pub fn need(&self, field: &'static str) -> Result<&'a str, WireError> {
+    pub fn required(&self, field: &'static str) -> Result<&'a str, WireError> {
         self.get(field).ok_or(WireError::Missing(field))
     }
 
     /// A whole number that must be there.
     pub fn int(&self, field: &'static str) -> Result<u64, WireError> {
-        self.need(field)?.parse().map_err(|_| bad(field, "not a whole number"))
+        self.required(field)?.parse().map_err(|_| bad(field, "not a whole number"))
     }
 
     fn time(&self, field: &'static str) -> Result<f64, WireError> {
@@ -196,14 +196,14 @@
 
     /// Reads one `backend` line of a list.
     pub fn entry(&mut self, line: &Line<'_>) -> Result<ListEntry, WireError> {
-        let health = match line.need("health")? {
+        let health = match line.required("health")? {
             "U" => Health::Up,
             "L" => Health::Draining,
             "D" => Health::Gone,
             other => return Err(bad("health", format!("unknown value {other:?}"))),
         };
         Ok(ListEntry {
-            backend: self.backend(line.need("backend")?),
+            backend: self.backend(line.required("backend")?),
             zone: self.zone(line.get("locality")),
             cell: match line.get("pod") {
                 Some(p) => p.parse().map_err(|_| bad("pod", "not a whole number"))?,
@@ -223,7 +223,7 @@
         Ok(match line.name {
             "demand" => Event::Request(Request {
                 id: id()?,
-                class: self.class(line.need("priority")?),
+                class: self.class(line.required("priority")?),
                 tenant: line.get("userGroup").and_then(|t| self.tenant(t)),
                 key: line.get("nameKey").map(stable_hash),
                 deadline_ms: line.time("deadlineMs")?,
@@ -233,8 +233,8 @@
             "result" => Event::AttemptEnded(AttemptEnded {
                 id: id()?,
                 attempt: attempt()?,
-                backend: self.backend(line.need("backend")?),
-                outcome: outcome(line.need("disposition")?)?,
+                backend: self.backend(line.required("backend")?),
+                outcome: outcome(line.required("disposition")?)?,
                 last: line.flag("last"),
                 elapsed_ms: line.opt_time("elapsedMs")?.unwrap_or(0.0),
                 load: load(line)?,
@@ -242,20 +242,20 @@
             "begun" => Event::ResponseStarted {
                 id: id()?,
                 attempt: attempt()?,
-                backend: self.backend(line.need("backend")?),
+                backend: self.backend(line.required("backend")?),
                 elapsed_ms: line.opt_time("elapsedMs")?.unwrap_or(0.0),
             },
             "left" => Event::ClientLeft(id()?),
             "alarm" => Event::Timer(line.int("keyBack")?),
             "probed" => Event::ProbeEnded {
-                backend: self.backend(line.need("backend")?),
-                outcome: outcome(line.need("disposition")?)?,
+                backend: self.backend(line.required("backend")?),
+                outcome: outcome(line.required("disposition")?)?,
                 elapsed_ms: line.opt_time("elapsedMs")?.unwrap_or(0.0),
                 load: load(line)?,
             },
             "inbox" => Event::PeerMessage {
                 from: u32::try_from(line.int("sender")?).map_err(|_| bad("sender", "too large"))?,
-                bytes: unhex(line.need("msg")?)?,
+                bytes: unhex(line.required("msg")?)?,
             },
             other => return Err(WireError::Unknown(other.to_owned())),
         })
