--- a/src/bin/daleturn-sim.rs
+++ b/src/bin/daleturn-sim.rs
@@ -37,11 +37,11 @@
         entry: &mut dyn FnMut() -> Result<String, Box<dyn Error>>,
     ) -> Result<(), Box<dyn Error>> {
         let line = Line::parse(text)?;
-        let who = line.int("who")?;
+        let who = line.required_u64("who")?;
         match line.name {
             "provision" => {
                 let (settings, names) = settings(line.required("config")?)?;
-                let balancer = Balancer::new(settings, line.int("prng")?)?;
+                let balancer = Balancer::new(settings, line.required_u64("prng")?)?;
                 self.instances.insert(who, Instance { names, balancer });
                 self.feed(who, now, Event::Start);
             }
@@ -50,7 +50,7 @@
             }
             "update" => {
                 let kind = list_kind(line.required("form")?)?;
-                let count = if kind == ListKind::Failed { 0 } else { line.int("elements")? };
+                let count = if kind == ListKind::Failed { 0 } else { line.required_u64("elements")? };
                 let mut entries = Vec::new();
                 for _ in 0..count {
                     let next = entry()?;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -80,7 +80,7 @@
     }
 
     /// A whole number that must be there.
-    pub fn int(&self, field: &'static str) -> Result<u64, WireError> {
+    pub fn required_u64(&self, field: &'static str) -> Result<u64, WireError> {
         self.required(field)?.parse().map_err(|_| bad(field, "not a whole number"))
     }
 
@@ -217,9 +217,11 @@
 
     /// Reads an event other than `provision`, `shutdown` and `update`.
     pub fn event(&mut self, line: &Line<'_>) -> Result<Event, WireError> {
-        let id = || line.int("requestId").map(RequestId);
-        let attempt =
-            || line.int("attempt").and_then(|a| u32::try_from(a).map_err(|_| bad("attempt", "too large")));
+        let id = || line.required_u64("requestId").map(RequestId);
+        let attempt = || {
+            line.required_u64("attempt")
+                .and_then(|a| u32::try_from(a).map_err(|_| bad("attempt", "too large")))
+        };
         Ok(match line.name {
             "demand" => Event::Request(Request {
                 id: id()?,
@@ -246,7 +248,7 @@
                 elapsed_ms: line.opt_time("elapsedMs")?.unwrap_or(0.0),
             },
             "left" => Event::ClientLeft(id()?),
-            "alarm" => Event::Timer(line.int("keyBack")?),
+            "alarm" => Event::Timer(line.required_u64("keyBack")?),
             "probed" => Event::ProbeEnded {
                 backend: self.backend(line.required("backend")?),
                 outcome: outcome(line.required("disposition")?)?,
@@ -254,7 +256,8 @@
                 load: load(line)?,
             },
             "inbox" => Event::PeerMessage {
-                from: u32::try_from(line.int("sender")?).map_err(|_| bad("sender", "too large"))?,
+                from: u32::try_from(line.required_u64("sender")?)
+                    .map_err(|_| bad("sender", "too large"))?,
                 bytes: unhex(line.required("msg")?)?,
             },
             other => return Err(WireError::Unknown(other.to_owned())),
