--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,7 +1,7 @@
 //! The hunt: draws schedules of faults over a scenario, plays them in virtual time, and looks for a broken rule or a
 //! collapse. What it finds is shrunk to the few troubles that matter.
 
-use crate::scenario::{Kind, LEAST_RESTART_S, Scenario, Trouble};
+use crate::scenario::{Fault, FaultKind, LEAST_RESTART_S, Scenario};
 use crate::sim::{SimError, Simulated, simulate};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -42,55 +42,55 @@
 }
 
 /// A trouble drawn for a scenario.
-fn trouble(rng: &mut ChaCha8Rng, s: &Scenario) -> Trouble {
-    const KINDS: [Kind; 15] = [
-        Kind::ServerSlow,
-        Kind::ServerSilent,
-        Kind::ServerErrors,
-        Kind::ServerResets,
-        Kind::ServerDown,
-        Kind::ServerVanish,
-        Kind::ServerPauses,
-        Kind::ServerRestart,
-        Kind::LinkCut,
-        Kind::LinkOneWay,
-        Kind::PeerLoss,
-        Kind::NodeKill,
-        Kind::DiscoveryDown,
-        Kind::DiscoverySlow,
-        Kind::Burst,
+fn trouble(rng: &mut ChaCha8Rng, s: &Scenario) -> Fault {
+    const KINDS: [FaultKind; 15] = [
+        FaultKind::ServerSlow,
+        FaultKind::ServerSilent,
+        FaultKind::ServerErrors,
+        FaultKind::ServerResets,
+        FaultKind::ServerDown,
+        FaultKind::ServerVanish,
+        FaultKind::ServerPauses,
+        FaultKind::ServerRestart,
+        FaultKind::LinkCut,
+        FaultKind::LinkOneWay,
+        FaultKind::PeerLoss,
+        FaultKind::NodeKill,
+        FaultKind::DiscoveryDown,
+        FaultKind::DiscoverySlow,
+        FaultKind::Burst,
     ];
     let kind = KINDS.choose(rng).copied().unwrap_or_default();
     let end = (s.seconds - QUIET_S[1]).max(QUIET_S[0] + 1.0);
     let at_s = rng.random_range(QUIET_S[0]..end);
-    let least = if kind == Kind::ServerRestart { LEAST_RESTART_S } else { 0.5 };
+    let least = if kind == FaultKind::ServerRestart { LEAST_RESTART_S } else { 0.5 };
     let for_s = rng.random_range(0.5..6.0_f64).min(end - at_s + 0.5).max(least);
     let zone =
         |rng: &mut ChaCha8Rng| format!("zone:{}", s.fleet.zones[rng.random_range(0..s.fleet.zones.len())]);
     let part = |rng: &mut ChaCha8Rng| format!("part:{:.2}", rng.random_range(0.05..0.5));
     let (mut on, mut to, mut size) = (Vec::new(), Vec::new(), 0.0);
     match kind {
-        Kind::NodeKill => on.push(part(rng)),
-        Kind::LinkCut | Kind::LinkOneWay => {
+        FaultKind::NodeKill => on.push(part(rng)),
+        FaultKind::LinkCut | FaultKind::LinkOneWay => {
             on.push(zone(rng));
             to.push(["servers", "nodes", "discovery"].choose(rng).copied().unwrap_or("nodes").to_owned());
         }
-        Kind::PeerLoss => size = rng.random_range(0.1..0.9),
-        Kind::DiscoverySlow => size = rng.random_range(2.0..20.0),
-        Kind::Burst => size = rng.random_range(1.2..2.5),
-        Kind::DiscoveryDown => {}
+        FaultKind::PeerLoss => size = rng.random_range(0.1..0.9),
+        FaultKind::DiscoverySlow => size = rng.random_range(2.0..20.0),
+        FaultKind::Burst => size = rng.random_range(1.2..2.5),
+        FaultKind::DiscoveryDown => {}
         _ => {
             on.push(if rng.random_bool(0.4) { zone(rng) } else { part(rng) });
             size = match kind {
-                Kind::ServerSlow => rng.random_range(2.0..15.0),
-                Kind::ServerPauses => rng.random_range(50.0..600.0),
+                FaultKind::ServerSlow => rng.random_range(2.0..15.0),
+                FaultKind::ServerPauses => rng.random_range(50.0..600.0),
                 _ => rng.random_range(0.1..1.0),
             };
         }
     }
     let words = |all: Vec<String>| all.into_iter().map(word).collect();
     let round = |v: f64| (v * 100.0).round() / 100.0;
-    Trouble {
+    Fault {
         at_s: round(at_s),
         for_s: round(for_s),
         kind,
--- a/crates/lab/src/judge.rs
+++ b/crates/lab/src/judge.rs
@@ -2,7 +2,7 @@
 //! and when, never what a node says of itself; it has no I/O and no clock, and forgets what is over.
 
 use crate::plan::{Arrival, Plan};
-use crate::scenario::{Expect, Kind, Repeat};
+use crate::scenario::{Expect, FaultKind, Repeat};
 use crate::stats::autocorrelation;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -568,7 +568,7 @@
     }
 
     /// Something is wrong from here on, until then.
-    pub fn trouble(&mut self, kind: Kind, number: usize, at: f64, until: f64) {
+    pub fn trouble(&mut self, kind: FaultKind, number: usize, at: f64, until: f64) {
         let kind = format!("{kind:?}");
         self.troubles.push(Trouble { name: format!("{number} {kind}"), at, until });
     }
@@ -1148,7 +1148,7 @@
                 j.served(at + 10.0, number);
             }
         }
-        j.trouble(Kind::Mark, 0, 5000.0, 8000.0);
+        j.trouble(FaultKind::Mark, 0, 5000.0, 8000.0);
         let f = j.figures();
         // 9.0 to 10.0 s is one good second only, with the bad stretch behind it.
         assert_eq!(f.recover_ms[0].1, Some(2400.0));
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -1,6 +1,6 @@
 //! What a seed decides of a day: machines, who is met by which trouble, and every client's arrival, ahead of time.
 
-use crate::scenario::{Kind, Scenario};
+use crate::scenario::{FaultKind, Scenario};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -34,7 +34,7 @@
 
 /// A trouble with its members drawn.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct PlannedFault {
     /// Its place in the scenario.
     pub number: usize,
     /// When it begins, in milliseconds of the day.
@@ -42,7 +42,7 @@
     /// When it ends; none where it has no length.
     pub until_ms: Option<f64>,
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Whom it meets.
     pub on: Ends,
     /// The other end of a link.
@@ -98,11 +98,11 @@
 
 /// What passes between a node and a party, by all faults of links. Where a fault names no other end, all that it
 /// does not name is meant.
-pub fn passing(faults: &[&Fault], node: usize, party: &dyn Fn(&Ends) -> bool) -> Passing {
+pub fn passing(faults: &[&PlannedFault], node: usize, party: &dyn Fn(&Ends) -> bool) -> Passing {
     let mut all = Passing::FREE;
     for f in faults {
-        let one_way = f.kind == Kind::LinkOneWay;
-        if !matches!(f.kind, Kind::LinkCut | Kind::LinkOneWay | Kind::LinkDelay) {
+        let one_way = f.kind == FaultKind::LinkOneWay;
+        if !matches!(f.kind, FaultKind::LinkCut | FaultKind::LinkOneWay | FaultKind::LinkDelay) {
             continue;
         }
         let other = f.to == Ends::default();
@@ -110,7 +110,7 @@
         let node_to = if other { !node_on } else { f.to.nodes.contains(&node) };
         let party_to = if other { !party_on } else { party(&f.to) };
         let (from_node, to_node) = (node_on && party_to, party_on && node_to);
-        if f.kind == Kind::LinkDelay {
+        if f.kind == FaultKind::LinkDelay {
             if from_node || to_node {
                 all.delay_ms += f.size.max(0.0);
             }
@@ -134,7 +134,7 @@
     /// Zone of each node.
     pub node_zones: Vec<usize>,
     /// The troubles, in the order of their beginnings.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<PlannedFault>,
     /// First tries a second, in usual times.
     pub rate: f64,
 }
@@ -196,16 +196,16 @@
             let at_ms = t.at_s * 1000.0;
             let until_ms = (t.for_s > 0.0).then_some(at_ms + t.for_s * 1000.0);
             let (size, say) = (t.size, t.say.clone());
-            plan.faults.push(Fault { number, at_ms, until_ms, kind: t.kind, on, to, size, say });
+            plan.faults.push(PlannedFault { number, at_ms, until_ms, kind: t.kind, on, to, size, say });
         }
         plan.faults.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         plan
     }
 
     /// Adds what a word names: servers or nodes by what the trouble meets, everything of a zone for a link.
-    fn name(&self, word: &str, kind: Kind, draws: &mut ChaCha8Rng, ends: &mut Ends) {
+    fn name(&self, word: &str, kind: FaultKind, draws: &mut ChaCha8Rng, ends: &mut Ends) {
         let of_nodes = kind.of_nodes();
-        let link = matches!(kind, Kind::LinkCut | Kind::LinkOneWay | Kind::LinkDelay);
+        let link = matches!(kind, FaultKind::LinkCut | FaultKind::LinkOneWay | FaultKind::LinkDelay);
         let (servers, nodes) = (self.machines.len(), self.node_zones.len());
         let zones = self.scenario.fleet.zones.len();
         match word {
@@ -267,23 +267,26 @@
 
     /// How many times as often clients of a zone and tenant come at a moment.
     fn factor(&self, at_ms: f64, zone: usize, tenant: usize) -> f64 {
-        let on = |f: &&Fault| at_ms >= f.at_ms && f.until_ms.is_none_or(|u| at_ms < u);
+        let on = |f: &&PlannedFault| at_ms >= f.at_ms && f.until_ms.is_none_or(|u| at_ms < u);
         self.faults.iter().filter(on).fold(1.0, |all, f| match f.kind {
-            Kind::Burst => all * f.size,
-            Kind::ZoneBurst if f.on.clients.contains(&zone) => all * f.size,
-            Kind::TenantFlood if self.scenario.tenant[tenant].name == f.say => all * f.size,
+            FaultKind::Burst => all * f.size,
+            FaultKind::ZoneBurst if f.on.clients.contains(&zone) => all * f.size,
+            FaultKind::TenantFlood if self.scenario.tenant[tenant].name == f.say => all * f.size,
             _ => all,
         })
     }
 
     fn most(&self) -> f64 {
-        let more = |f: &Fault| matches!(f.kind, Kind::Burst | Kind::ZoneBurst | Kind::TenantFlood);
+        let more = |f: &PlannedFault| {
+            matches!(f.kind, FaultKind::Burst | FaultKind::ZoneBurst | FaultKind::TenantFlood)
+        };
         self.faults.iter().filter(|f| more(f)).map(|f| f.size.max(1.0)).product()
     }
 
     /// Part of the clients that a trouble of theirs meets.
-    fn part(&self, kind: Kind, at_ms: f64) -> f64 {
-        let on = |f: &&Fault| f.kind == kind && at_ms >= f.at_ms && f.until_ms.is_none_or(|u| at_ms < u);
+    fn part(&self, kind: FaultKind, at_ms: f64) -> f64 {
+        let on =
+            |f: &&PlannedFault| f.kind == kind && at_ms >= f.at_ms && f.until_ms.is_none_or(|u| at_ms < u);
         self.faults.iter().filter(on).map(|f| f.size).fold(0.0, f64::max)
     }
 
@@ -344,13 +347,13 @@
             let hinted = self.rng.random::<f64>() < s.load.hints;
             let rough = 0.7 + 0.6 * self.rng.random::<f64>();
             let honours = self.rng.random::<f64>() < s.load.honour;
-            let slow = self.rng.random::<f64>() < self.plan.part(Kind::SlowClients, self.at_ms);
+            let slow = self.rng.random::<f64>() < self.plan.part(FaultKind::SlowClients, self.at_ms);
             let kept = self.rng.random::<f64>() < self.plan.factor(self.at_ms, zone, tenant) / most;
             if !kept {
                 continue;
             }
             // No draw where there are none: the days of before stay as they are.
-            let wrong = self.plan.part(Kind::WrongRequests, self.at_ms);
+            let wrong = self.plan.part(FaultKind::WrongRequests, self.at_ms);
             let wrong = wrong > 0.0 && self.rng.random::<f64>() < wrong;
             self.number += 1;
             let hint_ms = hinted.then_some(work_ms * rough);
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -12,8 +12,8 @@
 mod timer;
 
 use crate::judge::{Figures, Judge, Rule, Verdict};
-use crate::plan::{Arrival, Ends, Fault, Passing, Plan, mix, passing, unit};
-use crate::scenario::{Kind, Scenario, What};
+use crate::plan::{Arrival, Ends, Passing, Plan, PlannedFault, mix, passing, unit};
+use crate::scenario::{FaultKind, Scenario, What};
 use clients::Clients;
 use daleturn_store::rehearse::Orders;
 use discovery::Discovery;
@@ -238,7 +238,7 @@
 
     /// Whether disks of this day fail or lose power: then nodes are told to rehearse that.
     fn rehearses(&self) -> bool {
-        self.plan.faults.iter().any(|f| f.kind == Kind::NodePowerLoss || f.kind.of_disks())
+        self.plan.faults.iter().any(|f| f.kind == FaultKind::NodePowerLoss || f.kind.of_disks())
     }
 
     /// The id of a client's try.
@@ -520,7 +520,7 @@
     }
 }
 
-fn name(fault: &Fault) -> String {
+fn name(fault: &PlannedFault) -> String {
     let kind = serde_json::to_value(fault.kind).ok().and_then(|v| v.as_str().map(str::to_owned));
     let servers = fault.on.servers.iter().map(|s| format!("s{s}"));
     let nodes = fault.on.nodes.iter().map(|n| format!("n{n}"));
@@ -536,7 +536,7 @@
 }
 
 impl Troubles {
-    async fn meet(self: Arc<Self>, fault: Fault) {
+    async fn meet(self: Arc<Self>, fault: PlannedFault) {
         self.world.until(fault.at_ms).await;
         lock(&self.active).insert(fault.number);
         let day = self.world.plan.length_ms();
@@ -554,47 +554,49 @@
     fn apply(&self) {
         let world = &self.world;
         let active = lock(&self.active).clone();
-        let faults: Vec<&Fault> = world.plan.faults.iter().filter(|f| active.contains(&f.number)).collect();
+        let faults: Vec<&PlannedFault> =
+            world.plan.faults.iter().filter(|f| active.contains(&f.number)).collect();
         for (n, host) in world.hosts.iter().enumerate() {
             let here = || faults.iter().filter(|f| f.on.servers.contains(&n));
-            let is = |kind: Kind| here().any(|f| f.kind == kind);
-            let most = |kind: Kind| here().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max);
+            let is = |kind: FaultKind| here().any(|f| f.kind == kind);
+            let most =
+                |kind: FaultKind| here().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max);
             let r = &world.plan.scenario.release;
             let bad = world.releases.on_new(n)
                 && (0..world.hosts.len()).filter(|s| world.releases.on_new(*s)).count() >= r.bad_from;
             let (slower, errors) = if bad { (r.slower, r.errors) } else { (1.0, 0.0) };
             host.model(|m| {
-                m.pace = 1.0 / most(Kind::ServerSlow).max(1.0).max(slower);
-                m.taken = most(Kind::ServerNeighbour).clamp(0.0, 0.99);
-                m.pause_ms = most(Kind::ServerPauses).clamp(0.0, 990.0);
+                m.pace = 1.0 / most(FaultKind::ServerSlow).max(1.0).max(slower);
+                m.taken = most(FaultKind::ServerNeighbour).clamp(0.0, 0.99);
+                m.pause_ms = most(FaultKind::ServerPauses).clamp(0.0, 990.0);
             });
             host.wrong(|w| {
-                w.silent = is(Kind::ServerSilent);
-                w.errors = most(Kind::ServerErrors).max(errors);
-                w.resets = most(Kind::ServerResets);
-                w.full = is(Kind::ServerFull);
-                w.report_late_ms = most(Kind::ServerReportsLate) * 1000.0;
+                w.silent = is(FaultKind::ServerSilent);
+                w.errors = most(FaultKind::ServerErrors).max(errors);
+                w.resets = most(FaultKind::ServerResets);
+                w.full = is(FaultKind::ServerFull);
+                w.report_late_ms = most(FaultKind::ServerReportsLate) * 1000.0;
             });
             for node in 0..world.nodes.len() {
                 if let Some(link) = host.link(node) {
-                    link.double(is(Kind::ServerTwice));
+                    link.double(is(FaultKind::ServerTwice));
                     let party = |e: &Ends| e.servers.contains(&n);
                     let mut passing = passing(&faults, node, &party);
-                    if is(Kind::ServerVanish) {
+                    if is(FaultKind::ServerVanish) {
                         passing = Passing { there: false, back: false, ..passing };
                     }
                     link.set(passing);
-                    host.door(node, is(Kind::ServerVanish));
+                    host.door(node, is(FaultKind::ServerVanish));
                 }
             }
         }
         if let Some(discovery) = world.discovery() {
-            let is = |kind: Kind| faults.iter().any(|f| f.kind == kind);
-            let slow = faults.iter().filter(|f| f.kind == Kind::DiscoverySlow).map(|f| f.size);
+            let is = |kind: FaultKind| faults.iter().any(|f| f.kind == kind);
+            let slow = faults.iter().filter(|f| f.kind == FaultKind::DiscoverySlow).map(|f| f.size);
             let slow = slow.fold(1.0, f64::max);
             discovery.sick(|s| {
-                s.down = is(Kind::DiscoveryDown);
-                s.silent = is(Kind::DiscoverySilent);
+                s.down = is(FaultKind::DiscoveryDown);
+                s.silent = is(FaultKind::DiscoverySilent);
                 s.slow = slow;
             });
             for node in 0..world.nodes.len() {
@@ -612,13 +614,14 @@
         if world.rehearses() {
             for (n, node) in world.nodes.iter().enumerate() {
                 let here = || faults.iter().filter(|f| f.on.nodes.contains(&n));
-                let is = |kind: Kind| here().any(|f| f.kind == kind);
-                let slow = here().filter(|f| f.kind == Kind::DiskSlow).map(|f| f.size).fold(0.0, f64::max);
+                let is = |kind: FaultKind| here().any(|f| f.kind == kind);
+                let slow =
+                    here().filter(|f| f.kind == FaultKind::DiskSlow).map(|f| f.size).fold(0.0, f64::max);
                 let orders = Orders {
                     sync_ms: slow.max(0.0) as u64,
-                    full: is(Kind::DiskFull),
-                    broken: is(Kind::DiskBroken),
-                    read_only: is(Kind::DiskReadOnly),
+                    full: is(FaultKind::DiskFull),
+                    broken: is(FaultKind::DiskBroken),
+                    read_only: is(FaultKind::DiskReadOnly),
                 };
                 if let Err(e) = node.disk(orders) {
                     let now = world.now();
@@ -639,12 +642,13 @@
                     }
                 }
             }
-            let most =
-                |kind: Kind| faults.iter().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max);
+            let most = |kind: FaultKind| {
+                faults.iter().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max)
+            };
             peers.wrong(|w| {
                 w.cut = cut;
-                w.loss = most(Kind::PeerLoss);
-                w.double = most(Kind::PeerDouble);
+                w.loss = most(FaultKind::PeerLoss);
+                w.double = most(FaultKind::PeerDouble);
             });
         }
     }
@@ -670,22 +674,22 @@
         self.world.plan.machines.get(server).map(|m| m.name.clone()).unwrap_or_default()
     }
 
-    async fn begin(&self, fault: &Fault) {
+    async fn begin(&self, fault: &PlannedFault) {
         let world = &self.world;
         for &s in &fault.on.servers {
             let Some(host) = world.host(s) else { continue };
             match fault.kind {
-                Kind::ServerDown => {
+                FaultKind::ServerDown => {
                     host.down(false);
                     self.notice(s, self.server_name(s), "removed", 0, 1.0);
                 }
-                Kind::ServerVanish => {
+                FaultKind::ServerVanish => {
                     host.down(true);
                     // A machine that says nothing is noticed late.
                     self.notice(s, self.server_name(s), "removed", 0, 3.0);
                 }
-                Kind::ServerDrain => self.notice(s, self.server_name(s), "draining", 0, 0.0),
-                Kind::ServerRestart => {
+                FaultKind::ServerDrain => self.notice(s, self.server_name(s), "draining", 0, 0.0),
+                FaultKind::ServerRestart => {
                     self.notice(s, self.server_name(s), "draining", 0, 0.0);
                     let (host, own) = (host.clone(), self.notice_later(s));
                     tokio::spawn(async move {
@@ -694,7 +698,7 @@
                         own();
                     });
                 }
-                Kind::ServerReplace => {
+                FaultKind::ServerReplace => {
                     host.down(false);
                     self.notice(s, self.server_name(s), "removed", 0, 0.0);
                     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -708,12 +712,12 @@
         for &n in &fault.on.nodes {
             let Some(node) = world.nodes.get(n).cloned() else { continue };
             let done = match fault.kind {
-                Kind::NodeKill => {
+                FaultKind::NodeKill => {
                     node.excuse(true);
                     node.kill().await;
                     Ok(())
                 }
-                Kind::NodePowerLoss => {
+                FaultKind::NodePowerLoss => {
                     node.excuse(true);
                     node.kill().await;
                     let mut draws = 0_u64;
@@ -725,20 +729,20 @@
                     node.lose_power(draw)
                         .map_err(|e| format!("the disk of node {n} after its power loss: {e}"))
                 }
-                Kind::NodeFreeze => {
+                FaultKind::NodeFreeze => {
                     node.excuse(true);
                     node.freeze(true);
                     Ok(())
                 }
-                Kind::NodeStop => node.stop().await,
-                Kind::NodeUpgrade => {
+                FaultKind::NodeStop => node.stop().await,
+                FaultKind::NodeUpgrade => {
                     if let Some(next) = &self.next {
                         node.program(next);
                     }
                     node.upgrade(world).await
                 }
-                Kind::NodeReload => node.reload(world).map_err(|e| e.to_string()),
-                Kind::NodeCall => self.say(&node, &fault.say).await,
+                FaultKind::NodeReload => node.reload(world).map_err(|e| e.to_string()),
+                FaultKind::NodeCall => self.say(&node, &fault.say).await,
                 _ => Ok(()),
             };
             if let Err(why) = done {
@@ -746,28 +750,28 @@
                 lock(&world.judge).breach(Rule::Crash, now, why);
             }
         }
-        if fault.kind == Kind::NodeCrashes {
+        if fault.kind == FaultKind::NodeCrashes {
             tokio::spawn(crashes(world.clone(), fault.clone(), until(world, fault)));
         }
         let release = match fault.kind {
-            Kind::Release => world.releases.start(world).map_err(|e| e.to_string()),
-            Kind::ReleaseKill => {
+            FaultKind::Release => world.releases.start(world).map_err(|e| e.to_string()),
+            FaultKind::ReleaseKill => {
                 world.releases.kill().await;
                 Ok(())
             }
-            Kind::ReleaseFreeze => {
+            FaultKind::ReleaseFreeze => {
                 world.releases.freeze(true);
                 Ok(())
             }
-            Kind::ReleaseOrder => world.releases.order(&fault.say).await,
-            Kind::ReleaseSecond => world.releases.second(world).await,
+            FaultKind::ReleaseOrder => world.releases.order(&fault.say).await,
+            FaultKind::ReleaseSecond => world.releases.second(world).await,
             _ => Ok(()),
         };
         if let Err(why) = release {
             let now = world.now();
             lock(&world.judge).breach(Rule::Crash, now, why);
         }
-        if fault.kind == Kind::DiscoveryMove {
+        if fault.kind == FaultKind::DiscoveryMove {
             let Some(discovery) = world.discovery() else { return };
             if discovery.open(world).is_ok() {
                 for node in &world.nodes {
@@ -812,34 +816,34 @@
         answer.map(drop).map_err(|e| format!("node {} to {words:?}: {e}", node.number))
     }
 
-    async fn end(&self, fault: &Fault) {
+    async fn end(&self, fault: &PlannedFault) {
         let world = &self.world;
         match fault.kind {
-            Kind::ReleaseKill => {
+            FaultKind::ReleaseKill => {
                 if let Err(e) = world.releases.start(world) {
                     let now = world.now();
                     lock(&world.judge).breach(Rule::Crash, now, format!("the next controller: {e}"));
                 }
             }
-            Kind::ReleaseFreeze => world.releases.freeze(false),
+            FaultKind::ReleaseFreeze => world.releases.freeze(false),
             _ => {}
         }
         for &s in &fault.on.servers {
             let Some(host) = world.host(s) else { continue };
             match fault.kind {
-                Kind::ServerDown | Kind::ServerVanish | Kind::ServerRestart => {
+                FaultKind::ServerDown | FaultKind::ServerVanish | FaultKind::ServerRestart => {
                     host.start_cold(world.now());
                     self.notice(s, self.server_name(s), "up", World::boot_ms(), 1.0);
                 }
-                Kind::ServerDrain => self.notice(s, self.server_name(s), "up", 0, 0.0),
+                FaultKind::ServerDrain => self.notice(s, self.server_name(s), "up", 0, 0.0),
                 _ => {}
             }
         }
         for &n in &fault.on.nodes {
             let Some(node) = world.nodes.get(n) else { continue };
             match fault.kind {
-                Kind::NodeKill | Kind::NodePowerLoss | Kind::NodeStop => again(world, node),
-                Kind::NodeFreeze => {
+                FaultKind::NodeKill | FaultKind::NodePowerLoss | FaultKind::NodeStop => again(world, node),
+                FaultKind::NodeFreeze => {
                     node.freeze(false);
                     node.woke_ms.store(world.now().max(0.0).ceil() as u64, Ordering::SeqCst);
                     node.excuse(false);
@@ -869,13 +873,13 @@
 }
 
 /// When a trouble is over.
-fn until(world: &World, fault: &Fault) -> f64 {
+fn until(world: &World, fault: &PlannedFault) -> f64 {
     let day = world.plan.length_ms();
     fault.until_ms.unwrap_or(if lasts(fault.kind) { day } else { fault.at_ms })
 }
 
 /// Kills one node after the other, each at a drawn moment of its part of the time, and starts it again at once.
-async fn crashes(world: Arc<World>, fault: Fault, until: f64) {
+async fn crashes(world: Arc<World>, fault: PlannedFault, until: f64) {
     let times = fault.size.max(0.0) as usize;
     let step = (until - fault.at_ms) / times.max(1) as f64;
     for n in 0..times {
@@ -892,22 +896,22 @@
 }
 
 /// Whether a trouble without a length lasts to the day's end.
-fn lasts(kind: Kind) -> bool {
+fn lasts(kind: FaultKind) -> bool {
     !matches!(
         kind,
-        Kind::Mark
-            | Kind::ServerReplace
-            | Kind::NodeKill
-            | Kind::NodePowerLoss
-            | Kind::NodeStop
-            | Kind::NodeUpgrade
-            | Kind::NodeReload
-            | Kind::NodeCall
-            | Kind::DiscoveryMove
-            | Kind::Release
-            | Kind::ReleaseKill
-            | Kind::ReleaseOrder
-            | Kind::ReleaseSecond
+        FaultKind::Mark
+            | FaultKind::ServerReplace
+            | FaultKind::NodeKill
+            | FaultKind::NodePowerLoss
+            | FaultKind::NodeStop
+            | FaultKind::NodeUpgrade
+            | FaultKind::NodeReload
+            | FaultKind::NodeCall
+            | FaultKind::DiscoveryMove
+            | FaultKind::Release
+            | FaultKind::ReleaseKill
+            | FaultKind::ReleaseOrder
+            | FaultKind::ReleaseSecond
     )
 }
 
--- a/crates/lab/src/real/nodes.rs
+++ b/crates/lab/src/real/nodes.rs
@@ -3,7 +3,7 @@
 use super::World;
 use super::addresses::free_address;
 use super::links::{lock, own_ip};
-use crate::scenario::{Kind, Next, What};
+use crate::scenario::{FaultKind, Next, What};
 use crate::settings::settings;
 use daleturn::operator_call::{OperatorCall, call_node};
 use daleturn_store::rehearse::{Orders, after_power_loss, order};
@@ -169,7 +169,7 @@
     /// Whether each node of this day runs under a supervisor.
     fn supervised(world: &World) -> bool {
         world.plan.scenario.release.what == What::Nodes
-            && world.plan.scenario.trouble.iter().any(|t| t.kind == Kind::Release)
+            && world.plan.scenario.trouble.iter().any(|t| t.kind == FaultKind::Release)
     }
 
     /// The supervisor's file, with both versions; where it is called comes back.
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -41,7 +41,7 @@
     /// The release of a new version of the servers, begun by the trouble `release`.
     pub release: Release,
     /// What goes wrong.
-    pub trouble: Vec<Trouble>,
+    pub trouble: Vec<Fault>,
     /// What the day must bring.
     pub expect: Expect,
     /// The product's own configuration, handed to each node as `DALETURN_CONFIG`.
@@ -449,13 +449,13 @@
 /// `[[trouble]]`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Trouble {
+pub struct Fault {
     /// When it begins, in seconds.
     pub at_s: f64,
     /// How long it lasts, in seconds; 0 for once, or to the end.
     pub for_s: f64,
     /// What it is.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Whom it meets: `s3`, `n1`, `zone:monza-a`, `part:0.25`, `all`.
     pub on: Vec<Spanned<String>>,
     /// The other end of a link, where that matters: `servers`, `clients`, `discovery`, `nodes`, or as `on`.
@@ -469,7 +469,7 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Nothing: a mark on the time line.
     #[default]
     Mark,
@@ -565,25 +565,28 @@
     WrongRequests,
 }
 
-impl Kind {
+impl FaultKind {
     /// It meets nodes, not servers.
     pub fn of_nodes(self) -> bool {
         matches!(
             self,
-            Kind::NodeKill
-                | Kind::NodePowerLoss
-                | Kind::NodeCrashes
-                | Kind::NodeFreeze
-                | Kind::NodeStop
-                | Kind::NodeUpgrade
-                | Kind::NodeReload
-                | Kind::NodeCall
+            FaultKind::NodeKill
+                | FaultKind::NodePowerLoss
+                | FaultKind::NodeCrashes
+                | FaultKind::NodeFreeze
+                | FaultKind::NodeStop
+                | FaultKind::NodeUpgrade
+                | FaultKind::NodeReload
+                | FaultKind::NodeCall
         ) || self.of_disks()
     }
 
     /// It meets the disks of nodes.
     pub fn of_disks(self) -> bool {
-        matches!(self, Kind::DiskSlow | Kind::DiskFull | Kind::DiskBroken | Kind::DiskReadOnly)
+        matches!(
+            self,
+            FaultKind::DiskSlow | FaultKind::DiskFull | FaultKind::DiskBroken | FaultKind::DiskReadOnly
+        )
     }
 }
 
@@ -706,7 +709,7 @@
             if !(t.at_s >= 0.0 && t.for_s >= 0.0 && t.size.is_finite()) {
                 return wrong(&key, "at_s and for_s must not be below 0");
             }
-            if t.kind == Kind::ServerRestart && t.for_s < LEAST_RESTART_S {
+            if t.kind == FaultKind::ServerRestart && t.for_s < LEAST_RESTART_S {
                 return wrong(
                     &key,
                     "a server-restart drains for a second first: for_s must be 1.5 at least",
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -3,8 +3,8 @@
 //! own. What a day asks for that is not modelled is refused, not left out.
 
 use crate::judge::{ANSWER_SLACK_MS, Answer, Figures, Judge, Rule, Verdict};
-use crate::plan::{Arrival, Ends, Fault, Plan, mix, passing, unit};
-use crate::scenario::{Backoff, Kind, Repeat, Scenario};
+use crate::plan::{Arrival, Ends, Plan, PlannedFault, mix, passing, unit};
+use crate::scenario::{Backoff, FaultKind, Repeat, Scenario};
 use crate::server::{Admit, Server, spec};
 use crate::settings::settings;
 use daleturn::Balancer;
@@ -47,7 +47,7 @@
 pub enum SimError {
     /// A trouble is not modelled.
     #[error("trouble {0}: {1} is played on real processes only")]
-    Kind(usize, String),
+    UnsupportedFault(usize, String),
     /// Servers have more names than one.
     #[error("fleet.names: {0} is played on real processes only")]
     Names(usize),
@@ -299,30 +299,30 @@
     course: u64,
 }
 
-fn modelled(kind: Kind) -> bool {
+fn modelled(kind: FaultKind) -> bool {
     !matches!(
         kind,
-        Kind::ServerFull
-            | Kind::ServerReportsLate
-            | Kind::ServerReplace
-            | Kind::ServerTwice
-            | Kind::NodeFreeze
-            | Kind::NodeStop
-            | Kind::NodeUpgrade
-            | Kind::NodeReload
-            | Kind::DiscoveryMove
-            | Kind::SlowClients
-            | Kind::WrongRequests
-            | Kind::NodeCrashes
-            | Kind::DiskSlow
-            | Kind::DiskFull
-            | Kind::DiskBroken
-            | Kind::DiskReadOnly
-            | Kind::Release
-            | Kind::ReleaseKill
-            | Kind::ReleaseFreeze
-            | Kind::ReleaseOrder
-            | Kind::ReleaseSecond
+        FaultKind::ServerFull
+            | FaultKind::ServerReportsLate
+            | FaultKind::ServerReplace
+            | FaultKind::ServerTwice
+            | FaultKind::NodeFreeze
+            | FaultKind::NodeStop
+            | FaultKind::NodeUpgrade
+            | FaultKind::NodeReload
+            | FaultKind::DiscoveryMove
+            | FaultKind::SlowClients
+            | FaultKind::WrongRequests
+            | FaultKind::NodeCrashes
+            | FaultKind::DiskSlow
+            | FaultKind::DiskFull
+            | FaultKind::DiskBroken
+            | FaultKind::DiskReadOnly
+            | FaultKind::Release
+            | FaultKind::ReleaseKill
+            | FaultKind::ReleaseFreeze
+            | FaultKind::ReleaseOrder
+            | FaultKind::ReleaseSecond
     )
 }
 
@@ -336,11 +336,14 @@
     }
     let plan = Plan::draw(scenario, seed);
     for fault in &plan.faults {
-        let said = fault.kind == Kind::NodeCall
+        let said = fault.kind == FaultKind::NodeCall
             && !fault.say.split(' ').next().is_some_and(|w| matches!(w, "cordon" | "uncordon" | "zone"));
         if said || !modelled(fault.kind) {
             let name = serde_json::to_value(fault.kind).ok().and_then(|v| v.as_str().map(str::to_owned));
-            return Err(SimError::Kind(fault.number, name.unwrap_or_default() + " " + &fault.say));
+            return Err(SimError::UnsupportedFault(
+                fault.number,
+                name.unwrap_or_default() + " " + &fault.say,
+            ));
         }
     }
     let options =
@@ -565,7 +568,7 @@
         (usual + p.delay_ms, p.there, p.back)
     }
 
-    fn faults(&self) -> Vec<&Fault> {
+    fn faults(&self) -> Vec<&PlannedFault> {
         self.plan.faults.iter().filter(|f| self.active.contains(&f.number)).collect()
     }
 
@@ -905,9 +908,9 @@
         let (loss, range) = (net.peer_loss, net.peer_ms);
         let faults = self.faults();
         let most =
-            |kind: Kind| faults.iter().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max);
+            |kind: FaultKind| faults.iter().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max);
         let cut = !passing(&faults, from, &|e: &Ends| e.nodes.contains(&to)).there;
-        let loss = loss + most(Kind::PeerLoss);
+        let loss = loss + most(FaultKind::PeerLoss);
         let luck: f64 = self.rng.random();
         let ms = range[0] + (range[1] - range[0]) * self.rng.random::<f64>();
         (!cut && luck >= loss).then_some(self.now + ms)
@@ -1075,10 +1078,13 @@
     /// Down, silent, and how many times slower.
     fn discovery_sick(&self) -> (bool, bool, f64) {
         let faults = self.faults();
-        let is = |kind: Kind| faults.iter().any(|f| f.kind == kind);
-        let slow =
-            faults.iter().filter(|f| f.kind == Kind::DiscoverySlow).map(|f| f.size).fold(1.0, f64::max);
-        (is(Kind::DiscoveryDown), is(Kind::DiscoverySilent), slow)
+        let is = |kind: FaultKind| faults.iter().any(|f| f.kind == kind);
+        let slow = faults
+            .iter()
+            .filter(|f| f.kind == FaultKind::DiscoverySlow)
+            .map(|f| f.size)
+            .fold(1.0, f64::max);
+        (is(FaultKind::DiscoveryDown), is(FaultKind::DiscoverySilent), slow)
     }
 
     /// A node's call has its turn at discovery, and an answer or none.
@@ -1166,16 +1172,17 @@
     }
 
     fn apply(&mut self) {
-        let faults: Vec<Fault> = self.faults().into_iter().cloned().collect();
+        let faults: Vec<PlannedFault> = self.faults().into_iter().cloned().collect();
         for (n, m) in self.machines.iter_mut().enumerate() {
             let here = || faults.iter().filter(|f| f.on.servers.contains(&n));
-            let most = |kind: Kind| here().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max);
-            m.model.pace = 1.0 / most(Kind::ServerSlow).max(1.0);
-            m.model.taken = most(Kind::ServerNeighbour).clamp(0.0, 0.99);
-            m.model.pause_ms = most(Kind::ServerPauses).clamp(0.0, 990.0);
-            m.silent = here().any(|f| f.kind == Kind::ServerSilent);
-            m.errors = most(Kind::ServerErrors);
-            m.resets = most(Kind::ServerResets);
+            let most =
+                |kind: FaultKind| here().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max);
+            m.model.pace = 1.0 / most(FaultKind::ServerSlow).max(1.0);
+            m.model.taken = most(FaultKind::ServerNeighbour).clamp(0.0, 0.99);
+            m.model.pause_ms = most(FaultKind::ServerPauses).clamp(0.0, 990.0);
+            m.silent = here().any(|f| f.kind == FaultKind::ServerSilent);
+            m.errors = most(FaultKind::ServerErrors);
+            m.resets = most(FaultKind::ServerResets);
         }
         for server in 0..self.machines.len() {
             self.schedule(server);
@@ -1185,8 +1192,10 @@
     fn begin_fault(&mut self, n: usize) {
         let fault = self.plan.faults[n].clone();
         let day = self.plan.length_ms();
-        let lasts =
-            !matches!(fault.kind, Kind::Mark | Kind::NodeKill | Kind::NodePowerLoss | Kind::NodeCall);
+        let lasts = !matches!(
+            fault.kind,
+            FaultKind::Mark | FaultKind::NodeKill | FaultKind::NodePowerLoss | FaultKind::NodeCall
+        );
         let until = fault.until_ms.unwrap_or(if lasts { day } else { fault.at_ms });
         self.judge.trouble(fault.kind, fault.number, fault.at_ms, until.min(day));
         self.active.insert(fault.number);
@@ -1194,16 +1203,18 @@
         self.apply();
         for &s in &fault.on.servers {
             match fault.kind {
-                Kind::ServerDown => {
+                FaultKind::ServerDown => {
                     self.down(s, false);
                     self.later_note(s, Health::Gone, 0.0, 1.0);
                 }
-                Kind::ServerVanish => {
+                FaultKind::ServerVanish => {
                     self.down(s, true);
                     self.later_note(s, Health::Gone, 0.0, 3.0);
                 }
-                Kind::ServerDrain => self.later_note(s, Health::Draining, self.machines[s].listed.1, 0.0),
-                Kind::ServerRestart => {
+                FaultKind::ServerDrain => {
+                    self.later_note(s, Health::Draining, self.machines[s].listed.1, 0.0)
+                }
+                FaultKind::ServerRestart => {
                     self.later_note(s, Health::Draining, self.machines[s].listed.1, 0.0);
                     self.push(self.now + DRAIN_MS, What::Down(s));
                 }
@@ -1212,7 +1223,7 @@
         }
         for &node in &fault.on.nodes {
             match fault.kind {
-                Kind::NodeKill | Kind::NodePowerLoss => {
+                FaultKind::NodeKill | FaultKind::NodePowerLoss => {
                     self.epochs[node] += 1;
                     if let Some(host) = self.nodes[node].take() {
                         let mut clients: Vec<(u64, u64)> = host
@@ -1229,7 +1240,7 @@
                     }
                     self.gone[node] = self.now + self.plan.scenario.net.front_s * 1000.0;
                 }
-                Kind::NodeCall => self.called(node, &fault.say),
+                FaultKind::NodeCall => self.called(node, &fault.say),
                 _ => {}
             }
         }
@@ -1272,13 +1283,15 @@
         self.apply();
         for &s in &fault.on.servers {
             match fault.kind {
-                Kind::ServerDown | Kind::ServerVanish | Kind::ServerRestart => self.start_cold(s),
-                Kind::ServerDrain => self.later_note(s, Health::Up, self.machines[s].listed.1, 0.0),
+                FaultKind::ServerDown | FaultKind::ServerVanish | FaultKind::ServerRestart => {
+                    self.start_cold(s)
+                }
+                FaultKind::ServerDrain => self.later_note(s, Health::Up, self.machines[s].listed.1, 0.0),
                 _ => {}
             }
         }
         for &node in &fault.on.nodes {
-            if matches!(fault.kind, Kind::NodeKill | Kind::NodePowerLoss) {
+            if matches!(fault.kind, FaultKind::NodeKill | FaultKind::NodePowerLoss) {
                 self.judge.forgets(node);
                 self.start(node)?;
             }
