--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::judge::{Figures, Judge, Rule, Verdict};
 use crate::plan::{Arrival, Ends, Passing, Plan, PlannedFault, mix, passing, unit};
-use crate::scenario::{FaultKind, Scenario, What};
+use crate::scenario::{FaultKind, ReleaseTarget, Scenario};
 use clients::Clients;
 use daleturn_store::rehearse::Orders;
 use discovery::Discovery;
@@ -395,7 +395,7 @@
     let release = world.releases.outcome().map(|(stands, why, on_new)| crate::judge::Release {
         stands,
         why,
-        on_new: if scenario.release.what == What::Nodes { nodes_on_new } else { on_new },
+        on_new: if scenario.release.what == ReleaseTarget::Nodes { nodes_on_new } else { on_new },
         restarts: world.releases.restarts().len(),
     });
     lock(&world.judge).release(release);
--- a/crates/lab/src/real/nodes.rs
+++ b/crates/lab/src/real/nodes.rs
@@ -3,7 +3,7 @@
 use super::World;
 use super::addresses::free_address;
 use super::links::{lock, own_ip};
-use crate::scenario::{FaultKind, Next, What};
+use crate::scenario::{FaultKind, NextBuild, ReleaseTarget};
 use crate::settings::settings;
 use daleturn::operator_call::{OperatorCall, call_node};
 use daleturn_store::rehearse::{Orders, after_power_loss, order};
@@ -168,7 +168,7 @@
 
     /// Whether each node of this day runs under a supervisor.
     fn supervised(world: &World) -> bool {
-        world.plan.scenario.release.what == What::Nodes
+        world.plan.scenario.release.what == ReleaseTarget::Nodes
             && world.plan.scenario.trouble.iter().any(|t| t.kind == FaultKind::Release)
     }
 
@@ -182,10 +182,10 @@
         let (old, new) = (self.dir.join("version-1"), self.dir.join("version-2"));
         let bad = self.dir.join("bad.json");
         let script = match world.plan.scenario.release.build {
-            Next::Good => None,
-            Next::Crash => Some("exit 3".to_owned()),
-            Next::Mute => Some("exec sleep 600".to_owned()),
-            Next::Bad => {
+            NextBuild::Good => None,
+            NextBuild::Crash => Some("exit 3".to_owned()),
+            NextBuild::Mute => Some("exec sleep 600".to_owned()),
+            NextBuild::Bad => {
                 let mut config = self.config(world);
                 for class in config["settings"]["classes"].as_array_mut().into_iter().flatten() {
                     class["hardLimitMs"] = json!(25.0);
--- a/crates/lab/src/real/releases.rs
+++ b/crates/lab/src/real/releases.rs
@@ -3,7 +3,7 @@
 
 use super::links::{lock, own_ip};
 use super::{Troubles, World};
-use crate::scenario::What;
+use crate::scenario::ReleaseTarget;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -91,7 +91,7 @@
         let mut text =
             format!("name = \"{name}\"\nfrom = \"1\"\nto = \"2\"\nnodes = [{}]\n", nodes.join(", "));
         // Writing to a String cannot fail.
-        let of_nodes = r.what == What::Nodes;
+        let of_nodes = r.what == ReleaseTarget::Nodes;
         if of_nodes {
             text.push_str("what = \"nodes\"\n");
         }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -332,9 +332,9 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Release {
     /// What is released: `servers`, or `nodes`, each of which then runs under a supervisor.
-    pub what: What,
+    pub what: ReleaseTarget,
     /// Of a release of nodes, what the next build is like.
-    pub build: Next,
+    pub build: NextBuild,
     /// Servers on the new version after each stage.
     pub stages: Vec<usize>,
     /// Servers out at once.
@@ -366,8 +366,8 @@
 impl Default for Release {
     fn default() -> Release {
         Release {
-            what: What::Servers,
-            build: Next::Good,
+            what: ReleaseTarget::Servers,
+            build: NextBuild::Good,
             stages: vec![1, 4, 12],
             out: 1,
             out_per_zone: 1,
@@ -388,7 +388,7 @@
 /// What is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum ReleaseTarget {
     /// Servers.
     Servers,
     /// The program itself, node by node.
@@ -398,7 +398,7 @@
 /// What the next build of the node is like.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Next {
+pub enum NextBuild {
     /// As the one before, or the one that `--next` names.
     Good,
     /// It ends at once.
