--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -3,8 +3,8 @@
 use crate::page::{Failure, print, table};
 use clap::Subcommand;
 use daleturn_lab::baseline::{Pick, serve};
+use daleturn_lab::checker::Figures;
 use daleturn_lab::hunt::hunt;
-use daleturn_lab::judge::Figures;
 use daleturn_lab::load::{Load, Loaded};
 use daleturn_lab::plan::Plan;
 use daleturn_lab::real::{Moment, Options, Outcome, PlayError, READY, beside, block_on, play};
@@ -388,7 +388,7 @@
             }
         };
         let f = &outcome.figures;
-        kept &= outcome.verdict == daleturn_lab::judge::Verdict::Kept;
+        kept &= outcome.verdict == daleturn_lab::checker::Verdict::Kept;
         worths.push(f.worth);
         if n + 1 == seeds {
             let took = begun.elapsed().as_secs_f64();
@@ -446,7 +446,7 @@
             })?;
             clear();
             let outcome = played.map_err(|e| format!("{}: {e}", day.name))?;
-            if matches!(outcome.verdict, daleturn_lab::judge::Verdict::Late(_)) {
+            if matches!(outcome.verdict, daleturn_lab::checker::Verdict::Late(_)) {
                 // Such a day does not count, and so neither does its twin.
                 late += 1;
                 continue;
@@ -618,7 +618,7 @@
             }
             print(&summary(&outcome))?;
             print(&format!("{}\n", outcome.line()))?;
-            let kept = matches!(outcome.verdict, daleturn_lab::judge::Verdict::Kept);
+            let kept = matches!(outcome.verdict, daleturn_lab::checker::Verdict::Kept);
             Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
         Command::Compare { file, a, b, pairs, set_a, set_b } => {
--- a/crates/lab/src/judge.rs
+++ b/crates/lab/src/checker.rs
@@ -85,7 +85,7 @@
 
 /// A breach of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// Which rule.
     pub rule: Rule,
     /// When, in milliseconds of the day.
@@ -154,7 +154,7 @@
 }
 
 /// What is known of a day.
-pub struct Judge {
+pub struct Checker {
     plan: Plan,
     firsts: HashMap<u64, First>,
     tries: HashMap<u64, Try>,
@@ -168,7 +168,7 @@
     /// Those that an operator has told of.
     words: HashSet<(usize, usize)>,
     troubles: Vec<Trouble>,
-    breaches: Vec<Breach>,
+    breaches: Vec<Violation>,
     counts: BTreeMap<Rule, u64>,
     answer: Histogram<u32>,
     lateness: Histogram<u32>,
@@ -223,11 +223,11 @@
     Histogram::new_with_bounds(1, most, 3).unwrap_or_else(|_| unreachable!("bounds"))
 }
 
-impl Judge {
+impl Checker {
     /// Of a day that has not begun.
-    pub fn new(plan: &Plan) -> Judge {
+    pub fn new(plan: &Plan) -> Checker {
         let zones = plan.scenario.fleet.zones.len();
-        Judge {
+        Checker {
             firsts: HashMap::new(),
             tries: HashMap::new(),
             bins: vec![Bin::default(); (plan.length_ms() / BIN_MS).ceil() as usize],
@@ -273,11 +273,11 @@
     }
 
     /// A rule was broken.
-    pub fn breach(&mut self, rule: Rule, at_ms: f64, what: String) {
+    pub fn record_violation(&mut self, rule: Rule, at_ms: f64, what: String) {
         let count = self.counts.entry(rule).or_default();
         *count += 1;
         if *count <= SHOWN as u64 {
-            self.breaches.push(Breach { rule, at_ms, what });
+            self.breaches.push(Violation { rule, at_ms, what });
         }
     }
 
@@ -364,7 +364,7 @@
         let rules = &self.plan.scenario.rules;
         let (most, copies, drain_ms) = (rules.attempts as usize, rules.second_copies, rules.drain_ms);
         let Some(t) = self.tries.get_mut(&id).filter(|t| t.node == node) else {
-            self.breach(
+            self.record_violation(
                 Rule::Forged,
                 now,
                 format!("server {server} got {id:016x}, which no client sent to node {node}"),
@@ -409,7 +409,7 @@
         t.sent.push(Sent { at: begun, zone, out: true, never_ran: false, beside: None });
         let number = t.sent.len() - 1;
         for (rule, what) in broken {
-            self.breach(rule, now, what);
+            self.record_violation(rule, now, what);
         }
         let second = (now / 1000.0).max(0.0) as usize;
         let counts = [self.server_series.get_mut(server), self.zone_counts.get_mut(zone)];
@@ -437,7 +437,7 @@
         if let Some(at) = sent.beside.filter(|at| now > at + SLACK_MS) {
             let name = &self.plan.scenario.class[class].name;
             let what = format!("{name} {id:016x} had two attempts at once for {:.0} ms", now - at);
-            self.breach(Rule::Copy, at, what);
+            self.record_violation(Rule::Copy, at, what);
         }
     }
 
@@ -474,7 +474,7 @@
         let at = self.firsts.get(&arrival).map_or(now, |f| f.at);
         match answer {
             Answer::Served { genuine: false } => {
-                self.breach(
+                self.record_violation(
                     Rule::Forged,
                     now,
                     format!("{name} {id:016x} was served what no server made for it"),
@@ -489,7 +489,7 @@
                     bin.refused += 1;
                 }
                 if !told {
-                    self.breach(
+                    self.record_violation(
                         Rule::NoRetryAfter,
                         now,
                         format!("{name} {id:016x} was refused without Retry-After"),
@@ -499,7 +499,7 @@
                     let what = format!(
                         "{name} {id:016x} was sent nowhere and refused after {spent:.0} of {wait:.0} ms"
                     );
-                    self.breach(Rule::Held, now, what);
+                    self.record_violation(Rule::Held, now, what);
                 }
             }
             Answer::Failed => {
@@ -512,7 +512,7 @@
                 let how = if answer == Answer::Lost { "its connection ended" } else { "no answer came" };
                 let what =
                     format!("{name} {id:016x} at node {node}: {how} after {spent:.0} of {wait:.0} ms");
-                self.breach(Rule::Lost, now, what);
+                self.record_violation(Rule::Lost, now, what);
             }
             Answer::Cut | Answer::GaveUp | Answer::Nowhere => {}
         }
@@ -658,11 +658,11 @@
     fn back(&self, series: &[(f64, f64)], t: &Trouble) -> Option<f64> {
         let bin = |at: f64| ((at / BIN_MS).max(0.0) as usize).min(series.len());
         let before = &series[bin(t.at - 3000.0)..bin(t.at)];
-        let level = Judge::share(before).unwrap_or(1.0) * AS_BEFORE;
+        let level = Checker::share(before).unwrap_or(1.0) * AS_BEFORE;
         let from = bin(t.until);
         (from..series.len()).find_map(|n| {
             let stretch = series.get(n..n + BACK)?;
-            let good = Judge::share(stretch).is_none_or(|s| s >= level);
+            let good = Checker::share(stretch).is_none_or(|s| s >= level);
             good.then(|| ((n as f64) * BIN_MS - t.until).max(0.0))
         })
     }
@@ -670,9 +670,9 @@
     /// The figures of what has happened so far.
     pub fn figures(&self) -> Figures {
         let series = self.series();
-        let worth = Judge::share(&series).unwrap_or(1.0);
+        let worth = Checker::share(&series).unwrap_or(1.0);
         let after_first = series.get((1000.0 / BIN_MS) as usize..).unwrap_or_default();
-        let worst_5s = after_first.windows(STRETCH).filter_map(Judge::share).fold(worth, f64::min);
+        let worst_5s = after_first.windows(STRETCH).filter_map(Checker::share).fold(worth, f64::min);
         let named = |sums: &[Sum], names: Vec<String>| -> BTreeMap<String, f64> {
             names.into_iter().zip(sums.iter().map(|s| s.share())).collect()
         };
@@ -777,7 +777,7 @@
         let bin = |at: f64| ((at / BIN_MS).max(0.0) as usize).min(self.bins.len());
         let series: Vec<(f64, f64)> =
             self.bins[bin(now - ms)..bin(now)].iter().map(|b| (b.asked, b.served)).collect();
-        Judge::share(&series).unwrap_or(1.0)
+        Checker::share(&series).unwrap_or(1.0)
     }
 }
 
@@ -882,7 +882,7 @@
     /// Attempts from zone to zone.
     pub flows: Vec<Vec<u64>>,
     /// Breaches of rules, the first few of each.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// How many there were.
     pub broken: BTreeMap<Rule, u64>,
     /// Length of a piece of the series, in milliseconds.
@@ -985,11 +985,11 @@
     use super::*;
     use crate::scenario::Scenario;
 
-    fn day(rest: &str) -> (Plan, Judge) {
+    fn day(rest: &str) -> (Plan, Checker) {
         let s = Scenario::parse(&format!("name = \"x\"\nseconds = 20\n{rest}")).unwrap();
         let plan = Plan::draw(&s, 1);
-        let judge = Judge::new(&plan);
-        (plan, judge)
+        let checker = Checker::new(&plan);
+        (plan, checker)
     }
 
     fn arrival(number: u64, at_ms: f64, class: usize) -> Arrival {
@@ -1009,13 +1009,13 @@
     }
 
     /// Breaches after an order's (class 2), a quote's (3) or a catalogue's (0) try at node 0.
-    fn broken(class: usize, then: impl FnOnce(&mut Judge)) -> Vec<Rule> {
-        let (_, mut judge) = day("");
+    fn broken(class: usize, then: impl FnOnce(&mut Checker)) -> Vec<Rule> {
+        let (_, mut checker) = day("");
         let a = arrival(1, 0.0, class);
-        judge.asked(&a);
-        judge.tried(0.0, 7, &a, 0, 1000.0);
-        then(&mut judge);
-        judge.figures().broken.keys().copied().collect()
+        checker.asked(&a);
+        checker.tried(0.0, 7, &a, 0, 1000.0);
+        then(&mut checker);
+        checker.figures().broken.keys().copied().collect()
     }
 
     #[test]
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -2,7 +2,7 @@
 //! clients, servers and links alone.
 //!
 //! - [`scenario`] reads days as TOML, [`plan`] draws what a seed decides of them.
-//! - [`server`] models a config server, [`judge`] keeps the operators' rules and figures; neither has I/O or a
+//! - [`server`] models a config server, [`checker`] keeps the operators' rules and figures; neither has I/O or a
 //!   clock, so real and simulated days share them.
 //! - [`sim`] plays a day in virtual time, hosting the real decisions; [`hunt`] draws schedules of faults for it.
 //! - [`capacity`] measures what each role costs at size.
@@ -10,8 +10,8 @@
 
 pub mod baseline;
 pub mod capacity;
+pub mod checker;
 pub mod hunt;
-pub mod judge;
 pub mod load;
 pub mod plan;
 pub mod real;
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use super::links::{End, Gated, Link, lock};
-use crate::judge::{ANSWER_SLACK_MS, Answer};
+use crate::checker::{ANSWER_SLACK_MS, Answer};
 use crate::plan::Arrival;
 use crate::scenario::{Backoff, Repeat};
 use bytes::Bytes;
@@ -230,7 +230,7 @@
 
     /// One client with its tries.
     pub async fn come(world: Arc<World>, arrival: Arrival) {
-        lock(&world.judge).asked(&arrival);
+        lock(&world.checker).asked(&arrival);
         let s = &world.plan.scenario;
         let Some(class) = s.class.get(arrival.class) else { return };
         let end = arrival.at_ms + class.deadline_ms;
@@ -307,7 +307,7 @@
                 let tried = Try { world: &world, arrival: &arrival, number: 0, node, wait: 500.0 };
                 if matches!(tried.make().await, Tried::Served) {
                     let took = started.elapsed().as_secs_f64() * 1000.0;
-                    lock(&world.judge).first_answer(node, took);
+                    lock(&world.checker).first_answer(node, took);
                     return;
                 }
             }
@@ -383,11 +383,11 @@
             answer => answer,
         };
         let now = world.now();
-        let mut judge = lock(&world.judge);
-        judge.answered(now, id, answer);
+        let mut checker = lock(&world.checker);
+        checker.answered(now, id, answer);
         match answer {
             Answer::Served { genuine: true } => {
-                judge.served(now, self.arrival.number);
+                checker.served(now, self.arrival.number);
                 Tried::Served
             }
             Answer::Refused { .. } => Tried::Refused(retry_after),
@@ -399,7 +399,7 @@
     fn closed(&self) {
         let node = self.world.nodes.get(self.node);
         if !self.world.ending() && !node.is_some_and(|n| n.excused.load(Ordering::SeqCst)) {
-            lock(&self.world.judge).crossed();
+            lock(&self.world.checker).crossed();
         }
     }
 
@@ -429,7 +429,7 @@
                 }
             };
             let Some(request) = self.request(id) else { return (Answer::Nowhere, None) };
-            lock(&world.judge).tried(world.now() + slow_ms, id, self.arrival, node, self.wait);
+            lock(&world.checker).tried(world.now() + slow_ms, id, self.arrival, node, self.wait);
             let exchange = async {
                 let response = conn.send_request(request).await?;
                 let (head, body) = response.into_parts();
--- a/crates/lab/src/real/discovery.rs
+++ b/crates/lab/src/real/discovery.rs
@@ -166,7 +166,7 @@
         let number = |name: &str| {
             query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
         };
-        lock(&world.judge).called(world.now());
+        lock(&world.checker).called(world.now());
         let (after, wait) = (number("after"), number("wait_ms").unwrap_or(0));
         let end = tokio::time::Instant::now() + Duration::from_millis(wait).min(LONGEST_WAIT);
         if let Some(after) = after {
@@ -203,12 +203,12 @@
             // A replaced server's old name says nothing of the machine that has its place now.
             news.map(|e| (e.server, e.state == "up")).collect()
         };
-        let mut judge = lock(&world.judge);
+        let mut checker = lock(&world.checker);
         // Where one server has an old name and a new one, the one that is up holds.
         for (server, up) in told.iter().filter(|(_, up)| !up).chain(told.iter().filter(|(_, up)| *up)) {
-            judge.told(now, node, *server, *up);
+            checker.told(now, node, *server, *up);
         }
-        drop(judge);
+        drop(checker);
         Ok(Response::new(Full::new(Bytes::from(listing.to_string()))))
     }
 }
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -11,7 +11,7 @@
 mod servers;
 mod timer;
 
-use crate::judge::{Figures, Judge, Rule, Verdict};
+use crate::checker::{Checker, Figures, Rule, Verdict};
 use crate::plan::{Arrival, Ends, Passing, Plan, PlannedFault, mix, passing, unit};
 use crate::scenario::{FaultKind, ReleaseTarget, Scenario};
 use clients::Clients;
@@ -151,7 +151,7 @@
     /// The day.
     pub plan: Plan,
     /// Who judges it.
-    pub judge: Mutex<Judge>,
+    pub checker: Mutex<Checker>,
     begin: RwLock<Instant>,
     timer: Timer,
     hosts: Vec<Arc<Host>>,
@@ -328,7 +328,7 @@
         .collect();
     let nodes = nodes?;
     let mut world = World {
-        judge: Mutex::new(Judge::new(&plan)),
+        checker: Mutex::new(Checker::new(&plan)),
         begin: RwLock::new(Instant::now() + Duration::from_secs(3600)),
         timer: Timer::start()?,
         hosts: Vec::new(),
@@ -388,23 +388,23 @@
     for end in ends.collect::<Vec<_>>() {
         if let Ok(Err(why)) = end.await {
             let now = world.now();
-            lock(&world.judge).breach(Rule::Crash, now, why);
+            lock(&world.checker).record_violation(Rule::Crash, now, why);
         }
     }
     world.releases.kill().await;
-    let release = world.releases.outcome().map(|(stands, why, on_new)| crate::judge::Release {
+    let release = world.releases.outcome().map(|(stands, why, on_new)| crate::checker::Release {
         stands,
         why,
         on_new: if scenario.release.what == ReleaseTarget::Nodes { nodes_on_new } else { on_new },
         restarts: world.releases.restarts().len(),
     });
-    lock(&world.judge).release(release);
+    lock(&world.checker).release(release);
     let (mut met, mut knew) = (0, 0);
     for host in &world.hosts {
         host.model(|m| (met, knew) = (met + m.met, knew + m.knew));
     }
-    lock(&world.judge).keys(met, knew);
-    let figures = lock(&world.judge).figures();
+    lock(&world.checker).keys(met, knew);
+    let figures = lock(&world.checker).figures();
     let cpu: u64 = world.nodes.iter().map(|n| n.cpu_ns()).sum();
     let tries = figures.tries * figures.asked as f64;
     Ok(Outcome {
@@ -460,7 +460,7 @@
             for arrival in plan.arrivals() {
                 world.until(arrival.at_ms).await;
                 let late = world.now() - arrival.at_ms;
-                lock(&world.judge).late(late);
+                lock(&world.checker).late(late);
                 open.spawn(Clients::come(world.clone(), arrival));
                 while open.try_join_next().is_some() {}
             }
@@ -474,7 +474,7 @@
         for node in &world.nodes {
             if let Some(why) = node.crashed() {
                 let now = world.now();
-                lock(&world.judge).breach(Rule::Crash, now, why);
+                lock(&world.checker).record_violation(Rule::Crash, now, why);
                 // Clients must not wait for it, and the rest of the day goes on without.
                 node.excuse(true);
             }
@@ -507,11 +507,11 @@
 fn moment(world: &World, troubles: &Troubles) -> Moment {
     let now = world.now();
     let active = lock(&troubles.active).clone();
-    let judge = lock(&world.judge);
-    let (refused, failed, servers) = judge.counts();
+    let checker = lock(&world.checker);
+    let (refused, failed, servers) = checker.counts();
     Moment {
         at_s: now / 1000.0,
-        served: judge.lately(now - 600.0, 2000.0),
+        served: checker.lately(now - 600.0, 2000.0),
         nodes: (0..world.nodes.len()).map(|n| world.clients.ready(n)).collect(),
         troubles: world.plan.faults.iter().filter(|f| active.contains(&f.number)).map(name).collect(),
         refused,
@@ -541,7 +541,7 @@
         lock(&self.active).insert(fault.number);
         let day = self.world.plan.length_ms();
         let until = until(&self.world, &fault);
-        lock(&self.world.judge).trouble(fault.kind, fault.number, fault.at_ms, until.min(day));
+        lock(&self.world.checker).trouble(fault.kind, fault.number, fault.at_ms, until.min(day));
         self.apply();
         self.begin(&fault).await;
         self.world.until(until).await;
@@ -625,7 +625,7 @@
                 };
                 if let Err(e) = node.disk(orders) {
                     let now = world.now();
-                    lock(&world.judge).breach(
+                    lock(&world.checker).record_violation(
                         Rule::Crash,
                         now,
                         format!("orders to the disk of node {n}: {e}"),
@@ -747,7 +747,7 @@
             };
             if let Err(why) = done {
                 let now = world.now();
-                lock(&world.judge).breach(Rule::Crash, now, why);
+                lock(&world.checker).record_violation(Rule::Crash, now, why);
             }
         }
         if fault.kind == FaultKind::NodeCrashes {
@@ -769,7 +769,7 @@
         };
         if let Err(why) = release {
             let now = world.now();
-            lock(&world.judge).breach(Rule::Crash, now, why);
+            lock(&world.checker).record_violation(Rule::Crash, now, why);
         }
         if fault.kind == FaultKind::DiscoveryMove {
             let Some(discovery) = world.discovery() else { return };
@@ -805,12 +805,12 @@
         if let (Ok(_), Some(word @ ("cordon" | "uncordon")), Some(id)) = (&answer, word, id)
             && let Some(server) = self.world.plan.machines.iter().position(|m| m.name == id)
         {
-            let mut judge = lock(&self.world.judge);
-            judge.word(now, node.number, server, word == "cordon");
+            let mut checker = lock(&self.world.checker);
+            checker.word(now, node.number, server, word == "cordon");
             for other in (0..self.world.nodes.len()).filter(|n| fleet && *n != node.number) {
                 // Back at once: who heard of it already does no wrong. Out once the word must have come.
                 let at = if word == "cordon" { now + FLEET_WORD_MS } else { now };
-                judge.word(at, other, server, word == "cordon");
+                checker.word(at, other, server, word == "cordon");
             }
         }
         answer.map(drop).map_err(|e| format!("node {} to {words:?}: {e}", node.number))
@@ -822,7 +822,11 @@
             FaultKind::ReleaseKill => {
                 if let Err(e) = world.releases.start(world) {
                     let now = world.now();
-                    lock(&world.judge).breach(Rule::Crash, now, format!("the next controller: {e}"));
+                    lock(&world.checker).record_violation(
+                        Rule::Crash,
+                        now,
+                        format!("the next controller: {e}"),
+                    );
                 }
             }
             FaultKind::ReleaseFreeze => world.releases.freeze(false),
@@ -858,14 +862,16 @@
 fn again(world: &Arc<World>, node: &Arc<Node>) {
     let (n, now) = (node.number, world.now());
     {
-        let mut judge = lock(&world.judge);
-        judge.forgets(n);
-        judge.returns(now, n);
+        let mut checker = lock(&world.checker);
+        checker.forgets(n);
+        checker.returns(now, n);
     }
     let started = Instant::now();
     match node.start(world) {
         Ok(_) => drop(tokio::spawn(Clients::first_answer(world.clone(), n, started))),
-        Err(e) => lock(&world.judge).breach(Rule::Crash, now, format!("node {n} cannot start: {e}")),
+        Err(e) => {
+            lock(&world.checker).record_violation(Rule::Crash, now, format!("node {n} cannot start: {e}"))
+        }
     }
     // What was out when it died may be told to its client only now.
     node.woke_ms.store(now.max(0.0).ceil() as u64, Ordering::SeqCst);
--- a/crates/lab/src/real/peers.rs
+++ b/crates/lab/src/real/peers.rs
@@ -82,10 +82,14 @@
                         let bytes = buffer.get(..n).unwrap_or_default();
                         if n > LONGEST {
                             let what = format!("node {i} sent a datagram of {n} bytes");
-                            lock(&world.judge).breach(crate::judge::Rule::Forged, world.now(), what);
+                            lock(&world.checker).record_violation(
+                                crate::checker::Rule::Forged,
+                                world.now(),
+                                what,
+                            );
                             continue;
                         }
-                        lock(&world.judge).datagram(world.now(), n);
+                        lock(&world.checker).datagram(world.now(), n);
                         if i == j {
                             (0..own.listen.len())
                                 .filter(|k| *k != i)
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,6 +1,6 @@
 //! What came of a day, as JSON and as one static page with plots.
 
-use crate::judge::Figures;
+use crate::checker::Figures;
 use crate::plan::Plan;
 use crate::real::Outcome;
 use plotters::prelude::*;
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -2,7 +2,7 @@
 //! servers, discovery, clients and network. One seed, one course of events, whatever the machine; the judge is the lab's
 //! own. What a day asks for that is not modelled is refused, not left out.
 
-use crate::judge::{ANSWER_SLACK_MS, Answer, Figures, Judge, Rule, Verdict};
+use crate::checker::{ANSWER_SLACK_MS, Answer, Checker, Figures, Rule, Verdict};
 use crate::plan::{Arrival, Ends, Plan, PlannedFault, mix, passing, unit};
 use crate::scenario::{Backoff, FaultKind, Repeat, Scenario};
 use crate::server::{Admit, Server, spec};
@@ -273,7 +273,7 @@
 struct Sim {
     plan: Plan,
     options: Options,
-    judge: Judge,
+    checker: Checker,
     rng: ChaCha8Rng,
     queue: BinaryHeap<Reverse<Due>>,
     order: u64,
@@ -351,7 +351,7 @@
     let mut sim = Sim::new(plan, options);
     sim.begin()?;
     sim.play()?;
-    let figures = sim.judge.figures();
+    let figures = sim.checker.figures();
     Ok(Simulated {
         name: scenario.name.clone(),
         seed,
@@ -387,7 +387,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
         rng.set_stream(7);
         Sim {
-            judge: Judge::new(&plan),
+            checker: Checker::new(&plan),
             options,
             rng,
             queue: BinaryHeap::new(),
@@ -541,7 +541,7 @@
             Action::Timer { token, at_ms } => self.push(at_ms, What::Timer { node, epoch, token }),
             Action::Probe(backend) => self.probe(node, backend),
             Action::SendPeerMessage { to, bytes } => {
-                self.judge.datagram(self.now, bytes.len());
+                self.checker.datagram(self.now, bytes.len());
                 let all: Vec<usize> = match to {
                     Some(n) => vec![n as usize],
                     None => (0..self.nodes.len()).filter(|n| *n != node).collect(),
@@ -585,10 +585,10 @@
         let machine = &self.machines[server];
         let end = |outcome| What::End { node, epoch, id, attempt, outcome };
         if !kept {
-            self.judge.handshake(now);
+            self.checker.handshake(now);
         }
         if machine.vanished || (!there && connect) {
-            self.judge.in_vain(open.trace);
+            self.checker.in_vain(open.trace);
             // On a connection that is open it waits in vain; a new one does not come up.
             let (after, outcome) = if kept {
                 (timeout_ms, Outcome::TimedOut)
@@ -619,7 +619,7 @@
             return;
         }
         let Some(arrival) = self.clients.get(&client).map(|c| c.arrival) else { return };
-        let Some(judged) = self.judge.delivered(now, begun, trace, node, server) else { return };
+        let Some(judged) = self.checker.delivered(now, begun, trace, node, server) else { return };
         let zone = self.plan.machines[server].zone;
         let (ms, _, back) = self.way(node, server);
         let luck = unit(mix(self.plan.seed.wrapping_add(mix(trace ^ (server as u64) << 48))));
@@ -652,24 +652,24 @@
         match admitted {
             None if silent => {}
             None => {
-                self.judge.attempt_over(now, trace, judged, false);
-                self.judge.wasted();
+                self.checker.attempt_over(now, trace, judged, false);
+                self.checker.wasted();
                 if back {
                     self.push(now + ms, reply(Outcome::Error));
                 }
             }
             Some(Admit::Taken) => self.schedule(server),
             Some(Admit::Full) => {
-                self.judge.attempt_over(now, trace, judged, true);
-                self.judge.wasted();
+                self.checker.attempt_over(now, trace, judged, true);
+                self.checker.wasted();
                 if back {
                     self.push(now + ms, reply(Outcome::Full));
                 }
             }
             Some(Admit::Fell) => {
                 let what = format!("server {server} was cold and got more than it could bear");
-                self.judge.breach(Rule::PushedOver, now, what);
-                self.judge.attempt_over(now, trace, judged, false);
+                self.checker.record_violation(Rule::PushedOver, now, what);
+                self.checker.attempt_over(now, trace, judged, false);
                 self.down(server, false);
                 self.push(now + ms, reply(Outcome::Reset));
             }
@@ -707,9 +707,9 @@
             };
             let luck = unit(mix(self.plan.seed.wrapping_add(mix(trace ^ (server as u64) << 48))));
             let reset = luck < self.machines[server].resets;
-            self.judge.attempt_over(now, trace, judged, false);
+            self.checker.attempt_over(now, trace, judged, false);
             if reset || !back {
-                self.judge.wasted();
+                self.checker.wasted();
             }
             if let Some(a) = self.attempt(node, id, attempt) {
                 a.own = None;
@@ -757,12 +757,12 @@
                 self.push(now + ms, What::Drop { server, own });
             }
             if let Some(judged) = judged {
-                self.judge.attempt_over(now, trace, judged, false);
-                self.judge.wasted();
+                self.checker.attempt_over(now, trace, judged, false);
+                self.checker.wasted();
             }
         } else if let (Some(judged), Outcome::TimedOut | Outcome::Cancelled) = (judged, outcome) {
-            self.judge.attempt_over(now, trace, judged, false);
-            self.judge.wasted();
+            self.checker.attempt_over(now, trace, judged, false);
+            self.checker.wasted();
         }
         if outcome == Outcome::Done {
             self.settle(node, id, Answer::Served { genuine: true }, None);
@@ -791,11 +791,11 @@
         };
         open.answered = true;
         let (client, trace) = (open.client, open.trace);
-        self.judge.answered(now, trace, answer);
+        self.checker.answered(now, trace, answer);
         self.forget(node, id);
         match answer {
             Answer::Served { .. } => {
-                self.judge.served(now, client);
+                self.checker.served(now, client);
                 self.clients.remove(&client);
             }
             _ => self.again(client, retry_after),
@@ -855,7 +855,7 @@
             // It meets nobody until its time is over, or a reset at once where the node has ended.
             return self.again(client, None);
         }
-        self.judge.tried(now, trace, &arrival, node, wait);
+        self.checker.tried(now, trace, &arrival, node, wait);
         let epoch = self.epochs[node];
         let Some(host) = &mut self.nodes[node] else { return };
         let id = RequestId(host.next);
@@ -896,7 +896,7 @@
         } else if m.silent || !back {
             (300.0, Outcome::TimedOut)
         } else {
-            self.judge.probed(self.now);
+            self.checker.probed(self.now);
             (4.0 * ms + 1.0, Outcome::Done)
         };
         self.push(now + after, What::Probed { node, epoch, server, outcome, begun: now });
@@ -928,7 +928,7 @@
         for action in out {
             match action {
                 fleet::Action::Send(to, bytes) => {
-                    self.judge.datagram(now, bytes.len());
+                    self.checker.datagram(now, bytes.len());
                     let to = usize::from(to);
                     if let Some(at) = self.travels(node, to) {
                         self.push(at, What::Datagram { from: node, to, bytes });
@@ -985,7 +985,7 @@
         } else {
             host.cordoned.remove(&server);
         }
-        self.judge.word(self.now, node, server, out);
+        self.checker.word(self.now, node, server, out);
         let entries = self.entries(node, 0, true);
         self.feed(node, Event::List { kind: ListKind::Changes, entries });
     }
@@ -1089,7 +1089,7 @@
 
     /// A node's call has its turn at discovery, and an answer or none.
     fn call(&mut self, node: usize) {
-        self.judge.called(self.now);
+        self.checker.called(self.now);
         let (down, silent, slow) = self.discovery_sick();
         let d = &self.plan.scenario.discovery;
         let (call_ms, timeout_ms) = (d.call_ms * slow, d.timeout_ms);
@@ -1121,7 +1121,7 @@
         for n in 0..self.machines.len() {
             let (health, _, version) = self.machines[n].listed;
             if version > known {
-                self.judge.told(self.now, node, n, health == Health::Up);
+                self.checker.told(self.now, node, n, health == Health::Up);
             }
         }
         if let Some(host) = &mut self.nodes[node] {
@@ -1197,7 +1197,7 @@
             FaultKind::Mark | FaultKind::NodeKill | FaultKind::NodePowerLoss | FaultKind::NodeCall
         );
         let until = fault.until_ms.unwrap_or(if lasts { day } else { fault.at_ms });
-        self.judge.trouble(fault.kind, fault.number, fault.at_ms, until.min(day));
+        self.checker.trouble(fault.kind, fault.number, fault.at_ms, until.min(day));
         self.active.insert(fault.number);
         self.push(until, What::Finish(n));
         self.apply();
@@ -1234,7 +1234,7 @@
                             .collect();
                         clients.sort_unstable();
                         for (client, trace) in clients {
-                            self.judge.answered(self.now, trace, Answer::Cut);
+                            self.checker.answered(self.now, trace, Answer::Cut);
                             self.again(client, None);
                         }
                     }
@@ -1292,7 +1292,7 @@
         }
         for &node in &fault.on.nodes {
             if matches!(fault.kind, FaultKind::NodeKill | FaultKind::NodePowerLoss) {
-                self.judge.forgets(node);
+                self.checker.forgets(node);
                 self.start(node)?;
             }
         }
@@ -1316,7 +1316,7 @@
             self.course = mix(self.course ^ due.at.to_bits() ^ mix(due.order));
             match due.what {
                 What::Arrive(arrival) => {
-                    self.judge.asked(&arrival);
+                    self.checker.asked(&arrival);
                     let end = arrival.at_ms + plan.scenario.class[arrival.class].deadline_ms;
                     self.clients.insert(arrival.number, Client { arrival, number: 0, end });
                     self.try_it(arrival.number);
@@ -1395,7 +1395,7 @@
             }
         }
         let (met, knew) = self.machines.iter().fold((0, 0), |s, m| (s.0 + m.model.met, s.1 + m.model.knew));
-        self.judge.keys(met, knew);
+        self.checker.keys(met, knew);
         Ok(())
     }
 }
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days with real processes: short ones that the node keeps, and ones on which a node that does something wrong is
 //! caught at it. No verdict here depends on the machine's speed.
 
-use daleturn_lab::judge::{Rule, Verdict};
+use daleturn_lab::checker::{Rule, Verdict};
 use daleturn_lab::real::{Options, Outcome, PlayError, READY, beside, block_on, play};
 use daleturn_lab::scenario::Scenario;
 use std::path::{Path, PathBuf};
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -1,7 +1,7 @@
 //! Days in virtual time: one seed, one course; what is drawn is kept by the node's decisions; what is found is shrunk.
 
+use daleturn_lab::checker::{Rule, Verdict};
 use daleturn_lab::hunt::{draw, hunt, wrong};
-use daleturn_lab::judge::{Rule, Verdict};
 use daleturn_lab::scenario::Scenario;
 use daleturn_lab::sim::simulate;
 use std::path::Path;
