--- a/crates/lab/src/capacity/node.rs
+++ b/crates/lab/src/capacity/node.rs
@@ -367,7 +367,7 @@
     let mut n = seed;
     move |below| {
         n = n.wrapping_add(1);
-        (crate::plan::mix(n) % below.max(1) as u64) as usize
+        (crate::plan::mix_bits(n) % below.max(1) as u64) as usize
     }
 }
 
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -140,7 +140,7 @@
 }
 
 /// Spreads the bits of a number over all of it.
-pub fn mix(mut h: u64) -> u64 {
+pub fn mix_bits(mut h: u64) -> u64 {
     h = (h ^ (h >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     h = (h ^ (h >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     h ^ (h >> 31)
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -12,7 +12,7 @@
 mod timer;
 
 use crate::checker::{Checker, Figures, Rule, Verdict};
-use crate::plan::{Arrival, Ends, Passing, Plan, PlannedFault, mix, passing, unit};
+use crate::plan::{Arrival, Ends, Passing, Plan, PlannedFault, mix_bits, passing, unit};
 use crate::scenario::{FaultKind, ReleaseTarget, Scenario};
 use clients::Clients;
 use daleturn_store::rehearse::Orders;
@@ -197,12 +197,12 @@
     /// A draw between 0 and 1.
     pub fn draw(&self) -> f64 {
         let n = self.draws.fetch_add(1, Ordering::Relaxed);
-        unit(mix(self.plan.seed ^ mix(n)))
+        unit(mix_bits(self.plan.seed ^ mix_bits(n)))
     }
 
     /// The luck of one thing, the same each time.
     pub fn luck(&self, of: u64) -> f64 {
-        unit(mix(self.plan.seed.wrapping_add(mix(of))))
+        unit(mix_bits(self.plan.seed.wrapping_add(mix_bits(of))))
     }
 
     /// The day is over but for its end.
@@ -243,7 +243,7 @@
 
     /// The id of a client's try.
     fn try_id(&self, arrival: &Arrival, number: u32) -> u64 {
-        mix(self.plan.seed ^ mix((arrival.number << 8) | (u64::from(number) + 1)))
+        mix_bits(self.plan.seed ^ mix_bits((arrival.number << 8) | (u64::from(number) + 1)))
     }
 
     /// A client sends a try: servers know it from here on.
@@ -721,7 +721,7 @@
                     node.excuse(true);
                     node.kill().await;
                     let mut draws = 0_u64;
-                    let of = mix(fault.number as u64 ^ ((n as u64) << 32));
+                    let of = mix_bits(fault.number as u64 ^ ((n as u64) << 32));
                     let draw = |most: usize| {
                         draws += 1;
                         (world.luck(of.wrapping_add(draws)) * most as f64) as usize
@@ -889,7 +889,7 @@
     let times = fault.size.max(0.0) as usize;
     let step = (until - fault.at_ms) / times.max(1) as f64;
     for n in 0..times {
-        let draw = world.luck(mix(fault.number as u64) ^ n as u64);
+        let draw = world.luck(mix_bits(fault.number as u64) ^ n as u64);
         world.until(fault.at_ms + step * (n as f64 + draw)).await;
         if world.ending() || fault.on.nodes.is_empty() {
             return;
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -3,7 +3,7 @@
 //! own. What a day asks for that is not modelled is refused, not left out.
 
 use crate::checker::{ANSWER_SLACK_MS, Answer, Checker, Figures, Rule, Verdict};
-use crate::plan::{Arrival, Ends, Plan, PlannedFault, mix, passing, unit};
+use crate::plan::{Arrival, Ends, Plan, PlannedFault, mix_bits, passing, unit};
 use crate::scenario::{Backoff, FaultKind, Repeat, Scenario};
 use crate::server::{Admit, Server, spec};
 use crate::settings::settings;
@@ -438,7 +438,7 @@
         let settings = self.settings(node)?;
         self.epochs[node] += 1;
         let epoch = self.epochs[node];
-        let seed = self.plan.seed ^ mix(node as u64 ^ u64::from(epoch) << 32);
+        let seed = self.plan.seed ^ mix_bits(node as u64 ^ u64::from(epoch) << 32);
         let balancer =
             Balancer::new(settings.clone(), seed).map_err(|e| SimError::Settings(e.to_string()))?;
         let (own, count) = (node as Node, self.nodes.len() as u16);
@@ -622,7 +622,7 @@
         let Some(judged) = self.checker.delivered(now, begun, trace, node, server) else { return };
         let zone = self.plan.machines[server].zone;
         let (ms, _, back) = self.way(node, server);
-        let luck = unit(mix(self.plan.seed.wrapping_add(mix(trace ^ (server as u64) << 48))));
+        let luck = unit(mix_bits(self.plan.seed.wrapping_add(mix_bits(trace ^ (server as u64) << 48))));
         let class = &self.plan.scenario.class[arrival.class];
         let mut work = arrival.work_ms;
         if class.repeat == Repeat::Keyed {
@@ -705,7 +705,7 @@
             else {
                 continue;
             };
-            let luck = unit(mix(self.plan.seed.wrapping_add(mix(trace ^ (server as u64) << 48))));
+            let luck = unit(mix_bits(self.plan.seed.wrapping_add(mix_bits(trace ^ (server as u64) << 48))));
             let reset = luck < self.machines[server].resets;
             self.checker.attempt_over(now, trace, judged, false);
             if reset || !back {
@@ -848,7 +848,7 @@
             return;
         }
         let Some(node) = self.pick(arrival.zone) else { return self.again(client, None) };
-        let trace = mix(self.plan.seed ^ mix((arrival.number << 8) | (u64::from(number) + 1)));
+        let trace = mix_bits(self.plan.seed ^ mix_bits((arrival.number << 8) | (u64::from(number) + 1)));
         let faults = self.faults();
         let p = passing(&faults, node, &|e: &Ends| e.clients.contains(&arrival.zone));
         if self.nodes[node].is_none() || !p.there || !p.back {
@@ -1313,7 +1313,7 @@
             }
             self.now = due.at;
             self.events += 1;
-            self.course = mix(self.course ^ due.at.to_bits() ^ mix(due.order));
+            self.course = mix_bits(self.course ^ due.at.to_bits() ^ mix_bits(due.order));
             match due.what {
                 What::Arrive(arrival) => {
                     self.checker.asked(&arrival);
