--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -5,9 +5,11 @@
 use daleturn_lab::baseline::{Pick, serve};
 use daleturn_lab::checker::Figures;
 use daleturn_lab::hunt::hunt;
-use daleturn_lab::load::{Load, Loaded};
+use daleturn_lab::load::{Load, LoadResult};
 use daleturn_lab::plan::Plan;
-use daleturn_lab::real::{Moment, Options, Outcome, PlayError, READY, beside, block_on, play};
+use daleturn_lab::real::{
+    Options, Outcome, PlayError, READY_TIMEOUT, RunSnapshot, block_on, find_program, play,
+};
 use daleturn_lab::report;
 use daleturn_lab::scenario::Scenario;
 use daleturn_lab::sim::simulate;
@@ -250,7 +252,7 @@
         };
     }
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    beside(&own, "daleturn-node")
+    find_program(&own, "daleturn-node")
         .ok_or_else(|| "there is no daleturn-node beside this command: name it with --node".to_owned())
 }
 
@@ -280,7 +282,7 @@
         node_args: Vec::new(),
         next: None,
         logs: None,
-        ready: READY,
+        ready: READY_TIMEOUT,
         stop: stop.clone(),
     }
 }
@@ -306,12 +308,15 @@
     format!("{}{}", "#".repeat(full), ".".repeat(width - full))
 }
 
-fn progress(seconds: f64) -> impl FnMut(&Moment) {
+fn progress(seconds: f64) -> impl FnMut(&RunSnapshot) {
     let shown = std::io::stderr().is_terminal();
-    move |m: &Moment| {
+    move |m: &RunSnapshot| {
         if shown {
-            let wrong =
-                if m.troubles.is_empty() { String::new() } else { format!("  {}", m.troubles.join("; ")) };
+            let wrong = if m.active_faults.is_empty() {
+                String::new()
+            } else {
+                format!("  {}", m.active_faults.join("; "))
+            };
             let line = format!("{:5.1} of {seconds:.0} s  served {:.3}{wrong}", m.at_s, m.served);
             eprint!("\r\x1b[K{line:.110}");
         }
@@ -363,8 +368,8 @@
         let path = out.join(format!("{}.toml", one.scenario.name));
         let text = toml::to_string(&one.scenario).map_err(|e| e.to_string())?;
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
-        let (before, after) = one.troubles;
-        print(&format!("{}: {} ({before} troubles, {after} matter)\n", path.display(), one.why))?;
+        let (before, after) = one.fault_counts;
+        print(&format!("{}: {} ({before} troubles, {after} matter)\n", path.display(), one.reason))?;
     }
     let played = next.into_inner();
     print(&format!("hunt: {} seed {seed}: {played} schedules, {} found\n", base.name, found.len()))?;
@@ -602,7 +607,7 @@
             clear();
             let outcome = match played {
                 Ok(outcome) => outcome,
-                Err(e @ PlayError::Ready { .. }) => {
+                Err(e @ PlayError::NotReady { .. }) => {
                     print(&format!("lab: {} seed {seed}: BROKEN {e}\n", scenario.name))?;
                     return Ok(ExitCode::FAILURE);
                 }
@@ -767,7 +772,7 @@
 
 fn load_for(load: Load, json: Option<&Path>) -> Result<ExitCode, Failure> {
     let terminal = std::io::stderr().is_terminal();
-    let view = |second: u64, told: &Loaded| {
+    let view = |second: u64, told: &LoadResult| {
         if terminal {
             eprint!("\r\x1b[K{second} s  due {}  p99 {:.1} ms", told.due, told.answer_ms[2]);
         }
@@ -892,7 +897,7 @@
             format!("{:.3}", mean(&b).mean),
             format!("{:+.4}", difference.mean),
             format!("{:.4}", difference.half),
-            if difference.shows() { "yes" } else { "no" }.to_owned(),
+            if difference.is_significant() { "yes" } else { "no" }.to_owned(),
         ]
     });
     print(&table(&["figure", "a", "b", "b - a", "+- 95%", "shows"], rows.collect()))?;
@@ -974,7 +979,7 @@
     let scenario = Scenario::parse(DEMO).map_err(|e| format!("demo: {e}"))?;
     let terminal = std::io::stdout().is_terminal();
     let seconds = scenario.seconds;
-    let view = |m: &Moment| {
+    let view = |m: &RunSnapshot| {
         if !terminal {
             return;
         }
@@ -985,7 +990,7 @@
         let _ = writeln!(out, "refused  {}    failed {}", m.refused, m.failed);
         let nodes: Vec<&str> = m.nodes.iter().map(|up| if *up { "up" } else { "--" }).collect();
         let _ = writeln!(out, "nodes    {}", nodes.join(" "));
-        let _ = writeln!(out, "wrong    {}\n", m.troubles.join("; "));
+        let _ = writeln!(out, "wrong    {}\n", m.active_faults.join("; "));
         let most = m.servers.iter().copied().max().unwrap_or(0).max(1) as f64;
         for (n, sent) in m.servers.iter().enumerate() {
             let _ = writeln!(out, "s-{n:<3} {} {sent}", bar(*sent as f64 / most, 40));
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -19,9 +19,9 @@
     /// The scenario, shrunk, with its seed.
     pub scenario: Scenario,
     /// What is wrong on that day.
-    pub why: String,
+    pub reason: String,
     /// Troubles before and after shrinking.
-    pub troubles: (usize, usize),
+    pub fault_counts: (usize, usize),
 }
 
 /// What is wrong with a day, if anything.
@@ -119,22 +119,22 @@
 pub fn hunt(base: &Scenario, seed: u64, n: u64) -> Result<Option<Found>, SimError> {
     let scenario = draw(base, seed, n);
     let outcome = simulate(&scenario, scenario.seed)?;
-    let Some(why) = wrong(&outcome) else { return Ok(None) };
+    let Some(reason) = wrong(&outcome) else { return Ok(None) };
     let before = scenario.trouble.len();
     let mut least = scenario;
-    let mut why = why;
+    let mut reason = reason;
     // One trouble less at a time, for as long as something is wrong without it.
     let mut at = 0;
     while at < least.trouble.len() && least.trouble.len() > 1 {
         let mut less = least.clone();
         less.trouble.remove(at);
         match wrong(&simulate(&less, less.seed)?) {
-            Some(still) => (least, why) = (less, still),
+            Some(still) => (least, reason) = (less, still),
             None => at += 1,
         }
     }
     least.name = format!("{}-found-{n}", base.name);
-    least.about = format!("Found by the hunt: {why}");
+    least.about = format!("Found by the hunt: {reason}");
     let after = least.trouble.len();
-    Ok(Some(Found { scenario: least, why, troubles: (before, after) }))
+    Ok(Some(Found { scenario: least, reason, fault_counts: (before, after) }))
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -64,7 +64,7 @@
 
 /// What came of it.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Loaded {
+pub struct LoadResult {
     /// Requests that were due.
     pub due: u64,
     /// Answers by status.
@@ -84,7 +84,7 @@
     answer: Histogram<u64>,
     sent: Histogram<u64>,
     late: Histogram<u64>,
-    told: Loaded,
+    told: LoadResult,
 }
 
 fn histogram() -> Histogram<u64> {
@@ -156,8 +156,8 @@
     pub async fn run(
         self,
         mut stop: watch::Receiver<bool>,
-        mut view: impl FnMut(u64, &Loaded),
-    ) -> Result<Loaded, LoadError> {
+        mut view: impl FnMut(u64, &LoadResult),
+    ) -> Result<LoadResult, LoadError> {
         if !self.address.ip().is_loopback() {
             return Err(LoadError::NotHere(self.address));
         }
@@ -177,7 +177,7 @@
             answer: histogram(),
             sent: histogram(),
             late: histogram(),
-            told: Loaded::default(),
+            told: LoadResult::default(),
         }));
         let pool = Arc::new(Pool {
             idle: Mutex::default(),
@@ -230,7 +230,7 @@
 }
 
 impl Times {
-    fn told(times: &Mutex<Times>) -> Loaded {
+    fn told(times: &Mutex<Times>) -> LoadResult {
         let times = times.lock().unwrap_or_else(PoisonError::into_inner);
         let ms = |h: &Histogram<u64>| {
             [0.5, 0.9, 0.99, 0.999, 1.0].map(|q| h.value_at_quantile(q) as f64 / 1000.0)
@@ -260,7 +260,7 @@
         }
     }
 
-    fn played(load: impl FnOnce(SocketAddr) -> Load, stall: bool) -> Result<Loaded, LoadError> {
+    fn played(load: impl FnOnce(SocketAddr) -> Load, stall: bool) -> Result<LoadResult, LoadError> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -34,7 +34,7 @@
 use tokio::sync::watch;
 
 /// Nodes must be ready within this, usually.
-pub const READY: Duration = Duration::from_secs(30);
+pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// After the last arrival, what is still open has its time and this.
 const LAST: Duration = Duration::from_millis(1200);
 /// How often it is looked whether a node has ended by itself.
@@ -73,7 +73,7 @@
     System(#[from] io::Error),
     /// A node is not ready in time.
     #[error("node {node} did not get ready within {} s{}", within.as_secs_f64(), .why.as_ref().map_or(String::new(), |w| format!(": {w}")))]
-    Ready {
+    NotReady {
         /// Which.
         node: usize,
         /// The time that it had.
@@ -122,7 +122,7 @@
 
 /// A moment of a day, for a live view.
 #[derive(Clone, Debug)]
-pub struct Moment {
+pub struct RunSnapshot {
     /// Seconds of the day.
     pub at_s: f64,
     /// Part of the worth that was served in the last second or two.
@@ -130,7 +130,7 @@
     /// Which nodes take clients.
     pub nodes: Vec<bool>,
     /// What is wrong now.
-    pub troubles: Vec<String>,
+    pub active_faults: Vec<String>,
     /// Tries refused and failed so far.
     pub refused: u64,
     /// See above.
@@ -319,7 +319,7 @@
     scenario: &Scenario,
     seed: u64,
     options: &Options,
-    mut view: impl FnMut(&Moment),
+    mut view: impl FnMut(&RunSnapshot),
 ) -> Result<Outcome, PlayError> {
     let plan = Plan::draw(scenario, seed);
     let scratch = Scratch::new()?;
@@ -425,13 +425,13 @@
 async fn run(
     world: &Arc<World>,
     options: &Options,
-    view: &mut impl FnMut(&Moment),
+    view: &mut impl FnMut(&RunSnapshot),
 ) -> Result<(), PlayError> {
     let end = Instant::now() + options.ready;
     while let Some(node) = world.nodes.iter().find(|n| !world.clients.ready(n.number)) {
         let why = world.nodes.iter().find_map(|n| n.crashed());
         if why.is_some() || Instant::now() > end {
-            return Err(PlayError::Ready { node: node.number, within: options.ready, why });
+            return Err(PlayError::NotReady { node: node.number, within: options.ready, why });
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -504,16 +504,16 @@
     }
 }
 
-fn moment(world: &World, troubles: &Troubles) -> Moment {
+fn moment(world: &World, troubles: &Troubles) -> RunSnapshot {
     let now = world.now();
     let active = lock(&troubles.active).clone();
     let checker = lock(&world.checker);
     let (refused, failed, servers) = checker.counts();
-    Moment {
+    RunSnapshot {
         at_s: now / 1000.0,
         served: checker.lately(now - 600.0, 2000.0),
         nodes: (0..world.nodes.len()).map(|n| world.clients.ready(n)).collect(),
-        troubles: world.plan.faults.iter().filter(|f| active.contains(&f.number)).map(name).collect(),
+        active_faults: world.plan.faults.iter().filter(|f| active.contains(&f.number)).map(name).collect(),
         refused,
         failed,
         servers,
@@ -936,10 +936,14 @@
 /// The operators' command: this program, or the one that lies beside it.
 fn command() -> Option<PathBuf> {
     let own = std::env::current_exe().ok()?;
-    if own.file_name().is_some_and(|n| n == "daleturn") { Some(own) } else { beside(&own, "daleturn") }
+    if own.file_name().is_some_and(|n| n == "daleturn") {
+        Some(own)
+    } else {
+        find_program(&own, "daleturn")
+    }
 }
 
 /// The node's program that lies beside this one's, or a folder above, as the build leaves them.
-pub fn beside(own: &Path, name: &str) -> Option<PathBuf> {
+pub fn find_program(own: &Path, name: &str) -> Option<PathBuf> {
     own.ancestors().skip(1).take(3).map(|dir| dir.join(name)).find(|p| p.is_file())
 }
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -46,7 +46,7 @@
 
 impl Mean {
     /// It is not zero, as far as these figures tell.
-    pub fn shows(&self) -> bool {
+    pub fn is_significant(&self) -> bool {
         self.mean.abs() > self.half
     }
 }
@@ -104,7 +104,7 @@
     fn what_moves_both_alike_cancels_in_pairs() {
         let a = [0.5, 0.9, 0.7, 0.6];
         let b: Vec<f64> = a.iter().map(|v| v + 0.01).collect();
-        assert!(paired(&a, &b).shows());
-        assert!(!paired(&a, &[0.6, 0.8, 0.8, 0.5]).shows());
+        assert!(paired(&a, &b).is_significant());
+        assert!(!paired(&a, &[0.6, 0.8, 0.8, 0.5]).is_significant());
     }
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -3,12 +3,12 @@
 
 use daleturn_lab::capacity::out::{RESULT, Report, report, write};
 use daleturn_lab::capacity::{Measure, MeasureError, Wish, measure, node};
-use daleturn_lab::real::beside;
+use daleturn_lab::real::find_program;
 use std::path::{Path, PathBuf};
 
 fn built(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("known");
-    beside(&own, name)
+    find_program(&own, name)
         .unwrap_or_else(|| panic!("{name} is not built: cargo test builds it for the workspace"))
 }
 
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -2,7 +2,7 @@
 //! caught at it. No verdict here depends on the machine's speed.
 
 use daleturn_lab::checker::{Rule, Verdict};
-use daleturn_lab::real::{Options, Outcome, PlayError, READY, beside, block_on, play};
+use daleturn_lab::real::{Options, Outcome, PlayError, READY_TIMEOUT, block_on, find_program, play};
 use daleturn_lab::scenario::Scenario;
 use std::path::{Path, PathBuf};
 use tokio::sync::watch;
@@ -10,14 +10,14 @@
 /// A program of this build; integration tests lie in the folder beside it.
 fn built(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("known");
-    beside(&own, name)
+    find_program(&own, name)
         .unwrap_or_else(|| panic!("{name} is not built: cargo test builds it for the workspace"))
 }
 
 fn options(node: PathBuf, args: &[&str]) -> (watch::Sender<bool>, Options) {
     let (stop, stopped) = watch::channel(false);
     let node_args = args.iter().map(|a| (*a).to_owned()).collect();
-    (stop, Options { node, node_args, next: None, logs: None, ready: READY, stop: stopped })
+    (stop, Options { node, node_args, next: None, logs: None, ready: READY_TIMEOUT, stop: stopped })
 }
 
 fn played(scenario: &Scenario, node: PathBuf, args: &[&str]) -> Outcome {
@@ -151,12 +151,12 @@
     let scenario = Scenario::parse(SHORT).expect("a scenario");
     let (_stop, options) = options(PathBuf::from("/bin/false"), &[]);
     let played = block_on(async { play(&scenario, 1, &options, |_| {}).await }).expect("threads");
-    assert!(matches!(played, Err(PlayError::Ready { node: 0, why: Some(_), .. })), "{played:?}");
+    assert!(matches!(played, Err(PlayError::NotReady { node: 0, why: Some(_), .. })), "{played:?}");
     // One that lives and never says yes.
     let (_stop, mut options) = self::options(built("examples/wrong-node"), &["never-ready"]);
     options.ready = std::time::Duration::from_millis(300);
     let played = block_on(async { play(&scenario, 1, &options, |_| {}).await }).expect("threads");
-    assert!(matches!(played, Err(PlayError::Ready { node: 0, why: None, .. })), "{played:?}");
+    assert!(matches!(played, Err(PlayError::NotReady { node: 0, why: None, .. })), "{played:?}");
     let why = played.unwrap_err().to_string();
     assert_eq!(why, "node 0 did not get ready within 0.3 s");
 }
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -67,9 +67,9 @@
     let base = Scenario::parse(&text).unwrap();
     let found = (0..40).find_map(|n| hunt(&base, 5, n).unwrap()).expect("one in forty has a restart");
     assert!(
-        found.why.contains(&format!("{:?}", Rule::PushedOver)) || found.why.contains("back"),
+        found.reason.contains(&format!("{:?}", Rule::PushedOver)) || found.reason.contains("back"),
         "{}",
-        found.why
+        found.reason
     );
     for n in 0..found.scenario.trouble.len() {
         let mut less = found.scenario.clone();
