--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -15,7 +15,7 @@
 use crate::plan::{Arrival, Ends, Passing, Plan, PlannedFault, mix_bits, passing, unit};
 use crate::scenario::{FaultKind, ReleaseTarget, Scenario};
 use clients::Clients;
-use daleturn_store::rehearse::Orders;
+use daleturn_store::scripted_faults::Orders;
 use discovery::Discovery;
 use links::{Link, lock};
 use nodes::{Node, Nodes};
--- a/crates/lab/src/real/nodes.rs
+++ b/crates/lab/src/real/nodes.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{FaultKind, NextBuild, ReleaseTarget};
 use crate::settings::settings;
 use daleturn::operator_call::{OperatorCall, call_node};
-use daleturn_store::rehearse::{Orders, after_power_loss, order};
+use daleturn_store::scripted_faults::{Orders, after_power_loss, order};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::io;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -5,12 +5,12 @@
 //! generation is whole on disk, name included, before the one before is removed; so at every moment there is one.
 //!
 //! - [`disk`] is the one narrow way to files, for real ones and for tests that lose power at any byte.
-//! - [`rehearse`] does the same to the disk of a whole process.
+//! - [`scripted_faults`] does the same to the disk of a whole process.
 //! - [`store`] is the generation, its journal and its checks.
 
 pub mod disk;
 pub mod faults;
-pub mod rehearse;
+pub mod scripted_faults;
 pub mod store;
 
 pub use disk::{Disk, RealDisk};
--- a/crates/store/src/rehearse.rs
+++ b/crates/store/src/scripted_faults.rs
@@ -46,7 +46,7 @@
 
 /// A disk under orders.
 #[derive(Debug)]
-pub struct Rehearsed<D> {
+pub struct ScriptedFaultDisk<D> {
     disk: D,
     orders: PathBuf,
     course: File,
@@ -78,16 +78,16 @@
     Ok(bytes.len() as u64)
 }
 
-impl<D: Disk> Rehearsed<D> {
+impl<D: Disk> ScriptedFaultDisk<D> {
     /// Puts a disk under the orders of a place, which is made where it is missing.
     ///
     /// # Errors
     /// The place cannot be made or written.
-    pub fn new(disk: D, place: &Path) -> io::Result<Rehearsed<D>> {
+    pub fn new(disk: D, place: &Path) -> io::Result<ScriptedFaultDisk<D>> {
         fs::create_dir_all(place)?;
         let course = OpenOptions::new().create(true).append(true).open(place.join(COURSE))?;
         let length = course.metadata()?.len();
-        Ok(Rehearsed { disk, orders: place.join(ORDERS), course, length })
+        Ok(ScriptedFaultDisk { disk, orders: place.join(ORDERS), course, length })
     }
 
     fn orders(&self) -> Orders {
@@ -108,7 +108,7 @@
     }
 }
 
-impl<D: Disk> Disk for Rehearsed<D> {
+impl<D: Disk> Disk for ScriptedFaultDisk<D> {
     fn list(&mut self) -> io::Result<Vec<String>> {
         self.disk.list()
     }
@@ -256,8 +256,8 @@
         (base.join("disk"), base.join("place"))
     }
 
-    fn open(dir: &Path, place: &Path) -> Store<Rehearsed<RealDisk>> {
-        let disk = Rehearsed::new(RealDisk::open(dir).unwrap(), place).unwrap();
+    fn open(dir: &Path, place: &Path) -> Store<ScriptedFaultDisk<RealDisk>> {
+        let disk = ScriptedFaultDisk::new(RealDisk::open(dir).unwrap(), place).unwrap();
         Store::open(disk, Limits::default()).unwrap().0
     }
 
--- a/src/node/durable.rs
+++ b/src/node/durable.rs
@@ -3,7 +3,7 @@
 
 use crate::log::say;
 use daleturn::options::State;
-use daleturn_store::rehearse::Rehearsed;
+use daleturn_store::scripted_faults::ScriptedFaultDisk;
 use daleturn_store::{Disk, Entry, Limits, RealDisk, Store, StoreError};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -167,7 +167,7 @@
     let real = RealDisk::open(Path::new(&state.dir))?;
     Ok(match state.rehearse.as_str() {
         "" => Box::new(real),
-        place => Box::new(Rehearsed::new(real, Path::new(place))?),
+        place => Box::new(ScriptedFaultDisk::new(real, Path::new(place))?),
     })
 }
 
