--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -15,7 +15,7 @@
 use crate::plan::{Arrival, Ends, Passing, Plan, PlannedFault, mix_bits, passing, unit};
 use crate::scenario::{FaultKind, ReleaseTarget, Scenario};
 use clients::Clients;
-use daleturn_store::scripted_faults::Orders;
+use daleturn_store::scripted_faults::FaultOrders;
 use discovery::Discovery;
 use links::{Link, lock};
 use nodes::{Node, Nodes};
@@ -617,7 +617,7 @@
                 let is = |kind: FaultKind| here().any(|f| f.kind == kind);
                 let slow =
                     here().filter(|f| f.kind == FaultKind::DiskSlow).map(|f| f.size).fold(0.0, f64::max);
-                let orders = Orders {
+                let orders = FaultOrders {
                     sync_ms: slow.max(0.0) as u64,
                     full: is(FaultKind::DiskFull),
                     broken: is(FaultKind::DiskBroken),
--- a/crates/lab/src/real/nodes.rs
+++ b/crates/lab/src/real/nodes.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{FaultKind, NextBuild, ReleaseTarget};
 use crate::settings::settings;
 use daleturn::operator_call::{OperatorCall, call_node};
-use daleturn_store::scripted_faults::{Orders, after_power_loss, order};
+use daleturn_store::scripted_faults::{FaultOrders, simulate_power_loss, write_orders};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::io;
@@ -103,8 +103,8 @@
     ///
     /// # Errors
     /// The orders cannot be written.
-    pub fn disk(&self, orders: Orders) -> io::Result<()> {
-        order(&self.rehearsal(), orders)
+    pub fn disk(&self, orders: FaultOrders) -> io::Result<()> {
+        write_orders(&self.rehearsal(), orders)
     }
 
     /// Its disk as a power loss may leave it; its processes are gone.
@@ -112,7 +112,7 @@
     /// # Errors
     /// The files cannot be read or written.
     pub fn lose_power(&self, draw: impl FnMut(usize) -> usize) -> io::Result<()> {
-        after_power_loss(&self.state_dir(), &self.rehearsal(), draw)
+        simulate_power_loss(&self.state_dir(), &self.rehearsal(), draw)
     }
 
     /// Writes its files as of now.
--- a/crates/store/src/scripted_faults.rs
+++ b/crates/store/src/scripted_faults.rs
@@ -1,8 +1,8 @@
 //! Disk faults for whole processes: a disk that obeys orders from a file, and keeps a course of what was done to it.
-//! From the course [`after_power_loss`] draws what a machine that lost its power may find: a process that is killed
+//! From the course [`simulate_power_loss`] draws what a machine that lost its power may find: a process that is killed
 //! leaves more on its disk than a power loss would.
 //!
-//! The place of a rehearsal is a directory apart from the disk. `orders.json` in it holds [`Orders`] and is read before
+//! The place of a rehearsal is a directory apart from the disk. `orders.json` in it holds [`FaultOrders`] and is read before
 //! each operation; `course` is written to. It is for tests and drills, and grows up to [`MOST_COURSE`] bytes.
 
 use crate::disk::Disk;
@@ -21,7 +21,7 @@
 /// What is wrong with the disk now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Orders {
+pub struct FaultOrders {
     /// Each sync takes so much longer, in milliseconds.
     pub sync_ms: u64,
     /// There is no room: nothing is appended.
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 /// The file cannot be written.
-pub fn order(place: &Path, orders: Orders) -> io::Result<()> {
+pub fn write_orders(place: &Path, orders: FaultOrders) -> io::Result<()> {
     fs::create_dir_all(place)?;
     // In one step: the process reads at any moment.
     static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
@@ -90,7 +90,7 @@
         Ok(ScriptedFaultDisk { disk, orders: place.join(ORDERS), course, length })
     }
 
-    fn orders(&self) -> Orders {
+    fn orders(&self) -> FaultOrders {
         // Where there are none, or none that can be read, nothing is wrong.
         fs::read(&self.orders).ok().and_then(|b| serde_json::from_slice(&b).ok()).unwrap_or_default()
     }
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    fn writable(&self) -> io::Result<Orders> {
+    fn writable(&self) -> io::Result<FaultOrders> {
         let orders = self.orders();
         if orders.read_only { Err(io::ErrorKind::ReadOnlyFilesystem.into()) } else { Ok(orders) }
     }
@@ -204,7 +204,7 @@
 ///
 /// # Errors
 /// A file cannot be read or written.
-pub fn after_power_loss(dir: &Path, place: &Path, draw: impl FnMut(usize) -> usize) -> io::Result<()> {
+pub fn simulate_power_loss(dir: &Path, place: &Path, draw: impl FnMut(usize) -> usize) -> io::Result<()> {
     let path = place.join(COURSE);
     let mut bytes = Vec::new();
     match File::open(&path) {
@@ -282,7 +282,7 @@
                 // As a process leaves it that dies between a write and its sync.
                 store.disk().append("open", &[round as u8]).unwrap();
                 drop(store);
-                after_power_loss(&dir, &place, |n| rng.usize(0..n)).unwrap();
+                simulate_power_loss(&dir, &place, |n| rng.usize(0..n)).unwrap();
             }
             came += usize::from(fs::read(dir.join("open")).is_ok_and(|open| open == [0, 1, 2]));
         }
@@ -297,17 +297,17 @@
             crate::StoreError::Disk(e) => e.kind(),
             e => panic!("{e}"),
         };
-        order(&place, Orders { full: true, ..Orders::default() }).unwrap();
+        write_orders(&place, FaultOrders { full: true, ..FaultOrders::default() }).unwrap();
         let mut kept = || store.put("k", "a", entry(1)).and_then(|()| store.sync());
         assert_eq!(kind(kept().unwrap_err()), io::ErrorKind::StorageFull);
-        order(&place, Orders { read_only: true, ..Orders::default() }).unwrap();
+        write_orders(&place, FaultOrders { read_only: true, ..FaultOrders::default() }).unwrap();
         assert_eq!(kind(kept().unwrap_err()), io::ErrorKind::ReadOnlyFilesystem);
-        order(&place, Orders { broken: true, ..Orders::default() }).unwrap();
+        write_orders(&place, FaultOrders { broken: true, ..FaultOrders::default() }).unwrap();
         kept().unwrap_err();
-        order(&place, Orders::default()).unwrap();
+        write_orders(&place, FaultOrders::default()).unwrap();
         kept().unwrap();
         drop(store);
-        after_power_loss(&dir, &place, |_| 0).unwrap();
+        simulate_power_loss(&dir, &place, |_| 0).unwrap();
         assert_eq!(open(&dir, &place).get("k", "a"), Some(&entry(1)));
     }
 }
