--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -73,13 +73,13 @@
             })?;
             let opened = Store::open(disk, Limits::default());
             let (store, report) = opened.map_err(|e| format!("{}: {e}", dir.display()))?;
-            for (file, aside) in &report.aside {
+            for (file, aside) in &report.quarantined {
                 print(&format!("{file} is damaged, now {aside}\n"))?;
             }
             print(&format!(
                 "{} entries are kept, {} bytes of a torn tail cut\n",
                 store.size().0,
-                report.cut
+                report.truncated_bytes
             ))
         }
         Command::Export { dir } => {
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -92,10 +92,10 @@
     pub generation: u64,
     /// Records of its journal.
     pub records: u64,
-    /// Bytes that were cut off: a torn tail, or what follows damage, and then the journal is among `aside`.
-    pub cut: u64,
+    /// Bytes that were cut off: a torn tail, or what follows damage, and then the journal is among `quarantined`.
+    pub truncated_bytes: u64,
     /// Files that were damaged, with what they are called now.
-    pub aside: Vec<(String, String)>,
+    pub quarantined: Vec<(String, String)>,
 }
 
 /// Entries by kind and key.
@@ -248,9 +248,9 @@
             pending: Vec::new(),
         };
         for file in damaged {
-            let aside = format!("damaged-{file}");
-            store.disk.rename(&file, &aside)?;
-            report.aside.push((file, aside));
+            let quarantined = format!("damaged-{file}");
+            store.disk.rename(&file, &quarantined)?;
+            report.quarantined.push((file, quarantined));
         }
         store.compact()?;
         Ok((store, report))
@@ -437,7 +437,7 @@
             if check_header(&log, &bytes, generation)? {
                 let (end, after) = records(&bytes, next, |record| apply(&mut entries, record));
                 report.records = after - next;
-                report.cut = (bytes.len() - end) as u64;
+                report.truncated_bytes = (bytes.len() - end) as u64;
                 if later(&bytes, end, after) {
                     damaged.push(log);
                 }
@@ -474,7 +474,7 @@
     let before = store.entries.clone();
     let again = Store::open(store.into_disk(), limits);
     if synced {
-        let again = again.map(|(store, report)| (store.entries, report.aside.is_empty()));
+        let again = again.map(|(store, report)| (store.entries, report.quarantined.is_empty()));
         assert_eq!(again.ok(), Some((before, true)), "what was durable is read again");
     }
 }
@@ -515,7 +515,7 @@
             disk
         };
         let (store, report) = opened(later(FORMAT));
-        assert!(report.aside.is_empty() && report.cut == 0, "{report:?}");
+        assert!(report.quarantined.is_empty() && report.truncated_bytes == 0, "{report:?}");
         assert_eq!(store.get("cordon", "s-1"), Some(&entry(1)));
         assert_eq!(store.get("of a later build", "x"), Some(&entry(2)), "kept for its next start");
         for least in [0, FORMAT + 1] {
@@ -538,14 +538,14 @@
         let mut spoilt = whole.clone();
         spoilt.spoil(&log, HEADER + (length - HEADER) / 4 + 20);
         let (store, report) = opened(spoilt);
-        assert_eq!(report.aside, [(log.clone(), format!("damaged-{log}"))]);
+        assert_eq!(report.quarantined, [(log.clone(), format!("damaged-{log}"))]);
         assert_eq!(store.entries.len(), 1);
         assert_eq!(store.into_disk().length(&format!("damaged-{log}")), length);
         // The last one: that is what a power loss leaves.
         let mut torn = whole;
         torn.truncate(&log, length as u64 - 3).unwrap();
         let (store, report) = opened(torn);
-        assert!(report.aside.is_empty() && report.cut > 0, "{report:?}");
+        assert!(report.quarantined.is_empty() && report.truncated_bytes > 0, "{report:?}");
         assert_eq!(store.entries.len(), 3);
     }
 
@@ -563,7 +563,7 @@
         assert_eq!(before.len(), 6);
         let (store, report) = opened(store.into_disk());
         assert_eq!(store.entries, before);
-        assert!(report.generation > 1 && report.aside.is_empty(), "{report:?}");
+        assert!(report.generation > 1 && report.quarantined.is_empty(), "{report:?}");
         let left = store.into_disk().list().unwrap();
         assert_eq!(left.len(), 2, "one generation: {left:?}");
     }
@@ -611,7 +611,7 @@
             let read = Store::open(spoilt, SMALL);
             // A spoilt format number may read as a later one, if its checksum did not tell.
             let (store, report) = read.expect("it starts");
-            assert!(store.entries.is_empty() && report.aside.len() == 1, "byte {at}");
+            assert!(store.entries.is_empty() && report.quarantined.len() == 1, "byte {at}");
         }
         for at in 0..disk.length(&log) {
             let mut spoilt = disk.clone();
@@ -738,7 +738,7 @@
             "{what}: {:?} {report:?} not one of {states:?}",
             store.entries
         );
-        assert!(report.aside.is_empty(), "{what}: nothing is damaged by a power loss: {report:?}");
+        assert!(report.quarantined.is_empty(), "{what}: nothing is damaged by a power loss: {report:?}");
         // And it goes on.
         store.put("k", "again", entry(1)).unwrap();
         store.sync().unwrap();
--- a/src/node/durable.rs
+++ b/src/node/durable.rs
@@ -179,7 +179,7 @@
     /// Opens the directory as its one writer; a new incarnation is on disk before anybody hears of it.
     fn open(state: &State, limits: Limits) -> Result<(Thread<AnyDisk>, Kept, u64), StoreError> {
         let (mut store, report) = Store::open(disk(state)?, limits)?;
-        for (file, aside) in &report.aside {
+        for (file, aside) in &report.quarantined {
             say!(ERROR, "state", file = file.as_str(), aside = aside.as_str(), "state.damaged");
         }
         let now = wall_ms();
@@ -205,7 +205,7 @@
         store.put(INCARNATION, NODE, entry(incarnation.to_le_bytes().to_vec()))?;
         store.put(STARTS, NODE, entry(starts.iter().flat_map(|at| at.to_le_bytes()).collect()))?;
         store.sync()?;
-        let (generation, records, cut) = (report.generation, report.records, report.cut);
+        let (generation, records, cut) = (report.generation, report.records, report.truncated_bytes);
         let words = kept.cordons.len();
         say!(INFO, "state", incarnation, generation, records, cut, words, looping, "state.opened");
         Ok((Thread { store }, kept, incarnation))
