--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -43,7 +43,7 @@
     if !dir.is_dir() {
         return Err(format!("{}: not a directory", dir.display()).into());
     }
-    let looked = Store::look(&mut RealDisk::look(dir), Limits::default());
+    let looked = Store::inspect(&mut RealDisk::open_read_only(dir), Limits::default());
     let (entries, damaged, _) = looked.map_err(|e| format!("{}: {e}", dir.display()))?;
     Ok((entries, damaged))
 }
--- a/crates/store/benches/open.rs
+++ b/crates/store/benches/open.rs
@@ -27,7 +27,7 @@
         let limits = filled(&dir, megabytes);
         group.throughput(Throughput::Bytes((megabytes << 20) as u64));
         group.bench_function(BenchmarkId::new("read", format!("{megabytes} MB")), |b| {
-            b.iter(|| Store::look(&mut RealDisk::look(&dir), limits).map(|l| l.0.len()));
+            b.iter(|| Store::inspect(&mut RealDisk::open_read_only(&dir), limits).map(|l| l.0.len()));
         });
         group.bench_function(BenchmarkId::new("start", format!("{megabytes} MB")), |b| {
             let open =
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -138,7 +138,7 @@
     }
 
     /// Opens a directory to look at, also while a process has it.
-    pub fn look(dir: &Path) -> RealDisk {
+    pub fn open_read_only(dir: &Path) -> RealDisk {
         RealDisk { dir: dir.to_owned(), open: HashMap::new(), lock: None }
     }
 
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -260,7 +260,7 @@
     ///
     /// # Errors
     /// As [`Store::open`].
-    pub fn look(disk: &mut D, limits: Limits) -> Result<(Entries, Vec<String>, Report), StoreError> {
+    pub fn inspect(disk: &mut D, limits: Limits) -> Result<(Entries, Vec<String>, Report), StoreError> {
         let mut report = Report::default();
         let (entries, damaged, _) = read(disk, limits, &mut report)?;
         Ok((entries, damaged, report))
--- a/src/node/durable.rs
+++ b/src/node/durable.rs
@@ -286,7 +286,8 @@
                 // The other process of this node writes: what it has written can be read.
                 if !told {
                     told = true;
-                    let looked = Store::look(&mut RealDisk::look(Path::new(&state.dir)), limits);
+                    let looked =
+                        Store::inspect(&mut RealDisk::open_read_only(Path::new(&state.dir)), limits);
                     let kept = looked
                         .map(|(entries, ..)| believed(&entries, wall_ms(), false))
                         .unwrap_or_default();
