--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     /// There is room for so many bytes more.
-    pub room: Option<usize>,
+    pub free_bytes: Option<usize>,
     /// Syncing a file fails this many times; what was not durable then is lost, though it can still be read.
-    pub syncs: u32,
+    pub failing_syncs: u32,
     /// Nothing can be written.
     pub read_only: bool,
     /// Reading fails.
@@ -176,9 +176,9 @@
                 i
             }
         };
-        let fits = self.faults.room.map_or(bytes.len(), |room| room.min(bytes.len()));
-        if let Some(room) = &mut self.faults.room {
-            *room -= fits;
+        let fits = self.faults.free_bytes.map_or(bytes.len(), |free_bytes| free_bytes.min(bytes.len()));
+        if let Some(free_bytes) = &mut self.faults.free_bytes {
+            *free_bytes -= fits;
         }
         let file = &mut self.files[i];
         let at = file.now.len();
@@ -200,8 +200,8 @@
         self.written()?;
         let i = self.index(name)?;
         let file = &mut self.files[i];
-        if self.faults.syncs > 0 {
-            self.faults.syncs -= 1;
+        if self.faults.failing_syncs > 0 {
+            self.faults.failing_syncs -= 1;
             // What was not durable is dropped by the system and will not become so, whatever later syncs say.
             file.since.clear();
             return Err(io::Error::other("EIO"));
--- a/crates/store/src/scripted_faults.rs
+++ b/crates/store/src/scripted_faults.rs
@@ -189,7 +189,7 @@
             Step::Remove { name } => disk.remove(&name),
             Step::Synced { name } => disk.sync(&name),
             Step::SyncFailed { name } => {
-                disk.faults.syncs = 1;
+                disk.faults.failing_syncs = 1;
                 disk.sync(&name)
             }
             Step::NamesSynced => disk.sync_names(),
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -627,7 +627,7 @@
         let (mut store, _) = opened(FaultDisk::default());
         store.put("k", "a", entry(1)).unwrap();
         store.sync().unwrap();
-        store.disk().faults = Faults { room: Some(5), ..Faults::default() };
+        store.disk().faults = Faults { free_bytes: Some(5), ..Faults::default() };
         assert!(store.put("k", "b", entry(2)).and_then(|()| store.sync()).is_err());
         assert!(
             store.remove("k", "b").is_err() && store.get("k", "b").is_some(),
@@ -638,7 +638,7 @@
         store.sync().unwrap();
         // A sync that fails once and then succeeds has lost what was written.
         store.put("k", "c", entry(3)).unwrap();
-        store.disk().faults = Faults { syncs: 1, ..Faults::default() };
+        store.disk().faults = Faults { failing_syncs: 1, ..Faults::default() };
         assert!(store.sync().is_err());
         store.sync().unwrap();
         let (after, _) = opened(store.into_disk().after_power_loss(|_| 0));
--- a/src/node/durable.rs
+++ b/src/node/durable.rs
@@ -478,7 +478,7 @@
         assert_eq!(say("s-1", true, fine, false), ["s-1"]);
         assert_eq!(say("s-1", false, fine, false), ["s-1"]);
         // Written, but not durable: told so, and not there with the next write either.
-        assert_eq!(say("s-2", true, Faults { syncs: 1, ..fine }, true), ["s-1"]);
+        assert_eq!(say("s-2", true, Faults { failing_syncs: 1, ..fine }, true), ["s-1"]);
     }
 
     #[test]
