--- a/src/policy/failure_record.rs
+++ b/src/policy/failure_record.rs
@@ -3,7 +3,7 @@
 
 use super::Balancer;
 use crate::interface::{Action, LogNote};
-use crate::news::News;
+use crate::peer_message::PeerMessage;
 use crate::statistics::FailureWindow;
 
 /// Part of attempts that fail at a backend which serves hardly anybody.
@@ -89,17 +89,17 @@
         }
     }
 
-    pub(super) fn trial_over(&mut self, now: f64, i: usize, news: News, out: &mut Vec<Action>) {
+    pub(super) fn trial_over(&mut self, now: f64, i: usize, news: PeerMessage, out: &mut Vec<Action>) {
         self.tell_all(news, i, out);
         self.backends[i].record.trial_out = false;
         self.settle(now, i, news, out);
     }
 
-    pub(super) fn settle(&mut self, now: f64, i: usize, news: News, out: &mut Vec<Action>) {
+    pub(super) fn settle(&mut self, now: f64, i: usize, news: PeerMessage, out: &mut Vec<Action>) {
         let failed_trials = self.backends[i].record.failed_trials;
         let t = self.pause(failed_trials + 1);
         let b = &mut self.backends[i];
-        if matches!(news, News::TrialFailed) {
+        if matches!(news, PeerMessage::TrialFailed) {
             b.record.failed_trials += 1;
             b.record.prat = now + t;
             return;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::counters::AdmissionCounters;
 use crate::interface::{Action, Discovery, Event, Outcome, RequestId, Settings, SettingsError};
-use crate::news::News;
+use crate::peer_message::PeerMessage;
 use crate::request_table::{Backend, OpenRequest};
 use crate::statistics::{ClassStatistics, DecayingPeak, KeyCounts};
 use admission::Admission;
@@ -119,7 +119,12 @@
             Event::ProbeEnded { backend, outcome, .. } => {
                 if let Some(i) = self.find(backend).filter(|&i| self.backends[i].record.trial_out) {
                     let live = outcome == Outcome::Done;
-                    self.trial_over(now, i, if live { News::Live } else { News::TrialFailed }, out);
+                    self.trial_over(
+                        now,
+                        i,
+                        if live { PeerMessage::TrialSucceeded } else { PeerMessage::TrialFailed },
+                        out,
+                    );
                 }
             }
             Event::ZoneWeights(weights) => self.on_zones(now, weights, out),
--- a/src/policy/peer_messages.rs
+++ b/src/policy/peer_messages.rs
@@ -3,7 +3,7 @@
 
 use super::Balancer;
 use crate::interface::Action;
-use crate::news::News;
+use crate::peer_message::PeerMessage;
 
 /// Part of all attempts that fail from which a failure says nothing of one backend.
 const SHARED_FAILING: f64 = 0.12;
@@ -23,22 +23,28 @@
     }
 
     /// Tells the other nodes what each of them would otherwise have to find out by itself.
-    pub(super) fn tell_all(&self, news: News, i: usize, out: &mut Vec<Action>) {
+    pub(super) fn tell_all(&self, news: PeerMessage, i: usize, out: &mut Vec<Action>) {
         if self.seldom() && self.fleet_failing < SHARED_FAILING {
-            out.push(Action::SendPeerMessage { to: None, bytes: news.to_bytes(self.backends[i].id) });
+            out.push(Action::SendPeerMessage { to: None, bytes: news.encode(self.backends[i].id) });
         }
     }
 
     /// Another node's news; what cannot be read, or is of a backend that is not listed here, changes nothing.
     pub(super) fn on_news(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Action>) {
-        let Some((news, short)) = News::read(bytes) else { return };
+        let Some((news, short)) = PeerMessage::decode(bytes) else { return };
         let Some(i) = self.backends.iter().position(|b| b.id.short() == short) else { return };
         let window = self.window();
         let congested = self.backends[i].record.congested;
         match news {
-            News::TrialFailed | News::Live if congested => self.settle(now, i, news, out),
-            News::Failed | News::Answered if !congested && self.seldom() => {
-                self.backends[i].record.window.note(now, window, matches!(news, News::Failed));
+            PeerMessage::TrialFailed | PeerMessage::TrialSucceeded if congested => {
+                self.settle(now, i, news, out)
+            }
+            PeerMessage::AttemptFailed | PeerMessage::AttemptAnswered if !congested && self.seldom() => {
+                self.backends[i].record.window.note(
+                    now,
+                    window,
+                    matches!(news, PeerMessage::AttemptFailed),
+                );
                 self.judge(now, i, out);
             }
             _ => {}
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -5,7 +5,7 @@
 use super::{Balancer, send_rules};
 use crate::counters::StopReason;
 use crate::interface::{Action, AttemptEnded, Outcome, Reporting, Request, RequestId};
-use crate::news::News;
+use crate::peer_message::PeerMessage;
 use crate::request_table::{Attempt, OpenRequest};
 use crate::statistics::{mix_bits, pressed};
 
@@ -152,9 +152,9 @@
                 match outcome {
                     Outcome::Cancelled | Outcome::Skipped => self.backends[i].record.trial_out = false,
                     Outcome::TimedOut | Outcome::NotConnected | Outcome::Reset => {
-                        self.trial_over(now, i, News::TrialFailed, out);
+                        self.trial_over(now, i, PeerMessage::TrialFailed, out);
                     }
-                    _ => self.trial_over(now, i, News::Live, out),
+                    _ => self.trial_over(now, i, PeerMessage::TrialSucceeded, out),
                 }
             } else if !own_stall {
                 self.learn(now, i, class, (outcome, in_aim, elapsed), worth, out);
@@ -247,7 +247,7 @@
         let (failures, tries) = b.record.window.sums();
         b.record.note(now, window, failed);
         if failed {
-            self.tell_all(News::Failed, i, out);
+            self.tell_all(PeerMessage::AttemptFailed, i, out);
             if self.meets_few() {
                 self.found(i, true, out);
             }
@@ -255,7 +255,7 @@
         } else if b.record.told && !b.record.congested {
             self.found(i, false, out);
         } else if failures > TOLD_ANSWERS * tries {
-            self.tell_all(News::Answered, i, out);
+            self.tell_all(PeerMessage::AttemptAnswered, i, out);
         }
     }
 }
