--- a/crates/lab/src/capacity/discovery.rs
+++ b/crates/lab/src/capacity/discovery.rs
@@ -1,7 +1,7 @@
 //! What one discovery service costs by the number of its watches and of the backends that it lists: hollow
 //! nodes before a stand-in of the platform's protocol, over loopback sockets.
 //!
-//! A hollow node is the node's own course of asking (`daleturn::control::asking`) with one connection; of
+//! A hollow node is the node's own course of asking (`daleturn::control::list_sync`) with one connection; of
 //! an answer it reads version and kind, and drops the lines. The service has a thread of its own, whose
 //! processor time is its cost; it writes a list once for each version, all answers share those bytes, so
 //! the cost of `list_written` is not in the others. The kernel's work for what it sends is in it. Each
@@ -10,7 +10,7 @@
 
 use super::{Measure, MeasureError, Point, Series};
 use bytes::Bytes;
-use daleturn::control::asking::{Ask, Asking, Call, Next, Told};
+use daleturn::control::list_sync::{ListCall, ListRequest, ListResponse, ListSync, NextStep};
 use daleturn::interface::Discovery;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -303,9 +303,9 @@
 }
 
 impl Node {
-    fn asking(&self) -> Asking {
-        let mut asking = Asking::new(self.how, MUST_ASK_MS, None, self.seed ^ self.number as u64);
-        asking.wish(true);
+    fn asking(&self) -> ListSync {
+        let mut asking = ListSync::new(self.how, MUST_ASK_MS, None, self.seed ^ self.number as u64);
+        asking.set_wanted(true);
         asking
     }
 
@@ -322,7 +322,7 @@
             let next = asking.next(now());
             let step = async {
                 match next {
-                    Next::Rest => {
+                    NextStep::Idle => {
                         // The decisions' pace after failures.
                         let least = (25.0 * self.count as f64).min(MUST_ASK_MS / 2.0);
                         let most = (4.0 * least).clamp(MUST_ASK_MS / 2.0, 2.0 * MUST_ASK_MS);
@@ -330,12 +330,12 @@
                         sleep_ms(pause * (0.5 + 0.5 * rng.f64())).await;
                         None
                     }
-                    Next::Pause(ms) => {
+                    NextStep::Pause(ms) => {
                         sleep_ms(ms).await;
                         None
                     }
-                    Next::Call(call) => {
-                        let limit = Duration::from_secs_f64(call.limit_ms / 1000.0);
+                    NextStep::Call(call) => {
+                        let limit = Duration::from_secs_f64(call.timeout_ms / 1000.0);
                         let told = tokio::time::timeout(limit, exchange(self.at, &call, &mut conn)).await;
                         Some((call, told.unwrap_or_else(|late| Err(late.into()))))
                     }
@@ -350,7 +350,7 @@
                     }
                     if order.moved != last.moved {
                         conn = None;
-                        asking.moved(now(), self.how);
+                        asking.discovery_changed(now(), self.how);
                     }
                     if order.tenth != last.tenth && self.number.is_multiple_of(10) {
                         conn = None;
@@ -362,12 +362,12 @@
                 done = step => done,
             };
             match done {
-                None => asking.wish(true),
+                None => asking.set_wanted(true),
                 Some((call, Ok(told))) => {
                     paced = 0;
                     if asking.answered(now(), &call, told) {
                         known.version.store(told.version, Relaxed);
-                        known.wholes.fetch_add(u64::from(told.all), Relaxed);
+                        known.wholes.fetch_add(u64::from(told.full), Relaxed);
                     }
                 }
                 Some((call, Err(_))) => {
@@ -387,15 +387,19 @@
 }
 
 /// Makes a call; of the answer only the first bytes are kept.
-async fn exchange(at: SocketAddr, call: &Call, kept: &mut Option<TcpStream>) -> io::Result<Told> {
+async fn exchange(
+    at: SocketAddr,
+    call: &ListCall,
+    kept: &mut Option<TcpStream>,
+) -> io::Result<ListResponse> {
     let odd = || io::Error::from(io::ErrorKind::InvalidData);
     let mut stream = match kept.take() {
         Some(stream) => stream,
         None => TcpStream::connect(at).await?,
     };
-    let query = match call.ask {
-        Ask::Whole => String::new(),
-        Ask::Changes { after, wait_ms } => format!("?after={after}&wait_ms={wait_ms}"),
+    let query = match call.request {
+        ListRequest::FullList => String::new(),
+        ListRequest::Changes { after, wait_ms } => format!("?after={after}&wait_ms={wait_ms}"),
     };
     stream
         .write_all(format!("GET /discovery/hosts{query} HTTP/1.1\r\nhost: {at}\r\n\r\n").as_bytes())
@@ -428,7 +432,7 @@
         }
     }
     *kept = Some(stream);
-    Ok(Told { version, all, skipped: 0 })
+    Ok(ListResponse { version, full: all, skipped: 0 })
 }
 
 /// The series as they grow, by axis and cost.
--- a/src/control/asking.rs
+++ b/src/control/list_sync.rs
@@ -12,7 +12,7 @@
 //!
 //! A call that is replaced, by a time-out or by a new address, may have been answered already: the answer is under way, and
 //! from the moment in which it was written its departures count as notified. So its answer is still read for a while, and
-//! [`Asking::answered_late`] says what of it holds.
+//! [`ListSync::answered_late`] says what of it holds.
 
 use crate::interface::Discovery;
 
@@ -66,9 +66,9 @@
 
 /// What discovery is asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ask {
+pub enum ListRequest {
     /// The whole list.
-    Whole,
+    FullList,
     /// What has changed since a version, when something has or the wait is over.
     Changes {
         /// The version.
@@ -80,14 +80,14 @@
 
 /// One call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Call {
+pub struct ListCall {
     /// What for.
-    pub ask: Ask,
+    pub request: ListRequest,
     /// Milliseconds after which its answer is not waited for any more.
-    pub limit_ms: f64,
+    pub timeout_ms: f64,
     /// While it is out, the same is asked on another connection, in tries of so many milliseconds, one after the other;
     /// what is answered first counts.
-    pub try_ms: Option<f64>,
+    pub parallel_interval_ms: Option<f64>,
     begun: f64,
     number: u64,
     /// Which address it is made to, counted from the first.
@@ -96,36 +96,36 @@
     answered_before: Option<u64>,
 }
 
-impl Call {
+impl ListCall {
     /// Its place in the order of all calls.
     pub fn number(&self) -> u64 {
         self.number
     }
 
     /// Whole milliseconds since it was made.
-    pub fn after_ms(&self, now: f64) -> u64 {
+    pub fn elapsed_ms(&self, now: f64) -> u64 {
         (now - self.begun).max(0.0) as u64
     }
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Next {
+pub enum NextStep {
     /// Make this call.
-    Call(Call),
+    Call(ListCall),
     /// Nothing, for so many milliseconds.
     Pause(f64),
     /// Nothing, until the decisions wish for news or discovery has moved.
-    Rest,
+    Idle,
 }
 
 /// What is known of an answer without reading its lines.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct ListResponse {
     /// Its version.
     pub version: u64,
     /// It is the whole list.
-    pub all: bool,
+    pub full: bool,
     /// Lines that could not be read.
     pub skipped: usize,
 }
@@ -146,10 +146,10 @@
 
 /// The course of asking.
 #[derive(Debug)]
-pub struct Asking {
+pub struct ListSync {
     how: Discovery,
     longest_wait: f64,
-    try_ms: f64,
+    parallel_interval_ms: f64,
     /// Nothing was heard since a failure, or, where lists are pushed, since the start.
     unheard: bool,
     /// The next call is made then at the latest, though the decisions do not wish for it.
@@ -181,13 +181,13 @@
     rng: fastrand::Rng,
 }
 
-impl Asking {
+impl ListSync {
     /// Nothing was asked yet; a list of that version is known whole.
-    pub fn new(how: Discovery, must_ask_in_ms: f64, known: Option<u64>, seed: u64) -> Asking {
-        Asking {
+    pub fn new(how: Discovery, must_ask_in_ms: f64, known: Option<u64>, seed: u64) -> ListSync {
+        ListSync {
             how,
             longest_wait: longest_wait(how, must_ask_in_ms),
-            try_ms: MOST_TRY_MS,
+            parallel_interval_ms: MOST_TRY_MS,
             unheard: how == Discovery::Pushed,
             again_at: None,
             version: known,
@@ -211,17 +211,17 @@
     /// whole list is asked for, at once, whatever pace the old one had earned.
     ///
     /// A moment from which news counts as told is put off by no further move: settings may follow each other within seconds.
-    pub fn moved(&mut self, now: f64, how: Discovery) {
+    pub fn discovery_changed(&mut self, now: f64, how: Discovery) {
         let rng = self.rng.clone();
         let (calls, epoch) = (self.calls, self.epoch.wrapping_add(1));
         let move_due = now + MOVED_MS;
         let due = self.due.filter(|due| now < *due).map_or(move_due, |due| due.min(move_due));
-        *self = Asking {
+        *self = ListSync {
             rng,
-            try_ms: self.try_ms,
+            parallel_interval_ms: self.parallel_interval_ms,
             calls,
             epoch,
-            ..Asking::new(how, self.longest_wait, None, 0)
+            ..ListSync::new(how, self.longest_wait, None, 0)
         };
         self.wanted = true;
         self.due = Some(due);
@@ -229,13 +229,13 @@
     }
 
     /// The settings give these times for asking and for drains, in milliseconds, from the next call on.
-    pub fn retune(&mut self, must_ask_in_ms: f64, drain_grace_ms: f64) {
+    pub fn update_settings(&mut self, must_ask_in_ms: f64, drain_grace_ms: f64) {
         self.longest_wait = longest_wait(self.how, must_ask_in_ms);
-        self.try_ms = (drain_grace_ms * TRY_OF_GRACE).clamp(LEAST_TRY_MS, MOST_TRY_MS);
+        self.parallel_interval_ms = (drain_grace_ms * TRY_OF_GRACE).clamp(LEAST_TRY_MS, MOST_TRY_MS);
     }
 
     /// The decisions wish for news, or for none.
-    pub fn wish(&mut self, wanted: bool) {
+    pub fn set_wanted(&mut self, wanted: bool) {
         self.wanted = wanted || self.how == Discovery::Pushed;
         self.again_at = self.again_at.filter(|_| wanted);
     }
@@ -251,16 +251,16 @@
     }
 
     /// What to do now.
-    pub fn next(&mut self, now: f64) -> Next {
+    pub fn next(&mut self, now: f64) -> NextStep {
         if !self.wanted {
-            let Some(at) = self.again_at else { return Next::Rest };
+            let Some(at) = self.again_at else { return NextStep::Idle };
             if now < at {
-                return Next::Pause(at - now);
+                return NextStep::Pause(at - now);
             }
             self.wanted = true;
         }
         if now < self.pause_until {
-            return Next::Pause(self.pause_until - now);
+            return NextStep::Pause(self.pause_until - now);
         }
         let ask = match self.version {
             Some(after) if self.whole_at.is_none_or(|at| now < at) => {
@@ -276,22 +276,22 @@
                     }
                 };
                 let wait = self.whole_at.map_or(wait, |at| wait.min(at - now));
-                Ask::Changes { after, wait_ms: wait.ceil().max(1.0) as u64 }
+                ListRequest::Changes { after, wait_ms: wait.ceil().max(1.0) as u64 }
             }
-            _ => Ask::Whole,
+            _ => ListRequest::FullList,
         };
-        let limit_ms = match (ask, self.due) {
+        let timeout_ms = match (ask, self.due) {
             (_, Some(due)) => ((due - now) / 2.0).clamp(LEAST_MS, PROMPT_MS),
-            (Ask::Changes { wait_ms, .. }, None) if wait_ms > 1 => wait_ms as f64 + LATE_MS,
+            (ListRequest::Changes { wait_ms, .. }, None) if wait_ms > 1 => wait_ms as f64 + LATE_MS,
             _ => PROMPT_MS,
         };
         let tries = self.unheard && self.how == Discovery::Pushed;
-        let try_ms = tries.then(|| self.draw(self.try_ms));
+        let parallel_interval_ms = tries.then(|| self.draw(self.parallel_interval_ms));
         self.calls += 1;
-        Next::Call(Call {
-            ask,
-            limit_ms,
-            try_ms,
+        NextStep::Call(ListCall {
+            request: ask,
+            timeout_ms,
+            parallel_interval_ms,
             begun: now,
             number: self.calls,
             epoch: self.epoch,
@@ -300,20 +300,26 @@
     }
 
     /// The same call once more, made beside it.
-    pub fn beside(&mut self, now: f64, call: &Call) -> Call {
+    pub fn parallel_call(&mut self, now: f64, call: &ListCall) -> ListCall {
         self.calls += 1;
-        Call { try_ms: None, begun: now, number: self.calls, answered_before: self.answered_call, ..*call }
+        ListCall {
+            parallel_interval_ms: None,
+            begun: now,
+            number: self.calls,
+            answered_before: self.answered_call,
+            ..*call
+        }
     }
 
     /// A call was answered. True: its lines hold; false: they are of another count, and only a whole list tells.
-    pub fn answered(&mut self, now: f64, call: &Call, told: Told) -> bool {
+    pub fn answered(&mut self, now: f64, call: &ListCall, told: ListResponse) -> bool {
         (self.due, self.last_move_due) = (None, None);
         // The answer by which discovery is heard again shows of no watch that it is.
         let returned = std::mem::replace(&mut self.unheard, false);
         self.again_at = None;
         self.answered_call = self.answered_call.max(Some(call.number));
         let before = self.version;
-        if !told.all && before.is_none_or(|version| told.version < version) {
+        if !told.full && before.is_none_or(|version| told.version < version) {
             self.version = None;
             self.rest(now);
             return false;
@@ -323,11 +329,12 @@
             // What that line had to tell is in the whole list, if anywhere; a service that never gets it right must
             // not be asked for that without end.
             self.whole_at = Some(now + self.spoilt_pause());
-        } else if told.all {
+        } else if told.full {
             (self.whole_at, self.spoilt) = (None, 0);
         }
         // A watch that did not wait and brought nothing must not spin.
-        let waits = matches!(call.ask, Ask::Changes { wait_ms, .. } if wait_ms as f64 > HASTY_MS);
+        let waits =
+            matches!(call.request, ListRequest::Changes { wait_ms, .. } if wait_ms as f64 > HASTY_MS);
         self.proven = (self.proven + usize::from(waits && !returned)).min(WAITS_AFTER_TROUBLE_MS.len());
         if waits && before == Some(told.version) && now - call.begun < HASTY_MS {
             self.rest(now);
@@ -338,14 +345,14 @@
     }
 
     /// A call was answered that had been given up or replaced: what of its answer holds.
-    pub fn answered_late(&mut self, now: f64, call: &Call, told: Told) -> LateAnswer {
+    pub fn answered_late(&mut self, now: f64, call: &ListCall, told: ListResponse) -> LateAnswer {
         if call.epoch != self.epoch {
             // The counts of two addresses cannot be compared. Once the new one has answered, its list tells more than an
             // omission at the old one.
             return LateAnswer::Departures { omissions: self.answered_call.is_none() };
         }
         if self.answered_call == call.answered_before {
-            if let Ask::Changes { after, .. } = call.ask
+            if let ListRequest::Changes { after, .. } = call.request
                 && told.version >= after
             {
                 // Nothing was taken since, so the changes go on from what is known.
@@ -353,7 +360,7 @@
             }
         } else if self.held.is_some_and(|held| told.version <= held) {
             return LateAnswer::Outdated;
-        } else if !told.all || self.answered_call > Some(call.number) {
+        } else if !told.full || self.answered_call > Some(call.number) {
             return LateAnswer::Departures { omissions: true };
         }
         if !self.answered(now, call, told) {
@@ -366,14 +373,14 @@
 
     /// Backends are kept out by an answer of which nothing else held. The whole list, asked for from here on, tells whether
     /// they still are.
-    pub fn departed(&mut self, now: f64) {
+    pub fn request_full_list(&mut self, now: f64) {
         self.whole_at = Some(self.whole_at.map_or(now, |at| at.min(now)));
         self.wanted = true;
     }
 
     /// A call was answered with more than can be read. What is known holds, its changes are asked for, and the whole list
     /// is tried again ever more seldom: neither is a service to be asked for that without end.
-    pub fn overlong(&mut self, now: f64) {
+    pub fn response_too_long(&mut self, now: f64) {
         (self.due, self.last_move_due) = (None, None);
         (self.unheard, self.again_at) = (false, None);
         let pause = self.spoilt_pause();
@@ -391,10 +398,10 @@
     }
 
     /// A call failed, or its time is over. True: the decisions pace what follows, and have to be told.
-    pub fn failed(&mut self, now: f64, call: &Call) -> bool {
+    pub fn failed(&mut self, now: f64, call: &ListCall) -> bool {
         let heard = !std::mem::replace(&mut self.unheard, true);
         self.proven = 0;
-        if let (Ask::Changes { wait_ms, .. }, None) = (call.ask, self.due)
+        if let (ListRequest::Changes { wait_ms, .. }, None) = (call.request, self.due)
             && heard
             && now - call.begun >= wait_ms as f64
         {
@@ -424,7 +431,7 @@
     fn rest(&mut self, now: f64) {
         let first = if self.how == Discovery::Pushed { FIRST_PAUSE_MS } else { ASKED_PAUSE_MS };
         // Where news is about to count as told, time has to be left for the call after this pause.
-        let longest = if self.how == Discovery::Pushed { self.try_ms } else { LAST_PAUSE_MS };
+        let longest = if self.how == Discovery::Pushed { self.parallel_interval_ms } else { LAST_PAUSE_MS };
         let last = self.due.map_or(longest, |due| longest.min((due - now) / 4.0));
         let pause = (first * f64::from(1_u32 << self.vain.min(12))).min(last);
         self.vain = self.vain.saturating_add(1);
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -4,9 +4,9 @@
 //! [`fleet::Fleet`] owns the parts: [`members`] says who is in the fleet, [`share`] holds what is shared, and
 //! [`packet`] is how it is written into datagrams of at most 256 bytes. `docs/shared-state.md` tells the whole.
 
-pub mod asking;
 pub mod departures;
 pub mod fleet;
+pub mod list_sync;
 pub mod members;
 pub mod packet;
 pub mod share;
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -6,8 +6,8 @@
 use crate::log::say;
 use crate::rules::Current;
 use crate::socket::Descriptors;
-use daleturn::control::asking::{Asking, Call, LateAnswer, Next, Told};
 use daleturn::control::departures::Departures;
+use daleturn::control::list_sync::{LateAnswer, ListCall, ListResponse, ListSync, NextStep};
 use daleturn::interface::{Discovery, ListKind};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
     pub address: watch::Receiver<(SocketAddr, Discovery)>,
     /// What is asked when. The version that is known spares the one service of all nodes whole lists, above all where
     /// many nodes start at once.
-    pub asking: Asking,
+    pub asking: ListSync,
     /// Names of zones, and the time that the settings give for asking.
     pub rules: Rc<Current>,
     /// The count of sockets.
@@ -64,7 +64,7 @@
         loop {
             if list.calls.current().is_none() {
                 while let Ok(wish) = self.wishes.try_recv() {
-                    list.asking.wish(wish);
+                    list.asking.set_wanted(wish);
                 }
             }
             let pause = list.go_on();
@@ -75,7 +75,7 @@
                 (new, how) = moved(&mut address) => list.move_to(new, how),
                 // The decisions may wish for the next call sooner.
                 wish = self.wishes.recv(), if list.calls.current().is_none() => match wish {
-                    Some(wish) => list.asking.wish(wish),
+                    Some(wish) => list.asking.set_wanted(wish),
                     None => return,
                 },
                 () = tokio::time::sleep(span(pause.unwrap_or(0.0))), if pause.is_some() => {}
@@ -86,7 +86,7 @@
 
 /// The list as discovery tells it, and the calls that keep it fresh.
 struct List {
-    asking: Asking,
+    asking: ListSync,
     calls: Calls,
     resources: Rc<Resources>,
     failures: Failures,
@@ -103,27 +103,27 @@
             return self.try_again(&current);
         }
         let settings = &self.resources.rules.get().settings;
-        self.asking.retune(settings.must_ask_in_ms, settings.drain_grace_ms);
+        self.asking.update_settings(settings.must_ask_in_ms, settings.drain_grace_ms);
         let now = self.driver.clock.now_ms();
         match self.asking.next(now) {
-            Next::Rest => None,
-            Next::Pause(ms) => Some(ms),
-            Next::Call(call) => {
+            NextStep::Idle => None,
+            NextStep::Pause(ms) => Some(ms),
+            NextStep::Call(call) => {
                 self.calls.begin(call);
-                self.next_try = call.try_ms.map(|try_ms| (now + try_ms, try_ms));
-                call.try_ms
+                self.next_try = call.parallel_interval_ms.map(|try_ms| (now + try_ms, try_ms));
+                call.parallel_interval_ms
             }
         }
     }
 
     /// Makes the current call once more beside itself, if it is time. One that fails soon is not repeated sooner.
-    fn try_again(&mut self, current: &Call) -> Option<f64> {
+    fn try_again(&mut self, current: &ListCall) -> Option<f64> {
         let (at, try_ms) = self.next_try?;
         let now = self.driver.clock.now_ms();
         if now < at {
             return Some(at - now);
         }
-        let call = self.asking.beside(now, current);
+        let call = self.asking.parallel_call(now, current);
         self.calls.begin_beside(call);
         self.next_try = Some((now + try_ms, try_ms));
         Some(try_ms)
@@ -132,7 +132,7 @@
     /// Asks another address from now on. What the old one has written may still be under way.
     fn move_to(&mut self, at: SocketAddr, how: Discovery) {
         self.calls.move_to(at);
-        self.asking.moved(self.driver.clock.now_ms(), how);
+        self.asking.discovery_changed(self.driver.clock.now_ms(), how);
         say!(INFO, "discovery", %at, ?how, replaced_calls = self.calls.count(), "discovery.moved");
     }
 
@@ -174,7 +174,7 @@
         }
     }
 
-    async fn answered(&mut self, call: &Call, listing: Listing) {
+    async fn answered(&mut self, call: &ListCall, listing: Listing) {
         let now = self.driver.clock.now_ms();
         self.heard(now, call, &listing);
         // No change is news too where discovery is asked: the call did not fail.
@@ -186,7 +186,7 @@
     }
 
     /// `beside`: the call was made beside another, and is not late by being replaced.
-    async fn answered_late(&mut self, call: &Call, beside: bool, listing: Listing) {
+    async fn answered_late(&mut self, call: &ListCall, beside: bool, listing: Listing) {
         let now = self.driver.clock.now_ms();
         let late = self.asking.answered_late(now, call, told(&listing));
         if late == LateAnswer::Outdated {
@@ -194,7 +194,7 @@
         }
         if !beside {
             let Listing { rev: version, all, entries, .. } = listing;
-            let (number, after_ms) = (call.number(), call.after_ms(now));
+            let (number, after_ms) = (call.number(), call.elapsed_ms(now));
             say!(
                 INFO,
                 "discovery",
@@ -224,18 +224,18 @@
     }
 
     /// Discovery was heard, and nothing newer is known than this.
-    fn heard(&mut self, now: f64, call: &Call, listing: &Listing) {
+    fn heard(&mut self, now: f64, call: &ListCall, listing: &Listing) {
         self.failures.over();
         listing.tell_skipped();
         if listing.entries > 0 {
             let Listing { rev: version, all, entries, .. } = *listing;
-            let (number, after_ms) = (call.number(), call.after_ms(now));
+            let (number, after_ms) = (call.number(), call.elapsed_ms(now));
             say!(INFO, "discovery", version, entries, all, after_ms, call = number, "discovery.listed");
         }
     }
 
     /// Takes all that an answer says.
-    async fn hold(&mut self, call: &Call, listing: Listing) {
+    async fn hold(&mut self, call: &ListCall, listing: Listing) {
         self.driver.list_version(self.asking.version());
         let Listing { all, entries, skipped, mut lines, .. } = listing;
         let kept_out = match &mut lines {
@@ -275,18 +275,18 @@
 
     /// Backends are kept out on the word of an answer that may be outdated otherwise.
     fn ask_whether_they_left(&mut self) {
-        self.asking.departed(self.driver.clock.now_ms());
+        self.asking.request_full_list(self.driver.clock.now_ms());
         self.calls.replace_watch();
         self.driver.list_version(self.asking.version());
     }
 
     fn overlong(&mut self) {
-        self.asking.overlong(self.driver.clock.now_ms());
+        self.asking.response_too_long(self.driver.clock.now_ms());
         self.driver.list_too_long();
         say!(ERROR, "discovery", limit = LIST_LIMIT, "discovery.list_too_long");
     }
 
-    fn failed(&mut self, call: &Call, reason: &str) {
+    fn failed(&mut self, call: &ListCall, reason: &str) {
         let tries = self.calls.tries();
         let now = self.driver.clock.now_ms();
         let paced = self.asking.failed(now, call);
@@ -298,8 +298,8 @@
     }
 }
 
-fn told(listing: &Listing) -> Told {
-    Told { version: listing.rev, all: listing.all, skipped: listing.skipped }
+fn told(listing: &Listing) -> ListResponse {
+    ListResponse { version: listing.rev, full: listing.all, skipped: listing.skipped }
 }
 
 /// Hands on what an answer holds; many changes in slices.
@@ -329,12 +329,12 @@
 
 impl Failures {
     /// One more; it is told if it is the first, if it always is, or if none was for a second.
-    fn tell(&mut self, now: f64, call: &Call, tries: u32, always: bool, reason: &str) {
+    fn tell(&mut self, now: f64, call: &ListCall, tries: u32, always: bool, reason: &str) {
         self.calls += 1;
         self.tries += u64::from(tries);
         if always || self.told_at.is_none_or(|at| now - at >= TELL_FAILED_MS) {
             self.told_at = Some(now);
-            let (number, after_ms) = (call.number(), call.after_ms(now));
+            let (number, after_ms) = (call.number(), call.elapsed_ms(now));
             let (failed, tries) = (self.calls, self.tries);
             say!(WARN, "discovery", after_ms, reason, failed, tries, call = number, "discovery.failed");
         }
--- a/src/node/discovery_calls.rs
+++ b/src/node/discovery_calls.rs
@@ -11,7 +11,7 @@
 use crate::socket::{Descriptors, Socket};
 use crate::upstream::Conn;
 use bytes::Bytes;
-use daleturn::control::asking::{Ask, Call, LATE_ANSWER_MS};
+use daleturn::control::list_sync::{LATE_ANSWER_MS, ListCall, ListRequest};
 use http_body_util::LengthLimitError;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
@@ -44,7 +44,7 @@
 /// What became of a call.
 pub enum Progress {
     /// Its time is over. Its answer may still come.
-    GivenUp(Call),
+    GivenUp(ListCall),
     /// It is over.
     Ended(Box<Ended>),
 }
@@ -52,7 +52,7 @@
 /// A call that is over.
 pub struct Ended {
     /// Which one.
-    pub call: Call,
+    pub call: ListCall,
     /// The list that its answer was compared with.
     pub compared: Option<Seen>,
     /// What came of it.
@@ -74,7 +74,7 @@
 
 /// A call that is out. Once this is dropped, it ends with what was written until now.
 struct Outstanding {
-    call: Call,
+    call: ListCall,
     stage: watch::Sender<Stage>,
 }
 
@@ -119,7 +119,7 @@
     }
 
     /// Makes the current call.
-    pub fn begin(&mut self, call: Call) {
+    pub fn begin(&mut self, call: ListCall) {
         self.replace();
         let conn = self.conn.take();
         self.current = Some(self.make(call, conn));
@@ -127,7 +127,7 @@
     }
 
     /// Makes a call beside the current one, on a connection of its own.
-    pub fn begin_beside(&mut self, call: Call) {
+    pub fn begin_beside(&mut self, call: ListCall) {
         if self.beside.len() >= MOST_BESIDE {
             self.beside.pop_front();
         }
@@ -136,7 +136,7 @@
         self.tries += 1;
     }
 
-    fn make(&self, call: Call, conn: Option<Conn>) -> Outstanding {
+    fn make(&self, call: ListCall, conn: Option<Conn>) -> Outstanding {
         let (stage, staged) = watch::channel(Stage::Wanted);
         let made = make(self.at, call, conn, self.resources.clone(), staged, self.progress.clone());
         spawn_local(made);
@@ -144,7 +144,7 @@
     }
 
     /// The current call.
-    pub fn current(&self) -> Option<Call> {
+    pub fn current(&self) -> Option<ListCall> {
         self.current.as_ref().map(|current| current.call)
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// The call was made beside another.
-    pub fn is_beside(&self, call: &Call) -> bool {
+    pub fn is_beside(&self, call: &ListCall) -> bool {
         self.beside.iter().any(|beside| beside.call.number() == call.number())
     }
 
@@ -175,13 +175,13 @@
 
     /// The current call is replaced, unless it asks for the whole list.
     pub fn replace_watch(&mut self) {
-        if self.current.as_ref().is_some_and(|current| current.call.ask != Ask::Whole) {
+        if self.current.as_ref().is_some_and(|current| current.call.request != ListRequest::FullList) {
             self.replace();
         }
     }
 
     /// Notes that a call's time is over. True: it was the current one.
-    pub fn given_up(&mut self, call: &Call) -> bool {
+    pub fn given_up(&mut self, call: &ListCall) -> bool {
         let current = self.is_current(call);
         if current {
             self.replace();
@@ -204,7 +204,7 @@
         current
     }
 
-    fn is_current(&self, call: &Call) -> bool {
+    fn is_current(&self, call: &ListCall) -> bool {
         self.current.as_ref().is_some_and(|current| current.call.number() == call.number())
     }
 }
@@ -212,7 +212,7 @@
 /// Makes a call and tells what becomes of it.
 async fn make(
     at: SocketAddr,
-    call: Call,
+    call: ListCall,
     mut conn: Option<Conn>,
     resources: Rc<Resources>,
     stage: watch::Receiver<Stage>,
@@ -242,7 +242,7 @@
 /// the node has ended its sending there.
 async fn exchange_in_stages(
     at: SocketAddr,
-    call: &Call,
+    call: &ListCall,
     resources: &Resources,
     conn: &mut Option<Conn>,
     mut stage: watch::Receiver<Stage>,
@@ -254,7 +254,7 @@
         biased;
         text = exchange.as_mut() => return (text, false),
         () = reached(&mut stage, Stage::Replaced) => {}
-        () = tokio::time::sleep(span(call.limit_ms)) => given_up(),
+        () = tokio::time::sleep(span(call.timeout_ms)) => given_up(),
     }
     tokio::select! {
         biased;
@@ -282,14 +282,16 @@
 
 async fn exchange(
     at: SocketAddr,
-    call: &Call,
+    call: &ListCall,
     descriptors: &Rc<Descriptors>,
     kept: &mut Option<Conn>,
     socket: &RefCell<Option<Socket>>,
 ) -> Result<Bytes, Box<dyn Error>> {
-    let path = match call.ask {
-        Ask::Whole => "/discovery/hosts".to_owned(),
-        Ask::Changes { after, wait_ms } => format!("/discovery/hosts?after={after}&wait_ms={wait_ms}"),
+    let path = match call.request {
+        ListRequest::FullList => "/discovery/hosts".to_owned(),
+        ListRequest::Changes { after, wait_ms } => {
+            format!("/discovery/hosts?after={after}&wait_ms={wait_ms}")
+        }
     };
     let request = Request::get(path).header(HOST, at.to_string()).body(Outgoing::whole(Bytes::new()))?;
     let mut conn = match kept.take().filter(Conn::alive) {
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -36,7 +36,7 @@
 use crate::upstream::Upstream;
 use crate::zoning::Zoning;
 use daleturn::Balancer;
-use daleturn::control::asking::Asking;
+use daleturn::control::list_sync::ListSync;
 use daleturn::interface::{Discovery, ListKind};
 use daleturn::options::Options;
 use daleturn::platform::{Config, Reload};
@@ -252,7 +252,7 @@
             running = reloading.reload(running).await;
         }
     });
-    let asking = Asking::new(settings.discovery, settings.must_ask_in_ms, version, config.seed);
+    let asking = ListSync::new(settings.discovery, settings.must_ask_in_ms, version, config.seed);
     let watch = Watch { address, asking, rules: rules.clone(), descriptors: descriptors.clone(), wishes };
     spawn_local(watch.run(driver.clone()));
     if let Some(sharing) = sharing.clone() {
--- a/tests/asking.rs
+++ b/tests/list_sync.rs
@@ -1,8 +1,8 @@
 //! What discovery is asked, and when: whatever comes of it, news is here before it counts as told, what could not be
 //! read is asked for again, and no service is asked without end.
 
-use daleturn::control::asking::{Ask, Asking, Call, LateAnswer, Next, Told};
 use daleturn::control::departures::Departures;
+use daleturn::control::list_sync::{LateAnswer, ListCall, ListRequest, ListResponse, ListSync, NextStep};
 use daleturn::control::subset::Target;
 use daleturn::interface::{BackendId, Discovery, Health, ListEntry};
 use proptest::prelude::*;
@@ -23,29 +23,29 @@
 }
 
 /// The next call, and when it is made.
-fn call(asking: &mut Asking, now: &mut f64) -> Call {
+fn call(asking: &mut ListSync, now: &mut f64) -> ListCall {
     loop {
         match asking.next(*now) {
-            Next::Call(call) => return call,
-            Next::Pause(ms) => *now += ms.max(0.01),
-            Next::Rest => asking.wish(true),
+            NextStep::Call(call) => return call,
+            NextStep::Pause(ms) => *now += ms.max(0.01),
+            NextStep::Idle => asking.set_wanted(true),
         }
     }
 }
 
-fn whole(version: u64) -> Told {
-    Told { version, all: true, skipped: 0 }
+fn whole(version: u64) -> ListResponse {
+    ListResponse { version, full: true, skipped: 0 }
 }
 
-fn changes(version: u64, skipped: usize) -> Told {
-    Told { version, all: false, skipped }
+fn changes(version: u64, skipped: usize) -> ListResponse {
+    ListResponse { version, full: false, skipped }
 }
 
 /// Longest wait of a call.
-fn wait(call: &Call) -> f64 {
-    match call.ask {
-        Ask::Whole => 0.0,
-        Ask::Changes { wait_ms, .. } => wait_ms as f64,
+fn wait(call: &ListCall) -> f64 {
+    match call.request {
+        ListRequest::FullList => 0.0,
+        ListRequest::Changes { wait_ms, .. } => wait_ms as f64,
     }
 }
 
@@ -59,8 +59,8 @@
         fails_at in 0.0..1.0_f64,
     ) {
         let how = WAYS[usize::from(!pushed)];
-        let mut asking = Asking::new(how, must_ask, Some(7), seed);
-        asking.wish(true);
+        let mut asking = ListSync::new(how, must_ask, Some(7), seed);
+        asking.set_wanted(true);
         let mut now = 1000.0_f64;
         if pushed {
             // At a start nothing was heard yet.
@@ -71,14 +71,14 @@
         let watch = call(&mut asking, &mut now);
         let told = (now + silent_from * wait(&watch) + 6000.0).max(now + wait(&watch) + 2000.0);
         // Given up, or reset once its wait was over.
-        now += wait(&watch) + ends_at * (watch.limit_ms - wait(&watch));
+        now += wait(&watch) + ends_at * (watch.timeout_ms - wait(&watch));
         prop_assert!(!asking.failed(now, &watch), "nobody paces the repeat");
         let second = call(&mut asking, &mut now);
         prop_assert!(wait(&second) <= 1.0, "what there is comes at once: {second:?}");
-        now += second.limit_ms * fails_at;
+        now += second.timeout_ms * fails_at;
         prop_assert!(!asking.failed(now, &second), "told at {told}, now {now}");
         let third = call(&mut asking, &mut now);
-        prop_assert!(third.limit_ms >= WAY_MS && now + WAY_MS < told, "{third:?} at {now}, told at {told}");
+        prop_assert!(third.timeout_ms >= WAY_MS && now + WAY_MS < told, "{third:?} at {now}, told at {told}");
     }
 
     /// After a call that failed, was given up or was replaced, a change counts as told 6 s after discovery had it, also where a
@@ -88,14 +88,14 @@
         seed: u64, must_ask in 500.0..60_000.0_f64, trouble in 0..3, proven in 0..2, fails_at in 0.0..1.0_f64,
     ) {
         let how = Discovery::OnRequest;
-        let mut asking = Asking::new(how, must_ask, Some(7), seed);
-        asking.wish(true);
+        let mut asking = ListSync::new(how, must_ask, Some(7), seed);
+        asking.set_wanted(true);
         let mut now = 1000.0_f64;
         let watch = call(&mut asking, &mut now);
         match trouble {
             0 => drop(asking.failed(now + 30.0, &watch)),
-            1 => drop(asking.failed(now + watch.limit_ms, &watch)),
-            _ => asking.moved(now + 30.0, how),
+            1 => drop(asking.failed(now + watch.timeout_ms, &watch)),
+            _ => asking.discovery_changed(now + 30.0, how),
         }
         now += 5000.0;
         let heard = call(&mut asking, &mut now);
@@ -108,11 +108,11 @@
         }
         let opened = now;
         let silent = call(&mut asking, &mut now);
-        now += silent.limit_ms;
+        now += silent.timeout_ms;
         asking.failed(now, &silent);
         let first = call(&mut asking, &mut now);
         // Of a watch that is not the first any more, the repeat has no time to hang.
-        now += if proven == 0 { first.limit_ms * fails_at } else { 0.0 };
+        now += if proven == 0 { first.timeout_ms * fails_at } else { 0.0 };
         asking.failed(now, &first);
         let second = call(&mut asking, &mut now);
         prop_assert!(now + WAY_MS < opened + 6000.0, "{silent:?} at {opened}, {second:?} at {now}");
@@ -123,8 +123,8 @@
     fn a_return_is_noticed_well_within_the_drain_grace_however_long_it_was_waited_for(
         seed: u64, grace in 150.0..500.0_f64, returns_at in 0.0..20_000.0_f64, hangs: bool, at_start: bool,
     ) {
-        let mut asking = Asking::new(Discovery::Pushed, 10_000.0, Some(7), seed);
-        asking.retune(10_000.0, grace);
+        let mut asking = ListSync::new(Discovery::Pushed, 10_000.0, Some(7), seed);
+        asking.update_settings(10_000.0, grace);
         let mut now = 0.0;
         if !at_start {
             let watch = call(&mut asking, &mut now);
@@ -146,8 +146,8 @@
     fn a_return_is_noticed_within_six_seconds_with_time_for_one_failure_whatever_the_decisions_wish(
         seed: u64, must_ask in 500.0..60_000.0_f64, returns_at in 0.0..60_000.0_f64, hangs: bool, known: bool,
     ) {
-        let mut asking = Asking::new(Discovery::OnRequest, must_ask, known.then_some(7), seed);
-        asking.wish(true);
+        let mut asking = ListSync::new(Discovery::OnRequest, must_ask, known.then_some(7), seed);
+        asking.set_wanted(true);
         let mut now = 0.0;
         let watch = call(&mut asking, &mut now);
         prop_assert!(asking.failed(30.0, &watch), "reset: the decisions are told");
@@ -163,16 +163,16 @@
         seed: u64, pushed: bool, must_ask in 500.0..60_000.0_f64, fails_at in 0.0..1.0_f64,
     ) {
         let how = WAYS[usize::from(!pushed)];
-        let mut asking = Asking::new(how, must_ask, Some(7), seed);
+        let mut asking = ListSync::new(how, must_ask, Some(7), seed);
         let mut now = 1000.0_f64;
         let told = now + 4000.0;
-        asking.moved(now, how);
+        asking.discovery_changed(now, how);
         let first = call(&mut asking, &mut now);
-        prop_assert_eq!((first.ask, now), (Ask::Whole, 1000.0));
-        now += first.limit_ms * fails_at;
+        prop_assert_eq!((first.request, now), (ListRequest::FullList, 1000.0));
+        now += first.timeout_ms * fails_at;
         prop_assert!(!asking.failed(now, &first));
         let second = call(&mut asking, &mut now);
-        prop_assert!(second.ask == Ask::Whole && now + WAY_MS < told, "{second:?} at {now}");
+        prop_assert!(second.request == ListRequest::FullList && now + WAY_MS < told, "{second:?} at {now}");
     }
 
     /// The 4 s of the first move are not started anew by those that follow: what it had to bring is still owed then.
@@ -181,24 +181,24 @@
         seed: u64, pushed: bool, must_ask in 500.0..60_000.0_f64, gaps in proptest::collection::vec(100.0..1100.0_f64, 1..4),
     ) {
         let how = WAYS[usize::from(!pushed)];
-        let mut asking = Asking::new(how, must_ask, Some(7), seed);
+        let mut asking = ListSync::new(how, must_ask, Some(7), seed);
         let mut now = 1000.0_f64;
         let first_told = now + 4000.0;
-        asking.moved(now, how);
+        asking.discovery_changed(now, how);
         for gap in gaps {
             // The call that is out hangs until the next move ends it.
             call(&mut asking, &mut now.clone());
             now += gap;
-            asking.moved(now, how);
+            asking.discovery_changed(now, how);
         }
         // From here on every call hangs.
         let last_told = now + 4000.0;
         let mut begun = Vec::new();
         while now < last_told {
             let next = call(&mut asking, &mut now);
-            prop_assert_eq!(next.ask, Ask::Whole);
+            prop_assert_eq!(next.request, ListRequest::FullList);
             begun.push(now);
-            now += next.limit_ms;
+            now += next.timeout_ms;
             asking.failed(now, &next);
         }
         let in_time = |told: f64| begun.iter().filter(|at| *at + WAY_MS < told).count();
@@ -216,7 +216,7 @@
     ) {
         let mut service = Service { version: 1 << 62, ..Service::default() };
         service.change(0, true);
-        let mut asking = Asking::new(WAYS[usize::from(!pushed)], 10_000.0, None, seed);
+        let mut asking = ListSync::new(WAYS[usize::from(!pushed)], 10_000.0, None, seed);
         let mut here = BTreeMap::new();
         let mut now = 0.0;
         for (what, uid, up) in steps {
@@ -247,8 +247,8 @@
         seed: u64, pushed: bool, steps in proptest::collection::vec((0_u8..10, 0_u64..4, any::<bool>(), 0_usize..4), 1..120),
     ) {
         let how = WAYS[usize::from(!pushed)];
-        let mut asking = Asking::new(how, 10_000.0, None, seed);
-        asking.wish(true);
+        let mut asking = ListSync::new(how, 10_000.0, None, seed);
+        asking.set_wanted(true);
         let mut service = Service { version: 1 << 40, ..Service::default() };
         service.change(0, true);
         let mut list = LateList::default();
@@ -270,11 +270,11 @@
                     // The new address counts alike, or from somewhere else.
                     list.counts.push((asking.last_call(), uid * 1000));
                     list.replaced.extend(list.current.take());
-                    asking.moved(now, how);
+                    asking.discovery_changed(now, how);
                 }
                 4..=6 => list.write(&service, now, which),
                 9 => {
-                    let beside = list.current.map(|current| asking.beside(now, &current));
+                    let beside = list.current.map(|current| asking.parallel_call(now, &current));
                     list.replaced.extend(beside);
                 }
                 _ => list.read(&mut asking, now, which),
@@ -291,7 +291,7 @@
         }
         // In the end it counts as at first.
         if list.counts.last().is_some_and(|(_, less)| *less > 0) {
-            asking.moved(now, how);
+            asking.discovery_changed(now, how);
         } else if let Some(call) = list.current {
             asking.failed(now, &call);
         }
@@ -314,15 +314,15 @@
 
 impl Down {
     /// When the first call is answered.
-    fn noticed(&mut self, asking: &mut Asking, mut now: f64) -> f64 {
+    fn noticed(&mut self, asking: &mut ListSync, mut now: f64) -> f64 {
         loop {
             let call = match asking.next(now) {
-                Next::Pause(ms) => {
+                NextStep::Pause(ms) => {
                     now += ms.max(0.01);
                     continue;
                 }
-                Next::Rest => panic!("it waits for the decisions"),
-                Next::Call(call) => call,
+                NextStep::Idle => panic!("it waits for the decisions"),
+                NextStep::Call(call) => call,
             };
             self.calls += 1;
             if now >= self.returns_at && self.lost == 0 {
@@ -332,9 +332,9 @@
                 self.lost -= usize::from(now >= self.returns_at);
                 now += 1.0;
             } else {
-                let end = now + call.limit_ms;
-                let tries = std::iter::successors(call.try_ms, |at| {
-                    Some(at + call.try_ms.unwrap_or(f64::INFINITY))
+                let end = now + call.timeout_ms;
+                let tries = std::iter::successors(call.parallel_interval_ms, |at| {
+                    Some(at + call.parallel_interval_ms.unwrap_or(f64::INFINITY))
                 });
                 for at in tries.map(|at| now + at).take_while(|at| *at < end) {
                     self.calls += 1;
@@ -358,10 +358,10 @@
     for (hangs, must_ask) in [(true, 2000.0), (true, 20_000.0), (false, 2000.0), (false, 20_000.0)] {
         let returns_at = 30_000.0;
         // Their watches are reset together.
-        let mut nodes: Vec<(f64, Asking)> = (0..NODES)
+        let mut nodes: Vec<(f64, ListSync)> = (0..NODES)
             .map(|seed| {
-                let mut asking = Asking::new(Discovery::OnRequest, must_ask, Some(7), seed as u64);
-                asking.wish(true);
+                let mut asking = ListSync::new(Discovery::OnRequest, must_ask, Some(7), seed as u64);
+                asking.set_wanted(true);
                 let watch = call(&mut asking, &mut 0.0);
                 asking.failed(1.0, &watch);
                 (1.0, asking)
@@ -371,20 +371,20 @@
         while let Some(n) = (0..nodes.len()).min_by(|a, b| nodes[*a].0.total_cmp(&nodes[*b].0)) {
             let (now, asking) = &mut nodes[n];
             match asking.next(*now) {
-                Next::Rest => panic!("it waits for the decisions"),
-                Next::Pause(ms) => *now += ms.max(0.01),
-                Next::Call(call) if *now < returns_at => {
+                NextStep::Idle => panic!("it waits for the decisions"),
+                NextStep::Pause(ms) => *now += ms.max(0.01),
+                NextStep::Call(call) if *now < returns_at => {
                     calls += 1;
-                    *now += if hangs { call.limit_ms } else { 1.0 };
+                    *now += if hangs { call.timeout_ms } else { 1.0 };
                     asking.failed(*now, &call);
                 }
-                Next::Call(call) => {
+                NextStep::Call(call) => {
                     free_at = free_at.max(*now) + ANSWER_MS;
-                    if free_at - *now <= call.limit_ms {
+                    if free_at - *now <= call.timeout_ms {
                         last = last.max(free_at);
                         nodes.swap_remove(n);
                     } else {
-                        *now += call.limit_ms;
+                        *now += call.timeout_ms;
                         asking.failed(*now, &call);
                     }
                 }
@@ -421,16 +421,16 @@
         self.changed = self.all.keys().map(|uid| (*uid, self.version)).collect();
     }
 
-    fn serve(&mut self, asking: &mut Asking, here: &mut BTreeMap<u64, bool>, now: &mut f64) {
+    fn serve(&mut self, asking: &mut ListSync, here: &mut BTreeMap<u64, bool>, now: &mut f64) {
         let call = call(asking, now);
         *now += WAY_MS;
         if std::mem::take(&mut self.fails) {
             asking.failed(*now, &call);
             return;
         }
-        let since = match call.ask {
-            Ask::Whole => None,
-            Ask::Changes { after, .. } => Some(after),
+        let since = match call.request {
+            ListRequest::FullList => None,
+            ListRequest::Changes { after, .. } => Some(after),
         };
         let told = |uid: &u64| since.is_none_or(|after| self.changed[uid] > after);
         if since.is_some() && !self.all.keys().any(told) {
@@ -438,11 +438,11 @@
         }
         let lines: Vec<u64> = self.all.keys().copied().filter(told).collect();
         let skipped = lines.iter().filter(|uid| self.unreadable == Some(**uid)).count();
-        let told = Told { version: self.version, all: since.is_none(), skipped };
+        let told = ListResponse { version: self.version, full: since.is_none(), skipped };
         if !asking.answered(*now, &call, told) {
             return;
         }
-        if told.all {
+        if told.full {
             here.clear();
         }
         here.extend(
@@ -461,8 +461,8 @@
 /// An answer that the service has written and that nobody has read yet.
 struct Written {
     at: f64,
-    call: Call,
-    told: Told,
+    call: ListCall,
+    told: ListResponse,
     lines: BTreeMap<u64, bool>,
 }
 
@@ -470,8 +470,8 @@
 #[derive(Default)]
 struct LateList {
     here: BTreeMap<u64, bool>,
-    current: Option<Call>,
-    replaced: Vec<Call>,
+    current: Option<ListCall>,
+    replaced: Vec<ListCall>,
     written: Vec<Written>,
     /// After which call each further address was moved to, and how much less its versions are.
     counts: Vec<(u64, u64)>,
@@ -503,17 +503,21 @@
         };
         let count = self.counts.iter().rev().find(|(last_call, _)| *last_call < call.number());
         let less = count.map_or(0, |(_, less)| *less);
-        let told = |uid: &u64| match call.ask {
-            Ask::Whole => true,
-            Ask::Changes { after, .. } => service.changed[uid] - less > after,
+        let told = |uid: &u64| match call.request {
+            ListRequest::FullList => true,
+            ListRequest::Changes { after, .. } => service.changed[uid] - less > after,
         };
         let lines = service.all.iter().filter(|(uid, _)| told(uid)).map(|(uid, up)| (*uid, *up)).collect();
-        let told = Told { version: service.version - less, all: call.ask == Ask::Whole, skipped: 0 };
+        let told = ListResponse {
+            version: service.version - less,
+            full: call.request == ListRequest::FullList,
+            skipped: 0,
+        };
         self.written.push(Written { at: now, call, told, lines });
     }
 
     /// The node reads one of the answers, in any order.
-    fn read(&mut self, asking: &mut Asking, now: f64, which: usize) {
+    fn read(&mut self, asking: &mut ListSync, now: f64, which: usize) {
         if self.written.is_empty() {
             return;
         }
@@ -533,12 +537,12 @@
         match late {
             LateAnswer::Outdated => {}
             LateAnswer::Holds => {
-                if told.all {
+                if told.full {
                     self.here.clear();
                 }
                 let mut targets: Vec<Target> = lines.iter().map(|(uid, up)| target(*uid, *up)).collect();
                 if self.departures.keep_out(call.number(), &mut targets) {
-                    asking.departed(now);
+                    asking.request_full_list(now);
                 }
                 let up = |target: &Target| target.entry.health == Health::Up;
                 self.here.extend(targets.iter().map(|target| (target.entry.backend.0, up(target))));
@@ -550,9 +554,9 @@
                 let targets: Vec<Target> = leave.iter().map(|uid| target(*uid, false)).collect();
                 self.departures.note(&targets, asking.last_call());
                 if leave.iter().any(|uid| self.here.get(uid) != Some(&false)) {
-                    asking.departed(now);
+                    asking.request_full_list(now);
                     // A watch that is out is replaced by the whole list.
-                    if self.current.is_some_and(|current| current.ask != Ask::Whole) {
+                    if self.current.is_some_and(|current| current.request != ListRequest::FullList) {
                         self.replaced.extend(self.current.take());
                     }
                 }
@@ -565,19 +569,19 @@
 #[test]
 fn a_line_that_cannot_be_read_leads_to_whole_lists_at_a_pace_that_slows() {
     for how in WAYS {
-        let mut asking = Asking::new(how, 10_000.0, Some(1), 3);
-        asking.wish(true);
+        let mut asking = ListSync::new(how, 10_000.0, Some(1), 3);
+        asking.set_wanted(true);
         let (mut now, mut at) = (0.0, Vec::new());
         for version in 2..400 {
             let call = call(&mut asking, &mut now);
             now += 20.0;
-            let all = call.ask == Ask::Whole;
+            let all = call.request == ListRequest::FullList;
             at.extend(all.then_some(now));
             // Changes come all the time, and the same line is never right.
             assert!(asking.answered(
                 now,
                 &call,
-                Told { version, all, skipped: usize::from(all || version == 2) }
+                ListResponse { version, full: all, skipped: usize::from(all || version == 2) }
             ));
             assert_eq!(asking.version(), None, "it is not the version of a list that is known whole");
         }
@@ -593,8 +597,8 @@
 #[test]
 fn a_service_that_does_not_wait_is_not_asked_without_end() {
     for how in WAYS {
-        let mut asking = Asking::new(how, 10_000.0, Some(1), 3);
-        asking.wish(true);
+        let mut asking = ListSync::new(how, 10_000.0, Some(1), 3);
+        asking.set_wanted(true);
         let (mut now, mut calls) = (0.0, 0);
         while now < 10_000.0 {
             let call = call(&mut asking, &mut now);
@@ -608,16 +612,16 @@
 
 #[test]
 fn where_discovery_is_asked_the_decisions_pace_what_follows_a_failure_within_a_round() {
-    let mut asking = Asking::new(Discovery::OnRequest, 10_000.0, Some(1), 3);
-    assert_eq!(asking.next(0.0), Next::Rest);
-    assert_eq!(asking.next(1e6), Next::Rest, "until they wish it");
-    asking.wish(true);
+    let mut asking = ListSync::new(Discovery::OnRequest, 10_000.0, Some(1), 3);
+    assert_eq!(asking.next(0.0), NextStep::Idle);
+    assert_eq!(asking.next(1e6), NextStep::Idle, "until they wish it");
+    asking.set_wanted(true);
     let mut now = 0.0;
     let reset = call(&mut asking, &mut now);
     assert!(asking.failed(now + 30.0, &reset));
-    assert!(matches!(asking.next(now + 30.0), Next::Pause(ms) if ms > 2000.0), "not sooner by itself");
-    asking.wish(true);
-    assert!(matches!(asking.next(now + 31.0), Next::Call(_)), "they wish it again");
-    asking.wish(false);
-    assert_eq!(asking.next(now + 1e6), Next::Rest, "they wish for none");
+    assert!(matches!(asking.next(now + 30.0), NextStep::Pause(ms) if ms > 2000.0), "not sooner by itself");
+    asking.set_wanted(true);
+    assert!(matches!(asking.next(now + 31.0), NextStep::Call(_)), "they wish it again");
+    asking.set_wanted(false);
+    assert_eq!(asking.next(now + 1e6), NextStep::Idle, "they wish for none");
 }
