--- a/src/control/departures.rs
+++ b/src/control/departures.rs
@@ -26,7 +26,7 @@
 
 impl Departures {
     /// These backends leave; `last_call` is the last call that has been made.
-    pub fn note(&mut self, lines: &[Target], last_call: u64) {
+    pub fn record(&mut self, lines: &[Target], last_call: u64) {
         for Target { entry, .. } in lines {
             self.left.insert(entry.backend, Departure { ready_at_ms: entry.ready_at_ms, last_call });
         }
@@ -34,7 +34,7 @@
 
     /// Keeps out of an answer to the call of that place whoever has left since the call was made. True: there was one whom it
     /// lists as up.
-    pub fn keep_out(&mut self, call: u64, lines: &mut [Target]) -> bool {
+    pub fn exclude_departed(&mut self, call: u64, lines: &mut [Target]) -> bool {
         let mut kept_out = false;
         for line in lines {
             if self.is_out(call, line) {
@@ -47,7 +47,7 @@
     }
 
     /// The same of a long whole list.
-    pub fn keep_out_of(&mut self, call: u64, catalog: &mut Catalog) -> bool {
+    pub fn exclude_departed_from(&mut self, call: u64, catalog: &mut Catalog) -> bool {
         let out: Vec<Target> = (self.left.keys())
             .filter_map(|id| catalog.get(*id))
             .filter(|line| self.is_out(call, line))
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -239,8 +239,8 @@
         self.driver.list_version(self.asking.version());
         let Listing { all, entries, skipped, mut lines, .. } = listing;
         let kept_out = match &mut lines {
-            Lines::Few(lines) => self.departures.keep_out(call.number(), lines),
-            Lines::Whole(catalog, _) => self.departures.keep_out_of(call.number(), catalog),
+            Lines::Few(lines) => self.departures.exclude_departed(call.number(), lines),
+            Lines::Whole(catalog, _) => self.departures.exclude_departed_from(call.number(), catalog),
             Lines::Same => false,
         };
         if kept_out {
@@ -264,7 +264,7 @@
     /// whatever else has been asked since. `omissions`: a whole list also says so by leaving them out.
     async fn depart(&mut self, listing: Listing, omissions: bool) {
         let departures = self.driver.departures(&listing.lines, omissions && listing.all);
-        self.departures.note(&departures, self.asking.last_call());
+        self.departures.record(&departures, self.asking.last_call());
         if !self.driver.are_news(&departures) {
             return;
         }
--- a/tests/list_sync.rs
+++ b/tests/list_sync.rs
@@ -541,7 +541,7 @@
                     self.here.clear();
                 }
                 let mut targets: Vec<Target> = lines.iter().map(|(uid, up)| target(*uid, *up)).collect();
-                if self.departures.keep_out(call.number(), &mut targets) {
+                if self.departures.exclude_departed(call.number(), &mut targets) {
                     asking.request_full_list(now);
                 }
                 let up = |target: &Target| target.entry.health == Health::Up;
@@ -552,7 +552,7 @@
                 let leave = lines.iter().filter(|(_, up)| !**up);
                 let leave: Vec<u64> = leave.map(|(uid, _)| *uid).collect();
                 let targets: Vec<Target> = leave.iter().map(|uid| target(*uid, false)).collect();
-                self.departures.note(&targets, asking.last_call());
+                self.departures.record(&targets, asking.last_call());
                 if leave.iter().any(|uid| self.here.get(uid) != Some(&false)) {
                     asking.request_full_list(now);
                     // A watch that is out is replaced by the whole list.
