--- a/src/control/start_times.rs
+++ b/src/control/start_times.rs
@@ -31,7 +31,7 @@
 
 impl StartTimes {
     /// A backend is listed with this start, by an answer that was heard at `now`; 0 is a start of long ago.
-    pub fn note(&mut self, now: f64, backend: BackendId, told_ms: f64) {
+    pub fn record(&mut self, now: f64, backend: BackendId, told_ms: f64) {
         if told_ms <= 0.0 || self.starts.get(&backend).is_some_and(|start| start.told_ms == told_ms) {
             return;
         }
@@ -41,12 +41,12 @@
     }
 
     /// All of an answer was noted. What is listed from here on and was not before began about now, at the earliest.
-    pub fn heard(&mut self, now: f64) {
+    pub fn list_received(&mut self, now: f64) {
         self.heard_ms = Some(now);
     }
 
     /// A start on the node's clock.
-    pub fn own(&mut self, now: f64, backend: BackendId, told_ms: f64) -> f64 {
+    pub fn local_start_ms(&mut self, now: f64, backend: BackendId, told_ms: f64) -> f64 {
         match self.starts.get(&backend).filter(|start| start.told_ms == told_ms) {
             Some(start) => start.own_ms,
             None if told_ms > now => {
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -428,7 +428,7 @@
     /// All of an answer of discovery was taken.
     pub fn list_heard(&self) {
         let core = &mut *self.core.borrow_mut();
-        core.starts.heard(self.clock.now_ms());
+        core.starts.list_received(self.clock.now_ms());
         core.starts.trim(|backend| core.subset.knows(backend));
     }
 
@@ -972,7 +972,7 @@
             Input::Memory(memory) => Event::Memory(memory),
             Input::List(kind, targets) => {
                 for Target { entry, .. } in &targets {
-                    self.starts.note(now, entry.backend, entry.ready_at_ms);
+                    self.starts.record(now, entry.backend, entry.ready_at_ms);
                 }
                 let news = self.subset.take(kind, targets);
                 self.news(now, news, upstream)
@@ -1141,7 +1141,10 @@
         self.place(kind, &targets, upstream);
         let entries = targets.into_iter().map(|target| {
             let entry = target.entry;
-            ListEntry { ready_at_ms: self.starts.own(now, entry.backend, entry.ready_at_ms), ..entry }
+            ListEntry {
+                ready_at_ms: self.starts.local_start_ms(now, entry.backend, entry.ready_at_ms),
+                ..entry
+            }
         });
         Event::List { kind, entries: entries.collect() }
     }
