--- a/src/control/departures.rs
+++ b/src/control/departures.rs
@@ -56,7 +56,7 @@
         let kept_out = !out.is_empty();
         for mut line in out {
             line.entry.health = Health::Draining;
-            catalog.note(line);
+            catalog.insert(line);
         }
         self.settle(call);
         kept_out
--- a/src/control/subset.rs
+++ b/src/control/subset.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 /// Lines that are kept at most; who is up beyond them is left out, and counted.
-pub const MOST_LINES: usize = 131_072;
+pub const MAX_LINES: usize = 131_072;
 /// Step of the places of nodes on a ring, a part of a whole turn. Of some thousand numbers drawn this is the one whose
 /// multiples lie most evenly where only each second to twenty-fourth of them is taken, as the nodes of one zone may
 /// be; each twelfth multiple of the golden ratio leaves parts of the ring with half of their nodes.
@@ -88,16 +88,16 @@
 impl Catalog {
     /// The list of these lines, for a node of that zone, if crossing has a price there; of two lines of one backend
     /// the later holds.
-    pub fn of(lines: impl IntoIterator<Item = Target>, home: Option<u16>) -> Catalog {
+    pub fn from_lines(lines: impl IntoIterator<Item = Target>, home: Option<u16>) -> Catalog {
         let mut catalog = Catalog { home, ..Catalog::default() };
-        lines.into_iter().for_each(|line| catalog.note(line));
+        lines.into_iter().for_each(|line| catalog.insert(line));
         catalog
     }
 
     /// Takes one line.
-    pub fn note(&mut self, line: Target) {
+    pub fn insert(&mut self, line: Target) {
         let id = line.entry.backend;
-        let full = self.len() >= MOST_LINES;
+        let full = self.len() >= MAX_LINES;
         let near = self.home == Some(line.entry.zone);
         let (ring, other) =
             if near { (&mut self.near, &mut self.far) } else { (&mut self.far, &mut self.near) };
@@ -162,33 +162,33 @@
 
 /// How the subset stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct SubsetStats {
     /// Lines of the list, and those of them that are up.
     pub listed: usize,
     /// See above.
     pub up: usize,
     /// Backends that the decisions know of.
     pub held: usize,
-    /// Lines beyond [`MOST_LINES`] since the last whole list.
+    /// Lines beyond [`MAX_LINES`] since the last whole list.
     pub left_out: usize,
     /// Backends that came into the subset since the start.
     pub joined: u64,
 }
 
 /// A node's zone, where crossing has a price.
-pub fn home(settings: &Settings) -> Option<u16> {
+pub fn home_zone(settings: &Settings) -> Option<u16> {
     settings.zone.filter(|_| settings.prices.cross_zone > 0.0)
 }
 
 /// What the decisions are to be told.
 #[derive(Debug)]
-pub struct News {
+pub struct ListUpdate {
     /// What kind of news it is.
     pub kind: ListKind,
     /// The lines.
     pub lines: Vec<Target>,
     /// The list that was known before, where a whole one has taken its place: long to drop.
-    pub old: Option<Catalog>,
+    pub previous: Option<Catalog>,
 }
 
 /// The list, and the part of it that this node works with.
@@ -199,7 +199,7 @@
     slot: u32,
     catalog: Catalog,
     /// The list is longer than a subset.
-    wide: bool,
+    is_truncated: bool,
     /// What the decisions were told, where it is.
     held: BTreeMap<BackendId, Target>,
     joined: u64,
@@ -211,19 +211,19 @@
         Subset {
             size,
             slot: settings.slot,
-            catalog: Catalog { home: home(settings), ..Catalog::default() },
-            wide: false,
+            catalog: Catalog { home: home_zone(settings), ..Catalog::default() },
+            is_truncated: false,
             held: BTreeMap::new(),
             joined: 0,
         }
     }
 
     /// Takes new settings. True: the subset has to be drawn anew, by news without lines.
-    pub fn retune(&mut self, settings: &Settings) -> bool {
+    pub fn update_settings(&mut self, settings: &Settings) -> bool {
         let before = (self.slot, self.catalog.home);
         self.slot = settings.slot;
-        self.settle(home(settings));
-        self.wide && before != (self.slot, self.catalog.home)
+        self.settle(home_zone(settings));
+        self.is_truncated && before != (self.slot, self.catalog.home)
     }
 
     /// Puts the list in the order of that zone's nodes.
@@ -231,40 +231,40 @@
         if self.catalog.home != home {
             let Catalog { near, far, left_out, .. } = std::mem::take(&mut self.catalog);
             let lines = near.lines.into_values().chain(far.lines.into_values());
-            self.catalog = Catalog { left_out, ..Catalog::of(lines, home) };
+            self.catalog = Catalog { left_out, ..Catalog::from_lines(lines, home) };
         }
     }
 
     /// Takes news of the list and says what the decisions are to hear of it.
-    pub fn take(&mut self, kind: ListKind, lines: Vec<Target>) -> News {
+    pub fn apply(&mut self, kind: ListKind, lines: Vec<Target>) -> ListUpdate {
         match kind {
-            ListKind::Failed => News { kind, lines, old: None },
-            ListKind::Full | ListKind::Saved if self.fits(lines.len()) && !self.wide => {
-                self.catalog = Catalog::of(lines.iter().cloned(), self.catalog.home);
-                News { kind, lines, old: None }
+            ListKind::Failed => ListUpdate { kind, lines, previous: None },
+            ListKind::Full | ListKind::Saved if self.fits(lines.len()) && !self.is_truncated => {
+                self.catalog = Catalog::from_lines(lines.iter().cloned(), self.catalog.home);
+                ListUpdate { kind, lines, previous: None }
             }
             ListKind::Full | ListKind::Saved => {
-                self.take_whole(kind, Catalog::of(lines, self.catalog.home))
+                self.apply_full_list(kind, Catalog::from_lines(lines, self.catalog.home))
             }
-            ListKind::Changes if !self.wide && self.fits(self.catalog.len() + lines.len()) => {
-                lines.iter().cloned().for_each(|line| self.catalog.note(line));
-                News { kind, lines, old: None }
+            ListKind::Changes if !self.is_truncated && self.fits(self.catalog.len() + lines.len()) => {
+                lines.iter().cloned().for_each(|line| self.catalog.insert(line));
+                ListUpdate { kind, lines, previous: None }
             }
             ListKind::Changes => {
                 self.hold_all();
-                lines.into_iter().for_each(|line| self.catalog.note(line));
+                lines.into_iter().for_each(|line| self.catalog.insert(line));
                 self.redraw(None)
             }
         }
     }
 
     /// The same of a whole list that was put together elsewhere, so that nobody waits for it.
-    pub fn take_whole(&mut self, kind: ListKind, catalog: Catalog) -> News {
+    pub fn apply_full_list(&mut self, kind: ListKind, catalog: Catalog) -> ListUpdate {
         let home = self.catalog.home;
-        if !self.wide && self.fits(catalog.len()) {
+        if !self.is_truncated && self.fits(catalog.len()) {
             self.catalog = catalog;
             self.settle(home);
-            return News { kind, lines: self.catalog.lines().cloned().collect(), old: None };
+            return ListUpdate { kind, lines: self.catalog.lines().cloned().collect(), previous: None };
         }
         self.hold_all();
         let old = std::mem::replace(&mut self.catalog, catalog);
@@ -305,28 +305,28 @@
     }
 
     /// How many nodes hold a backend, of so many; none where that is all.
-    pub fn held_by(&self, instances: u32) -> Option<u32> {
+    pub fn nodes_per_backend(&self, instances: u32) -> Option<u32> {
         let up = self.catalog.up();
         let part = self.size as f64 / up as f64;
         let holders = f64::from(instances) * part;
-        (self.wide && up > self.size).then(|| (holders.round() as u32).clamp(1, instances.max(1)))
+        (self.is_truncated && up > self.size).then(|| (holders.round() as u32).clamp(1, instances.max(1)))
     }
 
     /// A backend is listed, held or not.
-    pub fn knows(&self, id: BackendId) -> bool {
+    pub fn is_listed(&self, id: BackendId) -> bool {
         self.catalog.get(id).is_some()
     }
 
     /// The list is longer than a subset.
-    pub fn wide(&self) -> bool {
-        self.wide
+    pub fn is_truncated(&self) -> bool {
+        self.is_truncated
     }
 
     /// How it stands.
-    pub fn figures(&self) -> Figures {
+    pub fn stats(&self) -> SubsetStats {
         let (listed, up) = (self.catalog.len(), self.catalog.up());
-        let held = if self.wide { self.held.len() } else { listed };
-        Figures { listed, up, held, left_out: self.catalog.left_out, joined: self.joined }
+        let held = if self.is_truncated { self.held.len() } else { listed };
+        SubsetStats { listed, up, held, left_out: self.catalog.left_out, joined: self.joined }
     }
 
     fn fits(&self, lines: usize) -> bool {
@@ -335,14 +335,14 @@
 
     /// From here on what the decisions know is counted line by line.
     fn hold_all(&mut self) {
-        if !self.wide {
+        if !self.is_truncated {
             self.held = self.catalog.lines().map(|line| (line.entry.backend, line.clone())).collect();
         }
     }
 
     /// Draws the subset from the list as it is now; the news is what differs from what is held.
-    fn redraw(&mut self, old: Option<Catalog>) -> News {
-        self.wide = !self.fits(self.catalog.len());
+    fn redraw(&mut self, old: Option<Catalog>) -> ListUpdate {
+        self.is_truncated = !self.fits(self.catalog.len());
         let chosen = self.catalog.draw(self.size, self.slot);
         let mut lines = Vec::new();
         let mut leaving = 0;
@@ -369,9 +369,9 @@
                 self.joined += 1;
             }
         }
-        if !self.wide {
+        if !self.is_truncated {
             self.held.clear();
         }
-        News { kind: ListKind::Changes, lines, old }
+        ListUpdate { kind: ListKind::Changes, lines, previous: old }
     }
 }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -13,7 +13,7 @@
 use crate::upstream::{Call, Conn, Errand, Finish, Reply, Upstream};
 use daleturn::Balancer;
 use daleturn::control::start_times::StartTimes;
-use daleturn::control::subset::{Catalog, News, Subset, Target};
+use daleturn::control::subset::{Catalog, ListUpdate, Subset, Target};
 use daleturn::control::zones::{Change, Order, Zones};
 use daleturn::interface::{
     Action, AttemptEnded, BackendId, BackendSnapshot, Event, Health, ListEntry, ListKind, LogNote, Memory,
@@ -429,7 +429,7 @@
     pub fn list_heard(&self) {
         let core = &mut *self.core.borrow_mut();
         core.starts.list_received(self.clock.now_ms());
-        core.starts.trim(|backend| core.subset.knows(backend));
+        core.starts.trim(|backend| core.subset.is_listed(backend));
     }
 
     /// A list was too long to be read.
@@ -532,7 +532,7 @@
         json["refused"] = json!({"level": level, "room": room, "no_backend": no_backend,
             "given_up": figures.refusals.given_up, "node_full": core.stats.away()});
         json["admission"] = json!({"level": look.level, "strain": look.strain, "pressure": look.pressure});
-        let subset = core.subset.figures();
+        let subset = core.subset.stats();
         json["list"] = json!({"version": self.version.get(), "backends": subset.listed, "up": subset.up,
             "held": subset.held, "joined": subset.joined, "left_out": subset.left_out, "too_long": self.too_long.get(),
             "late": self.late_lists.get(),
@@ -735,7 +735,7 @@
             })
             .collect();
         // A part of a list is none that changes could be asked of.
-        let all = !core.subset.wide();
+        let all = !core.subset.is_truncated();
         json!({"rev": self.version.get().unwrap_or(0), "all": all, "targets": targets}).to_string()
     }
 
@@ -767,7 +767,7 @@
     fn known(&self, uid: &str) -> Result<BackendId, CordonError> {
         let id = BackendId(stable_hash(uid));
         let core = self.core.borrow();
-        let known = core.subset.knows(id) || core.cordoned.contains_key(&id);
+        let known = core.subset.is_listed(id) || core.cordoned.contains_key(&id);
         if known { Ok(id) } else { Err(CordonError::Unknown(uid.to_owned())) }
     }
 
@@ -963,8 +963,8 @@
         Some(match input {
             Input::Start => Event::Start,
             Input::Settings(mut settings) => {
-                settings.held_by = self.subset.held_by(settings.instances);
-                if self.subset.retune(&settings) {
+                settings.held_by = self.subset.nodes_per_backend(settings.instances);
+                if self.subset.update_settings(&settings) {
                     self.due.push_back(Input::List(ListKind::Changes, Vec::new()));
                 }
                 Event::Settings(settings)
@@ -974,11 +974,11 @@
                 for Target { entry, .. } in &targets {
                     self.starts.record(now, entry.backend, entry.ready_at_ms);
                 }
-                let news = self.subset.take(kind, targets);
+                let news = self.subset.apply(kind, targets);
                 self.news(now, news, upstream)
             }
             Input::Whole(kind, catalog) => {
-                let news = self.subset.take_whole(kind, catalog);
+                let news = self.subset.apply_full_list(kind, catalog);
                 self.news(now, news, upstream)
             }
             Input::Cordoned(cordoned) => {
@@ -1088,8 +1088,8 @@
     }
 
     /// Takes in news of the list, as far as this node works with it.
-    fn news(&mut self, now: f64, news: News, upstream: &Upstream) -> Event {
-        let News { kind, lines, old } = news;
+    fn news(&mut self, now: f64, news: ListUpdate, upstream: &Upstream) -> Event {
+        let ListUpdate { kind, lines, previous: old } = news;
         if let Some(old) = old {
             // Long to drop, and nobody waits for it.
             drop(tokio::task::spawn_blocking(move || drop(old)));
@@ -1103,13 +1103,13 @@
     /// backend that comes or goes would be many: an eighth more or fewer nodes is the same.
     fn share_out(&mut self) {
         let settings = self.balancer.settings();
-        let now = self.subset.held_by(settings.instances);
+        let now = self.subset.nodes_per_backend(settings.instances);
         let same = match (now, settings.held_by) {
             (Some(now), Some(told)) => now.abs_diff(told) * 8 <= told,
             (now, told) => now == told,
         };
         if !same {
-            let figures = self.subset.figures();
+            let figures = self.subset.stats();
             let (listed, held, held_by) = (figures.listed, figures.held, now.unwrap_or(settings.instances));
             say!(INFO, "list", listed, held, held_by, "list.subset");
             self.due.push_back(Input::Settings(Box::new(settings.clone())));
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -3,7 +3,7 @@
 use crate::log::say;
 use crate::rules::Current;
 use bytes::Bytes;
-use daleturn::control::subset::{Catalog, Target, home};
+use daleturn::control::subset::{Catalog, Target, home_zone};
 use daleturn::interface::{BackendId, Health, ListEntry};
 use daleturn::wire::{Names, stable_hash};
 use serde::Deserialize;
@@ -132,7 +132,7 @@
     });
     let mut listing = Listing::of(rev, all, read);
     if let (true, Lines::Few(lines)) = (listing.all && listing.entries > MANY, &mut listing.lines) {
-        listing.lines = Lines::Whole(Box::new(Catalog::of(std::mem::take(lines), home)), digest);
+        listing.lines = Lines::Whole(Box::new(Catalog::from_lines(std::mem::take(lines), home)), digest);
     }
     Ok(listing)
 }
@@ -144,7 +144,7 @@
         let json = serde_json::from_slice(&text)?;
         return Ok(listing(&json, &rules.names).ok_or("not a list")?);
     }
-    let (names, home) = (rules.names.of_zones(), home(&rules.settings));
+    let (names, home) = (rules.names.of_zones(), home_zone(&rules.settings));
     let seen = seen.filter(|seen| seen.taken == rules.taken);
     Ok(tokio::task::spawn_blocking(move || long_listing(&text, &names, home, seen)).await??)
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -258,7 +258,7 @@
     fn part(&mut self, kind: ListKind, entries: Vec<ListEntry>) -> (ListKind, Vec<ListEntry>) {
         let Some((subset, held)) = &mut self.subset else { return (kind, entries) };
         let line = |entry| Target { entry, address: None, uid: "".into() };
-        let news = subset.take(kind, entries.into_iter().map(line).collect());
+        let news = subset.apply(kind, entries.into_iter().map(line).collect());
         if matches!(news.kind, ListKind::Full | ListKind::Saved) {
             held.clear();
         }
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::settings;
-use daleturn::control::subset::{Catalog, MOST_LINES, News, Subset, Target};
+use daleturn::control::subset::{Catalog, ListUpdate, MAX_LINES, Subset, Target};
 use daleturn::interface::{BackendId, Health, ListEntry, ListKind, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -37,7 +37,7 @@
 struct Told(BTreeMap<BackendId, ListEntry>);
 
 impl Told {
-    fn take(&mut self, news: &News) {
+    fn take(&mut self, news: &ListUpdate) {
         if matches!(news.kind, ListKind::Full | ListKind::Saved) {
             self.0.clear();
         }
@@ -66,14 +66,14 @@
 /// A node's subset, with what it was told so far.
 fn drawn(size: usize, settings: &Settings, lines: impl IntoIterator<Item = Target>) -> (Subset, Told) {
     let (mut subset, mut told) = (Subset::new(size, settings), Told::default());
-    told.take(&subset.take(ListKind::Full, lines.into_iter().collect()));
+    told.take(&subset.apply(ListKind::Full, lines.into_iter().collect()));
     (subset, told)
 }
 
 /// The same list as another node has it drawn.
 fn as_node(subset: &mut Subset, told: &mut Told, settings: &Settings) {
-    if subset.retune(settings) {
-        told.take(&subset.take(ListKind::Changes, Vec::new()));
+    if subset.update_settings(settings) {
+        told.take(&subset.apply(ListKind::Changes, Vec::new()));
     }
 }
 
@@ -104,7 +104,7 @@
         for (kind, raw) in words {
             let kind = [ListKind::Full, ListKind::Saved, ListKind::Changes][usize::from(kind.min(2))];
             let lines = lines_of(&raw);
-            let (was_wide, before) = (subset.wide(), if kind == ListKind::Changes { model.len() } else { 0 });
+            let (was_wide, before) = (subset.is_truncated(), if kind == ListKind::Changes { model.len() } else { 0 });
             if kind != ListKind::Changes {
                 model.clear();
             }
@@ -114,7 +114,7 @@
                     _ => drop(model.insert(line.entry.backend, line.entry)),
                 }
             }
-            let news = subset.take(kind, lines.clone());
+            let news = subset.apply(kind, lines.clone());
             if !was_wide && (size == 0 || before + lines.len() <= size) {
                 prop_assert_eq!((news.kind, &news.lines), (kind, &lines), "handed on as it came");
             }
@@ -125,13 +125,13 @@
             let all_up = model.values().filter(|e| e.health == Health::Up).count();
             if size == 0 || model.len() <= size {
                 prop_assert_eq!(&told.0, &model);
-                prop_assert_eq!(subset.held_by(100), None);
+                prop_assert_eq!(subset.nodes_per_backend(100), None);
             } else {
                 prop_assert_eq!(told.up().len(), all_up.min(size));
                 prop_assert!(told.0.len() <= 3 * size);
             }
             prop_assert!(model.is_empty() || !told.0.is_empty(), "that there is a list is to be seen");
-            prop_assert_eq!(subset.figures().listed, model.len());
+            prop_assert_eq!(subset.stats().listed, model.len());
         }
     }
 
@@ -151,7 +151,7 @@
                     model.insert(line.entry.backend, line);
                 }
             }
-            told.take(&subset.take(ListKind::Changes, lines_of(&raw)));
+            told.take(&subset.apply(ListKind::Changes, lines_of(&raw)));
         }
         let (_, fresh) = drawn(12, &settings, model.into_values());
         prop_assert_eq!(told.up(), fresh.up());
@@ -238,11 +238,11 @@
         let held = |n: &u64| before.contains(&up(*n).entry.backend);
         let (inside, outside) = ((0..3000).find(held).unwrap(), (0..3000).rfind(|n| !held(n)).unwrap());
         for (n, changed) in [(inside, 2), (outside, 0)] {
-            told.take(&subset.take(ListKind::Changes, vec![with(up(n), Health::Draining)]));
+            told.take(&subset.apply(ListKind::Changes, vec![with(up(n), Health::Draining)]));
             let without = told.up();
             assert_eq!(before.symmetric_difference(&without).count(), changed, "{slot}");
             assert_eq!(without.len(), before.len());
-            told.take(&subset.take(ListKind::Changes, vec![up(n)]));
+            told.take(&subset.apply(ListKind::Changes, vec![up(n)]));
             assert_eq!(told.up(), before, "{slot}: back as it was");
         }
     }
@@ -259,7 +259,7 @@
         let third: Vec<Target> = lost.iter().step_by(3).cloned().collect();
         for part in [third, lost] {
             let down = part.iter().cloned().map(|l| with(l, Health::Gone)).collect();
-            told.take(&subset.take(ListKind::Changes, down));
+            told.take(&subset.apply(ListKind::Changes, down));
             assert_eq!(told.up().len(), 320);
             assert!(told.up().iter().all(|id| part.iter().all(|l| l.entry.backend != *id)));
         }
@@ -267,7 +267,7 @@
         // It returns cold: each line with a later start.
         let back = (0..12_000).map(up).filter(|l| l.entry.zone == zone);
         let back = back.map(|l| Target { entry: ListEntry { ready_at_ms: 5e9, ..l.entry }, ..l }).collect();
-        told.take(&subset.take(ListKind::Changes, back));
+        told.take(&subset.apply(ListKind::Changes, back));
         assert_eq!(told.up(), before);
         assert!(
             told.0.values().all(|e| e.zone != zone || e.ready_at_ms == 5e9),
@@ -280,12 +280,12 @@
 fn a_whole_list_that_drains_leaves_no_backend_up_and_what_is_held_stays_bounded() {
     let (mut subset, mut told) = drawn(64, &node(5, None), (0..2000).map(up));
     for n in 0..2000 {
-        told.take(&subset.take(ListKind::Changes, vec![with(up(n), Health::Draining)]));
+        told.take(&subset.apply(ListKind::Changes, vec![with(up(n), Health::Draining)]));
         assert!(told.0.len() <= 128, "{n}: {}", told.0.len());
         assert_eq!(told.up().len(), 64.min(1999 - n as usize));
     }
     assert!(!told.0.is_empty(), "who drains is to be seen");
-    told.take(&subset.take(ListKind::Full, (0..2000).map(up).collect()));
+    told.take(&subset.apply(ListKind::Full, (0..2000).map(up).collect()));
     assert_eq!(told.up().len(), 64);
     assert_eq!(told.0.len(), 64, "a whole list counted anew leaves nothing of the one before");
 }
@@ -296,10 +296,10 @@
     let (mut subset, mut told) = drawn(320, &settings, (0..3).map(up));
     let mut holders = Vec::new();
     for count in [3_u64, 320, 321, 1000, 47_000, 94_000, 321, 320, 3] {
-        let news = subset.take_whole(ListKind::Full, Catalog::of((0..count).map(up), Some(1)));
+        let news = subset.apply_full_list(ListKind::Full, Catalog::from_lines((0..count).map(up), Some(1)));
         told.take(&news);
         assert_eq!(told.up().len(), 320.min(count as usize), "{count}");
-        holders.push(subset.held_by(4200));
+        holders.push(subset.nodes_per_backend(4200));
     }
     let wanted = [None, None, Some(4187), Some(1344), Some(29), Some(14), Some(4187), None, None];
     assert_eq!(holders, wanted);
@@ -307,23 +307,23 @@
 
 #[test]
 fn a_list_past_every_limit_keeps_what_is_known_and_every_drain_of_it() {
-    let most = MOST_LINES as u64;
+    let most = MAX_LINES as u64;
     let (mut subset, mut told) = drawn(64, &node(2, None), (0..most + 50).map(up));
-    let figures = subset.figures();
-    assert_eq!((figures.listed, figures.left_out, figures.held), (MOST_LINES, 50, 64));
+    let figures = subset.stats();
+    assert_eq!((figures.listed, figures.left_out, figures.held), (MAX_LINES, 50, 64));
     let drains: Vec<Target> = told
         .0
         .values()
         .map(|e| Target { entry: ListEntry { health: Health::Draining, ..*e }, ..up(0) })
         .collect();
     let drained: BTreeSet<BackendId> = drains.iter().map(|l| l.entry.backend).collect();
-    told.take(&subset.take(ListKind::Changes, drains));
+    told.take(&subset.apply(ListKind::Changes, drains));
     assert!(told.up().is_disjoint(&drained));
     assert_eq!(told.up().len(), 64);
     // Where one goes there is room for one again.
-    told.take(&subset.take(ListKind::Changes, vec![with(up(0), Health::Gone), up(most + 7)]));
-    assert_eq!(subset.figures().listed, MOST_LINES);
-    assert!(subset.knows(up(most + 7).entry.backend));
+    told.take(&subset.apply(ListKind::Changes, vec![with(up(0), Health::Gone), up(most + 7)]));
+    assert_eq!(subset.stats().listed, MAX_LINES);
+    assert!(subset.is_listed(up(most + 7).entry.backend));
 }
 
 #[test]
