--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -10,7 +10,7 @@
 use daleturn::Balancer;
 use daleturn::control::fleet::{self, Bounds, Fleet};
 use daleturn::control::members::Node;
-use daleturn::control::zones::{Order, Zones};
+use daleturn::control::zones::{ZoneOrder, Zones};
 use daleturn::interface::{
     Action, AttemptEnded, BackendId, Event, Health, ListEntry, ListKind, Load, Memory, Observation,
     Outcome, Request, RequestId, Settings, SharedUpdate,
@@ -743,7 +743,7 @@
         let zone = self.plan.machines[server].zone as u16;
         let aim = self.plan.scenario.class[class].aim_ms;
         if let Some(zones) = &mut host.zones {
-            zones.seen(
+            zones.record_outcome(
                 zone,
                 BackendId(stable_hash(&self.plan.machines[server].name)).short(),
                 outcome,
@@ -824,7 +824,7 @@
     fn pick(&mut self, zone: usize) -> Option<usize> {
         let ready = |n: &usize| {
             let there = self.nodes[*n].as_ref();
-            there.map_or(self.now < self.gone[*n], |h| !h.zones.as_ref().is_some_and(Zones::blind))
+            there.map_or(self.now < self.gone[*n], |h| !h.zones.as_ref().is_some_and(Zones::is_isolated))
         };
         let mut fit: Vec<usize> =
             (0..self.nodes.len()).filter(|n| ready(n) && self.plan.node_zones[*n] == zone).collect();
@@ -965,11 +965,11 @@
     fn word(&mut self, node: usize, about: &str, out: bool) {
         if let Some(zone) = about.strip_prefix("zone:") {
             let number = self.plan.scenario.fleet.zones.iter().position(|z| z == zone);
-            let (now, order) = (self.now, out.then_some(Order::Leave(None)));
+            let (now, order) = (self.now, out.then_some(ZoneOrder::Leave(None)));
             if let (Some(number), Some(zones)) =
                 (number, self.nodes[node].as_mut().and_then(|h| h.zones.as_mut()))
             {
-                zones.order(now, number as u16, order);
+                zones.apply_order(now, number as u16, order);
             }
             return;
         }
@@ -1037,14 +1037,14 @@
             *tripped.entry(b.zone).or_insert(0_usize) += 1;
         }
         let Some(zones) = &mut host.zones else { return };
-        zones.servers(now, &up, &tripped);
+        zones.set_servers(now, &up, &tripped);
         let mut others = false;
         if let Some(fleet) = &host.fleet {
             others = fleet.members().counts()[0] > 1;
             let age = self.options.share.verdicts_ms.into();
             for (n, name) in names.iter().enumerate() {
                 let against = fleet.shared().against_by_others(now as u64, short(name), node as Node, age);
-                zones.words(n as u16, against);
+                zones.set_peer_reports(n as u16, against);
             }
         }
         let changes = zones.tick(now, others);
@@ -1054,7 +1054,7 @@
         let mut told = Vec::new();
         for change in changes {
             host.parts.insert(change.zone, change.weight);
-            told.extend(change.tell.map(|bad| (short(&names[usize::from(change.zone)]), bad)));
+            told.extend(change.report.map(|bad| (short(&names[usize::from(change.zone)]), bad)));
         }
         let weights = (0..names.len() as u16).map(|z| host.parts.get(&z).copied().unwrap_or(1.0)).collect();
         for (server, bad) in told {
@@ -1370,7 +1370,7 @@
                     let backend = BackendId(stable_hash(&plan.machines[server].name));
                     let zone = plan.machines[server].zone as u16;
                     if let Some(zones) = self.nodes[node].as_mut().and_then(|h| h.zones.as_mut()) {
-                        zones.seen(zone, backend.short(), outcome, false);
+                        zones.record_outcome(zone, backend.short(), outcome, false);
                     }
                     let elapsed_ms = self.now - begun;
                     self.feed(
--- a/src/control/zones.rs
+++ b/src/control/zones.rs
@@ -20,9 +20,9 @@
 /// Failures in a row, on at least half of its servers, that are too few for chance, whatever others say.
 const LEAST_FAILURES: u32 = 4;
 /// Weight of a zone that is out: trials by requests that may be repeated.
-pub const TRICKLE: f64 = 0.01;
+pub const PROBE_WEIGHT: f64 = 0.01;
 /// A zone that is not left weighs this at least: below it the decisions take it for left.
-pub const LEAST_USED: f64 = 0.025;
+pub const MIN_ACTIVE_WEIGHT: f64 = 0.025;
 /// Answers in a row, and the part of its servers they must come from, until a zone begins to return.
 const GOOD_ANSWERS: u32 = 4;
 /// It begins to return no sooner than this after it was left, doubled each time that it fails again soon.
@@ -45,7 +45,7 @@
 
 /// How an attempt at a server of a zone ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum ZoneOutcome {
     /// Answered in time.
     Good,
     /// Answered late, or turned away.
@@ -58,14 +58,14 @@
 
 /// What an operator has said of a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
+pub enum ZoneOrder {
     /// Out until then, or until it is taken back.
     Leave(Option<f64>),
 }
 
 /// Where a zone stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stand {
+pub enum ZoneState {
     /// Used as ever.
     In,
     /// Left; it may begin to return at that time.
@@ -77,10 +77,10 @@
 /// One zone.
 #[derive(Clone, Debug)]
 struct Zone {
-    stand: Stand,
+    state: ZoneState,
     since: f64,
-    why: String,
-    order: Option<Order>,
+    reason: String,
+    order: Option<ZoneOrder>,
     odds: f64,
     row: u32,
     good: u32,
@@ -95,15 +95,15 @@
     servers: usize,
     /// Those that their own failure records hold for congested.
     tripped: usize,
-    turns: u32,
+    direction_changes: u32,
 }
 
 impl Zone {
     fn new(now: f64) -> Zone {
         Zone {
-            stand: Stand::In,
+            state: ZoneState::In,
             since: now,
-            why: "in use from the start".to_owned(),
+            reason: "in use from the start".to_owned(),
             order: None,
             odds: 0.0,
             row: 0,
@@ -116,22 +116,22 @@
             words: 0,
             servers: 0,
             tripped: 0,
-            turns: 0,
+            direction_changes: 0,
         }
     }
 
-    fn turn(&mut self, now: f64, stand: Stand, why: String) {
-        let direction = |s: Stand| match s {
-            Stand::In | Stand::Returning(_) => 1,
-            Stand::Out(_) => 0,
+    fn turn(&mut self, now: f64, state: ZoneState, reason: String) {
+        let direction = |s: ZoneState| match s {
+            ZoneState::In | ZoneState::Returning(_) => 1,
+            ZoneState::Out(_) => 0,
         };
-        self.turns += u32::from(direction(self.stand) != direction(stand));
-        if std::mem::discriminant(&self.stand) != std::mem::discriminant(&stand) {
+        self.direction_changes += u32::from(direction(self.state) != direction(state));
+        if std::mem::discriminant(&self.state) != std::mem::discriminant(&state) {
             self.since = now;
         }
-        self.stand = stand;
-        self.why = why;
-        self.why.truncate(WHY);
+        self.state = state;
+        self.reason = reason;
+        self.reason.truncate(WHY);
         (self.odds, self.row, self.good) = (0.0, 0, 0);
         self.failed.clear();
         self.answered.clear();
@@ -153,36 +153,36 @@
 
 /// What changed, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct ZoneChange {
     /// Which zone.
     pub zone: u16,
     /// Its weight from here on, 0 to 1.
     pub weight: f64,
     /// In a word: `in`, `out`, `returning`.
-    pub stand: &'static str,
+    pub state: &'static str,
     /// Why.
-    pub why: String,
+    pub reason: String,
     /// This node found it out by itself, and the others should know.
-    pub tell: Option<bool>,
+    pub report: Option<bool>,
 }
 
 /// One zone for people.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct ZoneStats {
     /// Which.
     pub zone: u16,
     /// `in`, `out`, `returning`, and `held` where an operator said so.
-    pub stand: &'static str,
+    pub state: &'static str,
     /// Its weight.
     pub weight: f64,
     /// Why.
-    pub why: String,
+    pub reason: String,
     /// Since when, by the host's clock.
     pub since: f64,
     /// Changes of direction so far.
-    pub turns: u32,
+    pub direction_changes: u32,
     /// Part of its attempts that fail.
-    pub failing: f64,
+    pub failure_rate: f64,
 }
 
 /// All zones, as one node sees them.
@@ -194,18 +194,25 @@
     cold_ms: f64,
     ticked: f64,
     weights: BTreeMap<u16, f64>,
-    blind: bool,
+    is_isolated: bool,
 }
 
 impl Zones {
     /// None known yet. `own` is this node's.
     pub fn new(now: f64, own: Option<u16>, cold_ms: f64) -> Zones {
-        Zones { zones: BTreeMap::new(), own, cold_ms, ticked: now, weights: BTreeMap::new(), blind: false }
+        Zones {
+            zones: BTreeMap::new(),
+            own,
+            cold_ms,
+            ticked: now,
+            weights: BTreeMap::new(),
+            is_isolated: false,
+        }
     }
 
     /// The list has so many servers up in each zone.
     /// `tripped` of them are congested by their own failure records.
-    pub fn servers(&mut self, now: f64, up: &BTreeMap<u16, usize>, tripped: &BTreeMap<u16, usize>) {
+    pub fn set_servers(&mut self, now: f64, up: &BTreeMap<u16, usize>, tripped: &BTreeMap<u16, usize>) {
         for zone in up.keys() {
             self.zones.entry(*zone).or_insert_with(|| Zone::new(now));
         }
@@ -217,16 +224,17 @@
 
     /// How often attempts elsewhere fail.
     fn elsewhere(&self, zone: u16) -> f64 {
-        let others = || self.zones.iter().filter(|(n, z)| **n != zone && matches!(z.stand, Stand::In));
+        let others = || self.zones.iter().filter(|(n, z)| **n != zone && matches!(z.state, ZoneState::In));
         let (good, all) = others().fold((0.0, 0.0), |(g, a), (_, z)| (g + z.seen[0], a + z.seen[1]));
         if all > 0.5 { 1.0 - good / all } else { 0.0 }
     }
 
     /// An attempt at a server ended.
-    pub fn note(&mut self, zone: u16, server: u32, seen: Seen) {
+    pub fn note(&mut self, zone: u16, server: u32, seen: ZoneOutcome) {
         let usual = (3.0 * self.elsewhere(zone)).clamp(USUAL, 0.95);
         let Some(z) = self.zones.get_mut(&zone) else { return };
-        let (bad, strained) = (matches!(seen, Seen::Lost | Seen::Error), seen != Seen::Good);
+        let (bad, strained) =
+            (matches!(seen, ZoneOutcome::Lost | ZoneOutcome::Error), seen != ZoneOutcome::Good);
         z.seen[0] += f64::from(u8::from(!bad));
         z.seen[1] += 1.0;
         z.seen[2] += f64::from(u8::from(strained));
@@ -248,37 +256,37 @@
     }
 
     /// The same, in the decisions' words; what says nothing of a server is left out.
-    pub fn seen(&mut self, zone: u16, server: u32, outcome: Outcome, late: bool) {
+    pub fn record_outcome(&mut self, zone: u16, server: u32, outcome: Outcome, late: bool) {
         let seen = match outcome {
-            Outcome::Done if late => Seen::Strained,
-            Outcome::Done => Seen::Good,
-            Outcome::Full => Seen::Strained,
-            Outcome::Error => Seen::Error,
-            Outcome::TimedOut | Outcome::NotConnected | Outcome::Reset => Seen::Lost,
+            Outcome::Done if late => ZoneOutcome::Strained,
+            Outcome::Done => ZoneOutcome::Good,
+            Outcome::Full => ZoneOutcome::Strained,
+            Outcome::Error => ZoneOutcome::Error,
+            Outcome::TimedOut | Outcome::NotConnected | Outcome::Reset => ZoneOutcome::Lost,
             Outcome::Cancelled | Outcome::Skipped | Outcome::Rejected => return,
         };
         self.note(zone, server, seen);
     }
 
     /// So many other nodes say that the zone is lost.
-    pub fn words(&mut self, zone: u16, against: usize) {
+    pub fn set_peer_reports(&mut self, zone: u16, against: usize) {
         if let Some(z) = self.zones.get_mut(&zone) {
             z.words = against;
         }
     }
 
     /// An operator's order, or that it is taken back.
-    pub fn order(&mut self, now: f64, zone: u16, order: Option<Order>) -> bool {
+    pub fn apply_order(&mut self, now: f64, zone: u16, order: Option<ZoneOrder>) -> bool {
         let Some(z) = self.zones.get_mut(&zone) else { return false };
         let had = z.order.is_some();
         z.order = order;
         match order {
-            Some(_) => z.turn(now, Stand::Out(f64::INFINITY), "an operator said so".to_owned()),
+            Some(_) => z.turn(now, ZoneState::Out(f64::INFINITY), "an operator said so".to_owned()),
             // What it does without an order it shows along the ramp.
-            None if had || matches!(z.stand, Stand::Out(_)) => {
+            None if had || matches!(z.state, ZoneState::Out(_)) => {
                 z.returned = f64::NEG_INFINITY;
                 z.rest = REST_MS;
-                z.turn(now, Stand::Returning(FIRST), "an operator let it return".to_owned());
+                z.turn(now, ZoneState::Returning(FIRST), "an operator let it return".to_owned());
             }
             None => {}
         }
@@ -286,8 +294,8 @@
     }
 
     /// All zones fail from here, and nobody else says so: this node is cut off, and accuses nobody.
-    pub fn blind(&self) -> bool {
-        self.blind
+    pub fn is_isolated(&self) -> bool {
+        self.is_isolated
     }
 
     fn held_out(&self) -> usize {
@@ -295,7 +303,7 @@
     }
 
     /// Time passes; hands back what changed. `others` says that other nodes can be heard.
-    pub fn tick(&mut self, now: f64, others: bool) -> Vec<Change> {
+    pub fn tick(&mut self, now: f64, others: bool) -> Vec<ZoneChange> {
         let passed = (now - self.ticked).max(0.0);
         self.ticked = now;
         let keep = (-passed / MEMORY_MS).exp();
@@ -303,16 +311,16 @@
         let all: usize = self.zones.values().map(|z| z.servers).sum();
         let used = |z: &&Zone| z.order.is_none() && z.servers > 0;
         // Where everything fails, leaving helps nobody, whoever is to blame.
-        let failing = |z: &Zone| z.odds >= SURE / 2.0 || z.dark() || matches!(z.stand, Stand::Out(_));
+        let failing = |z: &Zone| z.odds >= SURE / 2.0 || z.dark() || matches!(z.state, ZoneState::Out(_));
         let total = self.zones.values().filter(used).count();
         let all_fail = total > 1 && self.zones.values().filter(used).all(failing);
         let anybody_says = self.zones.values().any(|z| z.words > 0);
-        self.blind = all_fail && others && !anybody_says;
+        self.is_isolated = all_fail && others && !anybody_says;
         let mut out: usize = self.held_out();
         out += self
             .zones
             .values()
-            .filter(|z| z.order.is_none() && matches!(z.stand, Stand::Out(_)))
+            .filter(|z| z.order.is_none() && matches!(z.state, ZoneState::Out(_)))
             .map(|z| z.servers)
             .sum::<usize>();
         let numbers: Vec<u16> = self.zones.keys().copied().collect();
@@ -321,19 +329,19 @@
             let elsewhere = self.elsewhere(n);
             let strain_elsewhere = self.strain_elsewhere(n);
             let Some(z) = self.zones.get_mut(&n) else { continue };
-            if let Some(Order::Leave(until)) = z.order {
+            if let Some(ZoneOrder::Leave(until)) = z.order {
                 if until.is_some_and(|until| now >= until) {
                     z.order = None;
                     z.turn(
                         now,
-                        Stand::Returning(FIRST),
+                        ZoneState::Returning(FIRST),
                         "the time that an operator gave is over".to_owned(),
                     );
                 }
                 continue;
             }
-            match z.stand {
-                Stand::In | Stand::Returning(_) => {
+            match z.state {
+                ZoneState::In | ZoneState::Returning(_) => {
                     let spread = z.failed.len() >= 2 && 2 * z.failed.len() >= z.servers.min(12);
                     let words = WORD * z.words.min(3) as f64;
                     // Failures that tripped all of its servers are as good as a longer row of them.
@@ -343,7 +351,7 @@
                     if lost && fits && !all_fail {
                         let soon = now - z.returned < SOON_MS;
                         z.rest = if soon { (2.0 * z.rest).min(LONGEST_REST_MS) } else { REST_MS };
-                        let why = format!(
+                        let reason = format!(
                             "{} failures on {} of {} servers, elsewhere {:.2} fail, {} others say so",
                             z.row,
                             z.failed.len(),
@@ -354,8 +362,8 @@
                         out += z.servers;
                         told.insert(n, true);
                         let until = now + z.rest;
-                        z.turn(now, Stand::Out(until), why);
-                    } else if let Stand::Returning(weight) = z.stand {
+                        z.turn(now, ZoneState::Out(until), reason);
+                    } else if let ZoneState::Returning(weight) = z.state {
                         let strained = z.strain() - strain_elsewhere > STRAINED && z.seen[1] > 4.0;
                         // Halted while it is strained, and stepped back once.
                         let pace = if strained { -0.5 } else { 1.0 };
@@ -363,92 +371,92 @@
                         let next = (weight * (steps * passed * pace).exp()).max(FIRST);
                         if next >= 1.0 {
                             z.returned = now;
-                            z.turn(now, Stand::In, "it has returned".to_owned());
+                            z.turn(now, ZoneState::In, "it has returned".to_owned());
                         } else {
-                            z.stand = Stand::Returning(next);
+                            z.state = ZoneState::Returning(next);
                         }
                     }
                 }
-                Stand::Out(until) => {
+                ZoneState::Out(until) => {
                     let enough = z.good >= GOOD_ANSWERS && 3 * z.answered.len() >= z.servers.min(12);
                     let quiet = z.servers == 0;
                     if now >= until && (enough || all_fail) && !quiet {
                         told.insert(n, false);
-                        let why = if enough {
+                        let reason = if enough {
                             "its servers answer again"
                         } else {
                             "all zones fail: all are used"
                         };
                         z.returned = now;
-                        z.turn(now, Stand::Returning(FIRST), why.to_owned());
+                        z.turn(now, ZoneState::Returning(FIRST), reason.to_owned());
                     }
                 }
             }
         }
         if all_fail {
             for z in self.zones.values_mut().filter(|z| z.order.is_none()) {
-                z.stand = Stand::In;
+                z.state = ZoneState::In;
             }
         }
         self.changes(told)
     }
 
     fn strain_elsewhere(&self, zone: u16) -> f64 {
-        let others = self.zones.iter().filter(|(n, z)| **n != zone && matches!(z.stand, Stand::In));
+        let others = self.zones.iter().filter(|(n, z)| **n != zone && matches!(z.state, ZoneState::In));
         others.map(|(_, z)| z.strain()).fold(0.0, f64::max)
     }
 
     fn weight(&self, number: u16, z: &Zone) -> f64 {
-        match z.stand {
-            Stand::In => 1.0,
-            Stand::Out(_) => TRICKLE,
+        match z.state {
+            ZoneState::In => 1.0,
+            ZoneState::Out(_) => PROBE_WEIGHT,
             // Home traffic returns before strangers'.
-            Stand::Returning(weight) if Some(number) == self.own || self.own.is_none() => weight,
-            Stand::Returning(weight) => (weight * weight).max(LEAST_USED),
+            ZoneState::Returning(weight) if Some(number) == self.own || self.own.is_none() => weight,
+            ZoneState::Returning(weight) => (weight * weight).max(MIN_ACTIVE_WEIGHT),
         }
     }
 
-    fn changes(&mut self, mut told: BTreeMap<u16, bool>) -> Vec<Change> {
+    fn changes(&mut self, mut told: BTreeMap<u16, bool>) -> Vec<ZoneChange> {
         let mut changes = Vec::new();
         // Not so much as the last zone goes: with nothing in use, all are.
-        let none = !self.zones.values().any(|z| z.servers > 0 && !matches!(z.stand, Stand::Out(_)));
+        let none = !self.zones.values().any(|z| z.servers > 0 && !matches!(z.state, ZoneState::Out(_)));
         for (number, z) in &self.zones {
             let weight = if none { 1.0 } else { self.weight(*number, z) };
             let known = self.weights.get(number).copied().unwrap_or(1.0);
-            let tell = told.remove(number);
+            let report = told.remove(number);
             // Steps of a tenth are enough.
             let moved = (weight - known).abs() > 0.1 * known.min(weight).max(0.05)
                 || (weight == 1.0) != (known == 1.0);
-            if moved || tell.is_some() {
+            if moved || report.is_some() {
                 self.weights.insert(*number, weight);
-                let stand = word(z);
-                changes.push(Change { zone: *number, weight, stand, why: z.why.clone(), tell });
+                let state = word(z);
+                changes.push(ZoneChange { zone: *number, weight, state, reason: z.reason.clone(), report });
             }
         }
         changes
     }
 
     /// What is known of each, for people.
-    pub fn figures(&self) -> Vec<Figures> {
-        let figures = |(number, z): (&u16, &Zone)| Figures {
+    pub fn stats(&self) -> Vec<ZoneStats> {
+        let figures = |(number, z): (&u16, &Zone)| ZoneStats {
             zone: *number,
-            stand: word(z),
+            state: word(z),
             weight: self.weights.get(number).copied().unwrap_or(1.0),
-            why: z.why.clone(),
+            reason: z.reason.clone(),
             since: z.since,
-            turns: z.turns,
-            failing: z.failing(),
+            direction_changes: z.direction_changes,
+            failure_rate: z.failing(),
         };
         self.zones.iter().map(figures).collect()
     }
 }
 
 fn word(z: &Zone) -> &'static str {
-    match (z.order, z.stand) {
+    match (z.order, z.state) {
         (Some(_), _) => "held",
-        (_, Stand::In) => "in",
-        (_, Stand::Out(_)) => "out",
-        (_, Stand::Returning(_)) => "returning",
+        (_, ZoneState::In) => "in",
+        (_, ZoneState::Out(_)) => "out",
+        (_, ZoneState::Returning(_)) => "returning",
     }
 }
 
@@ -461,16 +469,16 @@
 
     fn zones() -> Zones {
         let mut zones = Zones::new(0.0, Some(0), COLD);
-        zones.servers(0.0, &BTreeMap::from([(0, 3), (1, 3), (2, 3), (3, 3)]), &BTreeMap::new());
+        zones.set_servers(0.0, &BTreeMap::from([(0, 3), (1, 3), (2, 3), (3, 3)]), &BTreeMap::new());
         zones
     }
 
     /// Plays traffic: `fails` says for a zone and a time what part of its attempts are lost. Attempts a second by the
     /// zone's weight. Hands back all changes with their times.
-    fn play(z: &mut Zones, from: u64, to: u64, fails: &dyn Fn(u16, u64) -> f64) -> Vec<(u64, Change)> {
+    fn play(z: &mut Zones, from: u64, to: u64, fails: &dyn Fn(u16, u64) -> f64) -> Vec<(u64, ZoneChange)> {
         let mut rng = fastrand::Rng::with_seed(7 + from);
         let mut weights = BTreeMap::from([(0, 1.0), (1, 1.0), (2, 1.0), (3, 1.0)]);
-        for f in z.figures() {
+        for f in z.stats() {
             weights.insert(f.zone, f.weight);
         }
         let mut all = Vec::new();
@@ -478,7 +486,8 @@
             for (zone, weight) in &weights {
                 // About 30 a second in use, and a probe now and then where it is out.
                 if rng.f64() < 0.6 * weight.max(0.06) {
-                    let seen = if rng.f64() < fails(*zone, at) { Seen::Lost } else { Seen::Good };
+                    let seen =
+                        if rng.f64() < fails(*zone, at) { ZoneOutcome::Lost } else { ZoneOutcome::Good };
                     z.note(*zone, u32::from(*zone) * 10 + rng.u32(..3), seen);
                 }
             }
@@ -493,7 +502,7 @@
     }
 
     fn stands(z: &Zones) -> Vec<&'static str> {
-        z.figures().iter().map(|f| f.stand).collect()
+        z.stats().iter().map(|f| f.state).collect()
     }
 
     #[test]
@@ -502,15 +511,15 @@
         let lost = |zone: u16, at: u64| if zone == 2 && (5000..15_000).contains(&at) { 1.0 } else { 0.01 };
         let changes = play(&mut z, 0, 40_000, &lost);
         let first = &changes[0];
-        assert!(first.0 < 6000 && first.1.zone == 2 && first.1.weight == TRICKLE, "{first:?}");
+        assert!(first.0 < 6000 && first.1.zone == 2 && first.1.weight == PROBE_WEIGHT, "{first:?}");
         assert!(changes.iter().all(|c| c.1.zone == 2), "no other");
-        let back = changes.iter().find(|c| c.1.stand == "returning").unwrap().0;
+        let back = changes.iter().find(|c| c.1.state == "returning").unwrap().0;
         assert!((15_000..19_000).contains(&back), "{back}");
         let whole = changes.last().unwrap();
         assert!(whole.1.weight == 1.0 && whole.0 - back < 2 * COLD as u64, "{whole:?} from {back}");
         let weights: Vec<f64> = changes.iter().filter(|c| c.0 >= back).map(|c| c.1.weight).collect();
         assert!(weights.windows(2).all(|w| w[0] <= w[1]), "{weights:?}");
-        assert_eq!(z.figures()[2].turns, 2);
+        assert_eq!(z.stats()[2].direction_changes, 2);
     }
 
     #[test]
@@ -519,8 +528,8 @@
         let one = |z: &mut Zones| {
             for at in 0..2000 {
                 let lost = at % 3 == 0;
-                z.note(1, at % 3, if lost { Seen::Lost } else { Seen::Good });
-                z.note(0, at % 3, Seen::Good);
+                z.note(1, at % 3, if lost { ZoneOutcome::Lost } else { ZoneOutcome::Good });
+                z.note(0, at % 3, ZoneOutcome::Good);
                 z.tick(f64::from(at), true);
             }
         };
@@ -538,24 +547,24 @@
     fn a_zone_whose_servers_are_all_tripped_is_lost_after_fewer_failures() {
         let mut z = zones();
         let up = BTreeMap::from([(0, 3), (1, 3), (2, 3), (3, 3)]);
-        (0..4).for_each(|n| z.note(1, n % 3, Seen::Lost));
-        z.servers(0.0, &up, &BTreeMap::from([(1, 2)]));
+        (0..4).for_each(|n| z.note(1, n % 3, ZoneOutcome::Lost));
+        z.set_servers(0.0, &up, &BTreeMap::from([(1, 2)]));
         assert!(z.tick(100.0, true).is_empty(), "one of its servers is not");
-        z.servers(0.0, &up, &BTreeMap::from([(1, 3)]));
+        z.set_servers(0.0, &up, &BTreeMap::from([(1, 3)]));
         let changes = z.tick(200.0, true);
-        assert_eq!((changes.len(), changes[0].stand, changes[0].tell), (1, "out", Some(true)));
+        assert_eq!((changes.len(), changes[0].state, changes[0].report), (1, "out", Some(true)));
     }
 
     #[test]
     fn a_node_that_is_cut_off_knows_it_and_accuses_nobody() {
         let mut z = zones();
         let changes = play(&mut z, 0, 10_000, &|_, at| if at > 5000 { 1.0 } else { 0.0 });
-        assert!(z.blind() && changes.iter().all(|c| c.1.tell != Some(true)), "{changes:?}");
+        assert!(z.is_isolated() && changes.iter().all(|c| c.1.report != Some(true)), "{changes:?}");
         // Where others say so too, it is not this node.
         let mut z = zones();
-        (0..4).for_each(|n| z.words(n, 2));
+        (0..4).for_each(|n| z.set_peer_reports(n, 2));
         play(&mut z, 0, 10_000, &|_, at| if at > 5000 { 1.0 } else { 0.0 });
-        assert!(!z.blind());
+        assert!(!z.is_isolated());
     }
 
     #[test]
@@ -565,7 +574,7 @@
             if zone == 1 && (at / 5000).is_multiple_of(2) && at < 120_000 { 1.0 } else { 0.0 }
         };
         let changes = play(&mut z, 0, 120_000, &flap);
-        let left: Vec<u64> = changes.iter().filter(|c| c.1.stand == "out").map(|c| c.0).collect();
+        let left: Vec<u64> = changes.iter().filter(|c| c.1.state == "out").map(|c| c.0).collect();
         assert!(left.len() <= 6, "{left:?}");
         assert!(left.windows(3).all(|w| w[2] - w[1] + 3000 >= w[1] - w[0]), "{left:?}");
     }
@@ -573,18 +582,18 @@
     #[test]
     fn an_operators_order_holds_until_its_time_and_returns_by_the_ramp() {
         let mut z = zones();
-        assert!(z.order(100.0, 3, Some(Order::Leave(Some(5000.0)))));
-        assert!(!z.order(100.0, 9, Some(Order::Leave(None))), "no such zone");
+        assert!(z.apply_order(100.0, 3, Some(ZoneOrder::Leave(Some(5000.0)))));
+        assert!(!z.apply_order(100.0, 9, Some(ZoneOrder::Leave(None))), "no such zone");
         let changes = play(&mut z, 100, 20_000, &|_, _| 0.0);
-        assert_eq!((changes[0].1.stand, changes[0].1.weight), ("held", TRICKLE));
-        let back = changes.iter().find(|c| c.1.stand == "returning").unwrap().0;
+        assert_eq!((changes[0].1.state, changes[0].1.weight), ("held", PROBE_WEIGHT));
+        let back = changes.iter().find(|c| c.1.state == "returning").unwrap().0;
         assert_eq!(back, 5000);
         assert_eq!(stands(&z), ["in"; 4]);
         // Hold: a healthy one stays out.
-        z.order(20_000.0, 3, Some(Order::Leave(None)));
+        z.apply_order(20_000.0, 3, Some(ZoneOrder::Leave(None)));
         play(&mut z, 20_000, 40_000, &|_, _| 0.0);
         assert_eq!(stands(&z)[3], "held");
-        z.order(40_000.0, 3, None);
+        z.apply_order(40_000.0, 3, None);
         play(&mut z, 40_000, 50_000, &|_, _| 0.0);
         assert_eq!(stands(&z), ["in"; 4]);
     }
@@ -604,15 +613,15 @@
             };
             for second in 0..30 {
                 play(&mut z, second * 1000, (second + 1) * 1000, &fails);
-                let weights: Vec<f64> = z.figures().iter().map(|f| f.weight).collect();
-                prop_assert!(weights.iter().any(|w| *w > TRICKLE), "{weights:?}");
-                let out = weights.iter().filter(|w| **w <= TRICKLE).count();
+                let weights: Vec<f64> = z.stats().iter().map(|f| f.weight).collect();
+                prop_assert!(weights.iter().any(|w| *w > PROBE_WEIGHT), "{weights:?}");
+                let out = weights.iter().filter(|w| **w <= PROBE_WEIGHT).count();
                 prop_assert!(out <= 2, "{weights:?}");
             }
             let mut before = [0.0; 4];
             for second in 30..150 {
                 play(&mut z, second * 1000, (second + 1) * 1000, &|_, _| 0.0);
-                for (f, before) in z.figures().iter().zip(&mut before) {
+                for (f, before) in z.stats().iter().zip(&mut before) {
                     prop_assert!(f.weight >= *before - 1e-9, "{f:?} after {before}");
                     *before = f.weight;
                 }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -14,7 +14,7 @@
 use daleturn::Balancer;
 use daleturn::control::start_times::StartTimes;
 use daleturn::control::subset::{Catalog, ListUpdate, Subset, Target};
-use daleturn::control::zones::{Change, Order, Zones};
+use daleturn::control::zones::{ZoneChange, ZoneOrder, Zones};
 use daleturn::interface::{
     Action, AttemptEnded, BackendId, BackendSnapshot, Event, Health, ListEntry, ListKind, LogNote, Memory,
     Observation, Outcome, Reporting, Request, RequestId, Settings, SharedUpdate,
@@ -628,7 +628,7 @@
 
     /// Looks at the zones, where they are judged: `words` says how many other nodes hold a zone for lost, and
     /// `others` whether any can be heard. Hands back what changed.
-    pub fn look_at_zones(&self, others: bool, words: impl Fn(u16) -> usize) -> Vec<Change> {
+    pub fn look_at_zones(&self, others: bool, words: impl Fn(u16) -> usize) -> Vec<ZoneChange> {
         let core = &mut *self.core.borrow_mut();
         let Some(zones) = &mut core.zones else { return Vec::new() };
         let mut up = BTreeMap::new();
@@ -642,25 +642,25 @@
         for b in core.balancer.snapshot(now).backends.iter().filter(|b| b.up && b.trial_at_ms.is_some()) {
             *tripped.entry(b.zone).or_insert(0_usize) += 1;
         }
-        zones.servers(now, &up, &tripped);
-        up.keys().for_each(|zone| zones.words(*zone, words(*zone)));
+        zones.set_servers(now, &up, &tripped);
+        up.keys().for_each(|zone| zones.set_peer_reports(*zone, words(*zone)));
         zones.tick(now, others)
     }
 
     /// An operator's order on a zone, or that it is taken back. False: no such zone.
-    pub fn order_zone(&self, zone: u16, order: Option<Order>) -> bool {
+    pub fn order_zone(&self, zone: u16, order: Option<ZoneOrder>) -> bool {
         let now = self.clock.now_ms();
-        self.core.borrow_mut().zones.as_mut().is_some_and(|z| z.order(now, zone, order))
+        self.core.borrow_mut().zones.as_mut().is_some_and(|z| z.apply_order(now, zone, order))
     }
 
     /// Where the zones stand; none where they are not judged.
-    pub fn zones(&self) -> Option<Vec<daleturn::control::zones::Figures>> {
-        self.core.borrow().zones.as_ref().map(Zones::figures)
+    pub fn zones(&self) -> Option<Vec<daleturn::control::zones::ZoneStats>> {
+        self.core.borrow().zones.as_ref().map(Zones::stats)
     }
 
     /// This node alone is cut off, as far as it can tell.
     pub fn blind(&self) -> bool {
-        self.core.borrow().zones.as_ref().is_some_and(Zones::blind)
+        self.core.borrow().zones.as_ref().is_some_and(Zones::is_isolated)
     }
 
     /// Whether what is asked fits what is left without a zone.
@@ -671,8 +671,8 @@
         let core = self.core.borrow();
         let figures = core.balancer.snapshot(self.clock.now_ms());
         let left_out = |b: &BackendSnapshot| {
-            let zones = core.zones.as_ref().map(Zones::figures).unwrap_or_default();
-            b.zone == zone || zones.iter().any(|z| z.zone == b.zone && matches!(z.stand, "out" | "held"))
+            let zones = core.zones.as_ref().map(Zones::stats).unwrap_or_default();
+            b.zone == zone || zones.iter().any(|z| z.zone == b.zone && matches!(z.state, "out" | "held"))
         };
         let left =
             figures.backends.iter().filter(|b| b.up && b.trial_at_ms.is_none() && !left_out(b)).count();
@@ -1029,7 +1029,7 @@
                 self.stats.attempt_ended(backend, finish.outcome, elapsed_ms);
                 let late = elapsed_ms > open.rules.settings.aim_ms(open.class);
                 if let (Some(zones), Some(target)) = (&mut self.zones, self.listed.get(&backend)) {
-                    zones.seen(target.entry.zone, backend.short(), finish.outcome, late);
+                    zones.record_outcome(target.entry.zone, backend.short(), finish.outcome, late);
                 }
                 if let Some(reply) = finish.reply
                     && let Some(owed) = open.owed.take()
@@ -1057,7 +1057,7 @@
             }
             Input::Probed(backend, finish, elapsed_ms) => {
                 if let (Some(zones), Some(target)) = (&mut self.zones, self.listed.get(&backend)) {
-                    zones.seen(target.entry.zone, backend.short(), finish.outcome, false);
+                    zones.record_outcome(target.entry.zone, backend.short(), finish.outcome, false);
                 }
                 Event::ProbeEnded { backend, outcome: finish.outcome, elapsed_ms, load: finish.load }
             }
--- a/src/node/zoning.rs
+++ b/src/node/zoning.rs
@@ -6,7 +6,7 @@
 use crate::log::say;
 use crate::rules::Current;
 use crate::sharing::Sharing;
-use daleturn::control::zones::{LEAST_USED, Order};
+use daleturn::control::zones::{MIN_ACTIVE_WEIGHT, ZoneOrder};
 use daleturn::options::Topology;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -80,13 +80,13 @@
         }
         for change in changes {
             let zone = rules.names.zone_name(change.zone).unwrap_or("?").to_owned();
-            let before = self.parts.borrow_mut().insert(change.zone, (change.weight, change.stand));
+            let before = self.parts.borrow_mut().insert(change.zone, (change.weight, change.state));
             // The steps of a ramp are no news; that it begins and ends is.
-            if before.is_none_or(|(_, stand)| stand != change.stand) {
-                let (weight, stand, why) = (change.weight, change.stand, change.why.as_str());
+            if before.is_none_or(|(_, stand)| stand != change.state) {
+                let (weight, stand, why) = (change.weight, change.state, change.reason.as_str());
                 say!(WARN, "zone", zone = zone.as_str(), stand, weight, why, "zone.turned");
             }
-            if let (Some(sharing), Some(bad)) = (&self.sharing, change.tell) {
+            if let (Some(sharing), Some(bad)) = (&self.sharing, change.report) {
                 sharing.found_zone(&format!("{PREFIX}{zone}"), bad);
             }
         }
@@ -107,9 +107,9 @@
         let any_home = (0..count).any(|zone| home(zone) && part(zone) >= 0.5);
         let far = f64::from(topology.other_region_percent) / 100.0;
         let weight = |zone: u16| match part(zone) {
-            left if left < LEAST_USED => left,
+            left if left < MIN_ACTIVE_WEIGHT => left,
             part if home(zone) || !any_home => part,
-            part => (part * far).max(LEAST_USED),
+            part => (part * far).max(MIN_ACTIVE_WEIGHT),
         };
         self.driver.take(Input::Zones((0..count).map(weight).collect()));
     }
@@ -118,7 +118,7 @@
         let number =
             self.rules.get().names.zone_number(zone).ok_or_else(|| format!("no zone {zone:?} is known"))?;
         let until = left.map(|left| self.driver.clock.now_ms() + left.as_secs_f64() * 1000.0);
-        let known = self.driver.order_zone(number, out.then_some(Order::Leave(until)));
+        let known = self.driver.order_zone(number, out.then_some(ZoneOrder::Leave(until)));
         if known { Ok(()) } else { Err(format!("no backend of zone {zone:?} is listed")) }
     }
 
@@ -171,10 +171,10 @@
         let zones = driver.zones().ok_or(OFF)?;
         let (now, rules) = (driver.clock.now_ms(), rules.get());
         let each = zones.iter().map(|z| {
-            json!({"zone": rules.names.zone_name(z.zone).unwrap_or("?"), "stand": z.stand,
-                   "weight": (z.weight * 1000.0).round() / 1000.0, "why": z.why, "turns": z.turns,
+            json!({"zone": rules.names.zone_name(z.zone).unwrap_or("?"), "stand": z.state,
+                   "weight": (z.weight * 1000.0).round() / 1000.0, "why": z.reason, "turns": z.direction_changes,
                    "since_s": ((now - z.since) / 1000.0).max(0.0).round(),
-                   "failing": (z.failing * 1000.0).round() / 1000.0})
+                   "failing": (z.failure_rate * 1000.0).round() / 1000.0})
         });
         Ok(each.collect())
     }
