--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -10,7 +10,7 @@
 
 use super::{Measure, MeasureError, Point, Series};
 use daleturn::control::fleet::{Action, Bounds, Event, Fleet};
-use daleturn::control::members::{Ms, Node};
+use daleturn::control::membership::{Ms, NodeId};
 use daleturn::control::share::TENANTS;
 use rustix::time::{ClockId, clock_gettime};
 use std::cmp::Reverse;
@@ -122,7 +122,7 @@
     fn start(&mut self, n: usize) {
         let (now, count, seed) = (self.now, self.hosts.len(), self.rng.u64(..));
         let Some(host) = self.hosts.get_mut(n) else { return };
-        let mut fleet = Fleet::new(now, n as Node, count as u16, host.incarnation, BOUNDS, seed);
+        let mut fleet = Fleet::new(now, n as NodeId, count as u16, host.incarnation, BOUNDS, seed);
         let asked: Vec<(u32, f32)> = (1..=TENANTS as u32).map(|tenant| (tenant, 10.0)).collect();
         fleet.handle(now, Event::Asked(&asked), &mut Vec::new());
         host.incarnation += 1;
@@ -166,7 +166,7 @@
                 self.queue.push(Reverse(Due { at, to: due.to, from: None, bytes: Vec::new() }));
                 Event::Tick
             }
-            Some((from, _)) => Event::Heard(from as Node, &due.bytes),
+            Some((from, _)) => Event::Heard(from as NodeId, &due.bytes),
         };
         if due.from.is_some() && host.fleet.is_some() {
             host.count(due.bytes.len());
@@ -207,7 +207,7 @@
                 there
                     .iter()
                     .enumerate()
-                    .all(|(of, (up, at))| members.present(of as Node) == (*up && *at == side))
+                    .all(|(of, (up, at))| members.is_present(of as NodeId) == (*up && *at == side))
             },
         )
     }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -9,7 +9,7 @@
 use crate::settings::settings;
 use daleturn::Balancer;
 use daleturn::control::fleet::{self, Bounds, Fleet};
-use daleturn::control::members::Node;
+use daleturn::control::membership::NodeId;
 use daleturn::control::zones::{ZoneOrder, Zones};
 use daleturn::interface::{
     Action, AttemptEnded, BackendId, Event, Health, ListEntry, ListKind, Load, Memory, Observation,
@@ -441,7 +441,7 @@
         let seed = self.plan.seed ^ mix_bits(node as u64 ^ u64::from(epoch) << 32);
         let balancer =
             Balancer::new(settings.clone(), seed).map_err(|e| SimError::Settings(e.to_string()))?;
-        let (own, count) = (node as Node, self.nodes.len() as u16);
+        let (own, count) = (node as NodeId, self.nodes.len() as u16);
         let share = &self.options.share;
         let bounds = Bounds {
             limits_ms: share.limits_ms.into(),
@@ -1043,7 +1043,8 @@
             others = fleet.members().counts()[0] > 1;
             let age = self.options.share.verdicts_ms.into();
             for (n, name) in names.iter().enumerate() {
-                let against = fleet.shared().against_by_others(now as u64, short(name), node as Node, age);
+                let against =
+                    fleet.shared().against_by_others(now as u64, short(name), node as NodeId, age);
                 zones.set_peer_reports(n as u16, against);
             }
         }
@@ -1341,7 +1342,7 @@
                     self.push(self.now + ZONES_TICK_MS, What::Zones { node, epoch });
                 }
                 What::Datagram { from, to, bytes } => {
-                    self.share(to, fleet::Event::Heard(from as Node, &bytes))
+                    self.share(to, fleet::Event::Heard(from as NodeId, &bytes))
                 }
                 What::Message { from, to, bytes } => {
                     self.feed(to, Event::PeerMessage { from: from as u32, bytes });
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -6,7 +6,7 @@
 //! on at once, and reports shortly before the next, its children a little earlier, so that what the root tells is
 //! half a second old and not a period for each level. What is missing is asked for again within that half second.
 
-use super::members::{Life, Members, Message, Ms, Node, Output, Status};
+use super::membership::{MemberState, Membership, Message, Ms, NodeId, Output, Status};
 use super::packet::{self, Body, COMPARED, Head, Item, LONGEST_NAME, PacketError};
 use super::share::{Finding, Shared, Totals};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -63,7 +63,7 @@
     /// Time passes; comes every 20 ms or so.
     Tick,
     /// A datagram from a member's address.
-    Heard(Node, &'a [u8]),
+    Heard(NodeId, &'a [u8]),
     /// Requests a second that tenants ask of this node, by short hash.
     Asked(&'a [(u32, f32)]),
     /// This node found that a server fails, or serves again; `start` tells its starts apart.
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
-    Send(Node, Vec<u8>),
+    Send(NodeId, Vec<u8>),
     /// Another node found something of a server, so long ago.
     Verdict {
         /// The server's short id.
@@ -107,7 +107,7 @@
         /// Which of its starts.
         start: u32,
         /// Who.
-        who: Node,
+        who: NodeId,
         /// It fails, or serves again.
         bad: bool,
         /// Age in milliseconds.
@@ -163,8 +163,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum News {
     Word(String),
-    Member(Node),
-    Finding(u32, Node),
+    Member(NodeId),
+    Finding(u32, NodeId),
     Place(u32),
 }
 
@@ -229,7 +229,7 @@
 /// The wave that this node has last passed on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Wave {
-    root: (Node, u32),
+    root: (NodeId, u32),
     number: u32,
     depth: u8,
     at: Ms,
@@ -240,13 +240,13 @@
 pub struct Fleet {
     bounds: Bounds,
     rng: fastrand::Rng,
-    members: Members,
+    members: Membership,
     shared: Shared,
     /// What tenants ask here.
     own: Vec<(u32, f32)>,
-    children: BTreeMap<Node, Child>,
-    parent: Option<Node>,
-    neighbours: Vec<Node>,
+    children: BTreeMap<NodeId, Child>,
+    parent: Option<NodeId>,
+    neighbours: Vec<NodeId>,
     version: Option<u64>,
     wave: Wave,
     wave_at: Ms,
@@ -257,7 +257,7 @@
     unlike: u32,
     /// The totals of all, and when they were made.
     total: Option<(Totals, Ms)>,
-    lines: BTreeMap<Node, Line>,
+    lines: BTreeMap<NodeId, Line>,
     tokens: f64,
     ticked: Ms,
     number: u32,
@@ -272,9 +272,9 @@
 impl Fleet {
     /// The part of node `own` of `count`. `incarnation` must be greater at each start; where it is not, the others
     /// say so, and this node goes above what they know.
-    pub fn new(now: Ms, own: Node, count: u16, incarnation: u32, bounds: Bounds, seed: u64) -> Fleet {
+    pub fn new(now: Ms, own: NodeId, count: u16, incarnation: u32, bounds: Bounds, seed: u64) -> Fleet {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let members = Members::new(now, own, count, incarnation);
+        let members = Membership::new(now, own, count, incarnation);
         let first = now + rng.u64(..PERIOD_MS);
         Fleet {
             bounds,
@@ -313,7 +313,7 @@
     }
 
     /// Who is in the fleet.
-    pub fn members(&self) -> &Members {
+    pub fn members(&self) -> &Membership {
         &self.members
     }
 
@@ -328,7 +328,7 @@
     }
 
     /// Whom this node reports to; none at the root.
-    pub fn parent(&self) -> Option<Node> {
+    pub fn parent(&self) -> Option<NodeId> {
         self.parent
     }
 
@@ -362,21 +362,21 @@
             }
             Event::Found { server, start, bad } => {
                 self.finding = self.finding.wrapping_add(1);
-                let own = self.members.own_life(now).incarnation;
+                let own = self.members.local_state(now).incarnation;
                 let finding = Finding { incarnation: own, number: self.finding, start, bad };
-                let who = self.members.own();
+                let who = self.members.local_id();
                 if self.shared.finding(server, who, finding, now) {
                     self.spread(now, &News::Finding(server, who), None);
                 }
             }
             Event::Placed { key, server } => {
-                if self.shared.put(now, self.members.own(), key, server).is_some() {
+                if self.shared.put(now, self.members.local_id(), key, server).is_some() {
                     self.spread(now, &News::Place(key), None);
                 }
             }
             Event::Said { about, out, for_s } => {
                 if !about.is_empty() && about.len() <= LONGEST_NAME {
-                    self.shared.say(now, self.members.own(), about, out, for_s);
+                    self.shared.say(now, self.members.local_id(), about, out, for_s);
                     self.spread(now, &News::Word(about.to_owned()), None);
                 }
             }
@@ -419,11 +419,11 @@
         self.version = Some(self.members.version());
         self.changed = now;
         let before = (self.parent, std::mem::take(&mut self.neighbours));
-        self.parent = self.members.parent(self.members.own());
+        self.parent = self.members.parent(self.members.local_id());
         let children = self.members.children();
         // One that reports here by its own view is heard until it does not any more.
         let adopted =
-            |n: &Node, c: &Child| now.saturating_sub(c.at) < 2 * PERIOD_MS && self.members.present(*n);
+            |n: &NodeId, c: &Child| now.saturating_sub(c.at) < 2 * PERIOD_MS && self.members.is_present(*n);
         self.children.retain(|n, c| children.contains(n) || adopted(n, c));
         for child in children {
             self.children.entry(child).or_insert(Child { at: now, ..Child::default() });
@@ -450,7 +450,7 @@
         self.carry_out(now, outputs, None, out);
     }
 
-    fn carry_out(&mut self, now: Ms, outputs: Vec<Output>, but: Option<Node>, out: &mut Vec<Action>) {
+    fn carry_out(&mut self, now: Ms, outputs: Vec<Output>, but: Option<NodeId>, out: &mut Vec<Action>) {
         for output in outputs {
             match output {
                 Output::Send(to, message) => {
@@ -462,19 +462,19 @@
                     }
                 }
                 Output::Remind(who) => {
-                    let known = self.members.life(who);
+                    let known = self.members.state(who);
                     let items: Vec<Item> = known.map(|l| Item::Member(who, l)).into_iter().collect();
-                    self.send(now, who, &Body::Check(Message::Ping(self.members.own())), &items, out);
+                    self.send(now, who, &Body::Check(Message::Ping(self.members.local_id())), &items, out);
                 }
             }
         }
     }
 
     /// Writes and sends; says how many of the items went along.
-    fn send(&mut self, now: Ms, to: Node, body: &Body, items: &[Item], out: &mut Vec<Action>) -> usize {
-        let life = self.members.own_life(now);
+    fn send(&mut self, now: Ms, to: NodeId, body: &Body, items: &[Item], out: &mut Vec<Action>) -> usize {
+        let state = self.members.local_state(now);
         self.number = self.number.wrapping_add(1);
-        let head = Head { from: self.members.own(), life, number: self.number };
+        let head = Head { from: self.members.local_id(), state, number: self.number };
         let (bytes, written) = packet::write(&head, body, items);
         self.counts.sent += 1;
         out.push(Action::Send(to, bytes));
@@ -482,7 +482,7 @@
     }
 
     /// News for all neighbours but the one it came from.
-    fn spread(&mut self, now: Ms, news: &News, but: Option<Node>) {
+    fn spread(&mut self, now: Ms, news: &News, but: Option<NodeId>) {
         for n in self.neighbours.iter().filter(|n| Some(**n) != but) {
             let line = self.lines.entry(*n).or_default();
             Fleet::wait(line, now, news.clone());
@@ -509,7 +509,7 @@
     fn item(&self, now: Ms, news: &News) -> Option<Item> {
         let age = |made: Ms| now.saturating_sub(made);
         Some(match news {
-            News::Member(who) => Item::Member(*who, self.members.life(*who)?),
+            News::Member(who) => Item::Member(*who, self.members.state(*who)?),
             News::Finding(server, who) => {
                 let found = self.shared.found(*server, *who)?;
                 Item::Finding(*server, *who, found.value, age(found.made))
@@ -526,14 +526,14 @@
     }
 
     /// What waits for a neighbour and may go along with a wave; it counts as told where so many of it fit.
-    fn along(&self, now: Ms, to: Node) -> Vec<(Option<News>, Item)> {
+    fn along(&self, now: Ms, to: NodeId) -> Vec<(Option<News>, Item)> {
         let Some(line) = self.lines.get(&to) else { return Vec::new() };
         let waiting = line.waiting.iter().filter_map(|n| Some((Some(n.clone()), self.item(now, n)?)));
         let idle = line.idle.iter().filter_map(|k| Some((None, self.item(now, &News::Place(*k))?)));
         waiting.take(20).chain(idle.take(20)).collect()
     }
 
-    fn send_wave(&mut self, now: Ms, to: Node, body: &Body, out: &mut Vec<Action>) {
+    fn send_wave(&mut self, now: Ms, to: NodeId, body: &Body, out: &mut Vec<Action>) {
         let along = self.along(now, to);
         let items: Vec<Item> = along.iter().map(|a| a.1.clone()).collect();
         let written = self.send(now, to, body, &items, out);
@@ -560,7 +560,7 @@
 
     /// Presses news on neighbours, again until they have it.
     fn flush(&mut self, now: Ms, out: &mut Vec<Action>) {
-        let due: Vec<Node> = (self.lines.iter())
+        let due: Vec<NodeId> = (self.lines.iter())
             .filter(|(_, l)| match &l.out {
                 Some(sent) => now >= sent.again_at,
                 None => !l.waiting.is_empty() && now >= l.since + GATHER_MS,
@@ -573,7 +573,7 @@
                 return;
             }
             let (id, news, tries) = match &line.out {
-                Some(sent) if sent.tries >= RESENDS || !self.members.present(to) => {
+                Some(sent) if sent.tries >= RESENDS || !self.members.is_present(to) => {
                     // It is not there, or cannot answer: comparisons repair that.
                     self.lines.entry(to).or_default().out = None;
                     continue;
@@ -637,7 +637,7 @@
         self.send_wave(now, parent, &body, out);
     }
 
-    fn pass_on(&mut self, now: Ms, to: &[Node], out: &mut Vec<Action>) {
+    fn pass_on(&mut self, now: Ms, to: &[NodeId], out: &mut Vec<Action>) {
         let Some((totals, made)) = self.total.clone() else { return };
         let totals = Totals { age: now.saturating_sub(made), ..totals };
         let (root, wave, depth) = (self.wave.root, self.wave.number, self.wave.depth);
@@ -647,8 +647,8 @@
         }
     }
 
-    fn child_nodes(&self) -> Vec<Node> {
-        self.children.keys().copied().filter(|n| self.members.present(*n)).collect()
+    fn child_nodes(&self) -> Vec<NodeId> {
+        self.children.keys().copied().filter(|n| self.members.is_present(*n)).collect()
     }
 
     fn waves(&mut self, now: Ms, out: &mut Vec<Action>) {
@@ -656,10 +656,10 @@
         // Children that have not reported for this wave are asked to.
         if now + SLOT_MS >= due && !self.children.is_empty() {
             let since = due.saturating_sub(SLOT_MS);
-            let late: Vec<Node> = (self.children.iter())
+            let late: Vec<NodeId> = (self.children.iter())
                 .filter(|(n, c)| {
                     let overdue = AGAIN_MS.get(c.asked).is_some_and(|ms| now >= since + ms);
-                    overdue && c.at + PERIOD_MS / 2 < due && self.members.present(**n)
+                    overdue && c.at + PERIOD_MS / 2 < due && self.members.is_present(**n)
                 })
                 .map(|(n, _)| *n)
                 .collect();
@@ -673,9 +673,9 @@
         if self.parent.is_none() {
             if now >= self.wave_at {
                 self.wave_at = (self.wave_at + PERIOD_MS).max(now + PERIOD_MS / 2);
-                let own = self.members.own_life(now).incarnation;
+                let own = self.members.local_state(now).incarnation;
                 let number = self.wave.number.wrapping_add(1);
-                self.wave = Wave { root: (self.members.own(), own), number, depth: 0, at: now };
+                self.wave = Wave { root: (self.members.local_id(), own), number, depth: 0, at: now };
                 let totals = self.counted(now);
                 self.total = Some((totals.clone(), now.saturating_sub(totals.age)));
                 self.children.values_mut().for_each(|c| c.asked = 0);
@@ -704,41 +704,41 @@
         }
     }
 
-    fn heard(&mut self, now: Ms, from: Node, bytes: &[u8], out: &mut Vec<Action>) {
+    fn heard(&mut self, now: Ms, from: NodeId, bytes: &[u8], out: &mut Vec<Action>) {
         let refused = &mut self.counts.refused;
         let (head, body, items) = match packet::read(bytes) {
             Ok(read) => read,
             Err(PacketError::Version(_)) => return refused.version += 1,
             Err(_) => return refused.spoilt += 1,
         };
-        if head.from != from || from == self.members.own() {
+        if head.from != from || from == self.members.local_id() {
             return refused.name += 1;
         }
         let Some(seen) = self.seen.get_mut(usize::from(from)) else { return refused.name += 1 };
-        let known = self.members.life(from).map_or(0, |l| l.incarnation);
+        let known = self.members.state(from).map_or(0, |l| l.incarnation);
         if seen.incarnation > known {
             // Its numbers were believed by mistake, or it went back to what the others know.
             *seen = Seen::default();
         }
-        if !seen.fresh(head.life.incarnation, head.number) {
+        if !seen.fresh(head.state.incarnation, head.number) {
             refused.replayed += 1;
-            if self.members.life(from).is_some_and(|known| head.life < known) {
+            if self.members.state(from).is_some_and(|known| head.state < known) {
                 // Should it be a start with lower numbers, it hears of that.
-                let item = self.members.life(from).map(|l| Item::Member(from, l));
+                let item = self.members.state(from).map(|l| Item::Member(from, l));
                 let items: Vec<Item> = item.into_iter().collect();
-                self.send(now, from, &Body::Check(Message::Ping(self.members.own())), &items, out);
+                self.send(now, from, &Body::Check(Message::Ping(self.members.local_id())), &items, out);
             }
             return;
         }
         self.counts.received += 1;
-        let was = self.members.life(from).map(|l| l.status);
+        let was = self.members.state(from).map(|l| l.status);
         let mut outputs = Vec::new();
-        self.members.heard(now, from, head.life, &mut outputs);
+        self.members.heard(now, from, head.state, &mut outputs);
         self.carry_out(now, outputs, Some(from), out);
         for item in items {
             self.learn(now, from, item, out);
         }
-        if was == Some(Status::Gone) && self.members.present(from) {
+        if was == Some(Status::Dead) && self.members.is_present(from) {
             // Back from beyond a cut, perhaps with others: both compare whom they know.
             self.compare(now, from, out);
         }
@@ -746,14 +746,17 @@
         self.take(now, from, body, out);
     }
 
-    fn learn(&mut self, now: Ms, from: Node, item: Item, out: &mut Vec<Action>) {
+    fn learn(&mut self, now: Ms, from: NodeId, item: Item, out: &mut Vec<Action>) {
         match item {
-            Item::Member(who, life) => {
+            Item::Member(who, state) => {
                 let (draw, mut outputs) = (self.rng.u64(..), Vec::new());
-                let news = self.members.told(now, who, life, draw, &mut outputs);
+                let news = self.members.told(now, who, state, draw, &mut outputs);
                 self.carry_out(now, outputs, Some(from), out);
-                let known = self.members.life(who);
-                if !news && known.is_some_and(|k| k > life && k.status.present() != life.status.present()) {
+                let known = self.members.state(who);
+                if !news
+                    && known
+                        .is_some_and(|k| k > state && k.status.is_present() != state.status.is_present())
+                {
                     // The teller is behind.
                     let line = self.lines.entry(from).or_default();
                     Fleet::wait(line, now, News::Member(who));
@@ -761,7 +764,7 @@
             }
             Item::Finding(server, who, finding, age) => {
                 let made = now.saturating_sub(age);
-                if who == self.members.own() || usize::from(who) >= self.members.count() {
+                if who == self.members.local_id() || usize::from(who) >= self.members.count() {
                     return;
                 }
                 if self.shared.finding(server, who, finding, made) {
@@ -792,20 +795,20 @@
         }
     }
 
-    fn compare(&mut self, now: Ms, with: Node, out: &mut Vec<Action>) {
+    fn compare(&mut self, now: Ms, with: NodeId, out: &mut Vec<Action>) {
         let count = self.members.count();
         let first = if count > COMPARED { self.rng.usize(..=count - COMPARED) } else { 0 };
-        let first = Node::try_from(first).unwrap_or(0);
+        let first = NodeId::try_from(first).unwrap_or(0);
         let classes = self.members.classes(first, COMPARED);
         let words = self.shared.digest();
         self.send(now, with, &Body::Compare { first, classes, words }, &[], out);
     }
 
-    fn take(&mut self, now: Ms, from: Node, body: Body, out: &mut Vec<Action>) {
+    fn take(&mut self, now: Ms, from: NodeId, body: Body, out: &mut Vec<Action>) {
         match body {
             Body::Up { mut totals, .. } => {
                 totals.trim();
-                if Some(from) == self.parent || !self.members.present(from) {
+                if Some(from) == self.parent || !self.members.is_present(from) {
                     return;
                 }
                 let new = !self.children.contains_key(&from);
@@ -870,14 +873,14 @@
         }
     }
 
-    fn lost(&mut self, to: Node) {
+    fn lost(&mut self, to: NodeId) {
         let line = self.lines.entry(to).or_default();
         line.lossy = (line.lossy + LOST).min(4 * LOSSY);
     }
 
     /// A wave from the root: taken and passed on if it is a newer one.
-    fn down(&mut self, now: Ms, from: Node, wave: Wave, totals: Totals, out: &mut Vec<Action>) {
-        if self.parent.is_none() || wave.root.0 == self.members.own() {
+    fn down(&mut self, now: Ms, from: NodeId, wave: Wave, totals: Totals, out: &mut Vec<Action>) {
+        if self.parent.is_none() || wave.root.0 == self.members.local_id() {
             return;
         }
         let stale = now.saturating_sub(self.wave.at) > 2 * PERIOD_MS;
@@ -901,18 +904,18 @@
     fn compared(
         &mut self,
         now: Ms,
-        from: Node,
-        first: Node,
+        from: NodeId,
+        first: NodeId,
         classes: &[u8],
         words: u32,
         out: &mut Vec<Action>,
     ) {
         let own = self.members.classes(first, classes.len());
         let unlike = own.iter().zip(classes).zip(first..).filter(|((a, b), _)| a != b).map(|(_, n)| n);
-        let known = unlike.filter_map(|n| Some((n, self.members.life(n)?)));
+        let known = unlike.filter_map(|n| Some((n, self.members.state(n)?)));
         // Of one that was never heard here there is nothing to tell but that it is gone.
         let (told, unheard): (Vec<_>, Vec<_>) =
-            known.partition(|(_, l)| l.incarnation > 0 || !l.status.present());
+            known.partition(|(_, l)| l.incarnation > 0 || !l.status.is_present());
         let mut items: Vec<Item> = told.into_iter().map(|(n, l)| Item::Member(n, l)).collect();
         if !unheard.is_empty() && self.tokens >= 1.0 {
             // The other one knows more of it, and says so when asked the same.
@@ -932,14 +935,14 @@
         }
     }
 
-    fn tell_words(&mut self, now: Ms, to: Node, out: &mut Vec<Action>) {
+    fn tell_words(&mut self, now: Ms, to: NodeId, out: &mut Vec<Action>) {
         let all: Vec<String> = self.shared.words().map(|w| w.0.to_owned()).collect();
         let items: Vec<Item> = all.into_iter().filter_map(|w| self.item(now, &News::Word(w))).collect();
         self.press(now, to, &items, out);
     }
 
     /// Sends items at once, in as many datagrams as they need and the budget has.
-    fn press(&mut self, now: Ms, to: Node, items: &[Item], out: &mut Vec<Action>) {
+    fn press(&mut self, now: Ms, to: NodeId, items: &[Item], out: &mut Vec<Action>) {
         let mut left = items;
         while !left.is_empty() && self.tokens >= 1.0 {
             self.tokens -= 1.0;
@@ -955,7 +958,7 @@
     }
 
     /// What this node says of itself.
-    pub fn own_life(&mut self, now: Ms) -> Life {
-        self.members.own_life(now)
+    pub fn local_state(&mut self, now: Ms) -> MemberState {
+        self.members.local_state(now)
     }
 }
--- a/src/control/members.rs
+++ b/src/control/membership.rs
@@ -4,13 +4,13 @@
 //! gives the others more time. It differs in whom a node watches: its neighbours in [`tree`](Members::parent),
 //! which speak anyway, and not somebody drawn by lot, who would cost two datagrams a second.
 //!
-//! What is known of a member is a [`Life`], and of two lives the greater holds, so that news may come in any order,
+//! What is known of a member is a [`MemberState`], and of two lives the greater holds, so that news may come in any order,
 //! twice or late.
 
 use std::collections::BTreeMap;
 
 /// A node's number in the platform's list of peers.
-pub type Node = u16;
+pub type NodeId = u16;
 /// Milliseconds of the host's monotonic clock.
 pub type Ms = u64;
 
@@ -50,28 +50,28 @@
     /// It does not, as far as somebody can see.
     Suspect,
     /// Nobody refuted that.
-    Gone,
+    Dead,
     /// It said that it ends.
     Left,
 }
 
 impl Status {
     /// All of them, in their order.
-    pub const ALL: [Status; 4] = [Status::Alive, Status::Suspect, Status::Gone, Status::Left];
+    pub const ALL: [Status; 4] = [Status::Alive, Status::Suspect, Status::Dead, Status::Left];
 
     /// It counts as there.
-    pub fn present(self) -> bool {
+    pub fn is_present(self) -> bool {
         matches!(self, Status::Alive | Status::Suspect)
     }
 }
 
 /// What is known of a member. The greater of two is the newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life {
+pub struct MemberState {
     /// Which of its starts; 0 for one that was never heard.
     pub incarnation: u32,
     /// Rises while it lives.
-    pub beat: u32,
+    pub heartbeat: u32,
     /// How it fares.
     pub status: Status,
 }
@@ -79,7 +79,7 @@
 /// A member as this node knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Member {
-    life: Life,
+    state: MemberState,
     /// When it was last heard itself, or came into view.
     heard: Ms,
     /// When its status last changed here.
@@ -103,17 +103,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Message {
     /// Are you there? On behalf of this node.
-    Ping(Node),
+    Ping(NodeId),
     /// Ask that member, please.
-    PingFor(Node),
+    PingFor(NodeId),
     /// That member is there and lives so; for the node that wanted to know.
     Ack {
         /// Who.
-        about: Node,
+        about: NodeId,
         /// As it said itself.
-        life: Life,
+        state: MemberState,
         /// Who wanted to know.
-        wanted_by: Node,
+        wanted_by: NodeId,
     },
 }
 
@@ -121,22 +121,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
     /// To be sent.
-    Send(Node, Message),
+    Send(NodeId, Message),
     /// News of that member is to be spread.
-    Spread(Node),
+    Spread(NodeId),
     /// That member is behind and should hear what is known of it.
-    Remind(Node),
+    Remind(NodeId),
 }
 
 /// The members, as one of them knows them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Members {
-    own: Node,
+pub struct Membership {
+    own: NodeId,
     started: Ms,
     /// What the own beat has been raised by, against suspicions.
     raised: u32,
     members: Vec<Member>,
-    checks: BTreeMap<Node, Check>,
+    checks: BTreeMap<NodeId, Check>,
     fan: usize,
     late: u32,
     forgiven: Ms,
@@ -148,18 +148,18 @@
 /// The own status as everybody else sees it, when all is well.
 const ALIVE: Status = Status::Alive;
 
-impl Members {
+impl Membership {
     /// One of `count`, which are all taken to be there until they are found not to be.
-    pub fn new(now: Ms, own: Node, count: u16, incarnation: u32) -> Members {
-        let life = Life { incarnation: 0, beat: 0, status: ALIVE };
+    pub fn new(now: Ms, own: NodeId, count: u16, incarnation: u32) -> Membership {
+        let state = MemberState { incarnation: 0, heartbeat: 0, status: ALIVE };
         let unknown =
-            Member { life, heard: now, since: now, until: 0, accused: false, flaps: 0, flapped: now };
+            Member { state, heard: now, since: now, until: 0, accused: false, flaps: 0, flapped: now };
         let mut members = vec![unknown; usize::from(count.max(own.saturating_add(1)))];
         if let Some(me) = members.get_mut(usize::from(own)) {
-            me.life.incarnation = incarnation.clamp(1, LAST_INCARNATION - 1);
+            me.state.incarnation = incarnation.clamp(1, LAST_INCARNATION - 1);
         }
         let fan = (members.len() as f64).sqrt().ceil().max(4.0) as usize;
-        Members {
+        Membership {
             own,
             started: now,
             raised: 0,
@@ -175,7 +175,7 @@
     }
 
     /// This node's number.
-    pub fn own(&self) -> Node {
+    pub fn local_id(&self) -> NodeId {
         self.own
     }
 
@@ -194,44 +194,44 @@
         self.late
     }
 
-    fn member(&self, who: Node) -> Option<&Member> {
+    fn member(&self, who: NodeId) -> Option<&Member> {
         self.members.get(usize::from(who))
     }
 
     /// What is known of a member; of this one, what it says itself.
-    pub fn life(&self, who: Node) -> Option<Life> {
-        self.member(who).map(|m| m.life)
+    pub fn state(&self, who: NodeId) -> Option<MemberState> {
+        self.member(who).map(|m| m.state)
     }
 
     /// What this node says of itself at a moment.
-    pub fn own_life(&mut self, now: Ms) -> Life {
-        let beat = u32::try_from(now.saturating_sub(self.started) / BEAT_MS).unwrap_or(u32::MAX);
-        let beat = beat.saturating_add(self.raised).max(1);
+    pub fn local_state(&mut self, now: Ms) -> MemberState {
+        let heartbeat = u32::try_from(now.saturating_sub(self.started) / BEAT_MS).unwrap_or(u32::MAX);
+        let heartbeat = heartbeat.saturating_add(self.raised).max(1);
         let own = usize::from(self.own);
         let Some(me) = self.members.get_mut(own) else {
-            return Life { incarnation: 1, beat, status: ALIVE };
+            return MemberState { incarnation: 1, heartbeat, status: ALIVE };
         };
-        me.life.beat = me.life.beat.max(beat);
+        me.state.heartbeat = me.state.heartbeat.max(heartbeat);
         me.heard = now;
-        me.life
+        me.state
     }
 
     /// It counts as there.
-    pub fn present(&self, who: Node) -> bool {
-        self.member(who).is_some_and(|m| m.life.status.present())
+    pub fn is_present(&self, who: NodeId) -> bool {
+        self.member(who).is_some_and(|m| m.state.status.is_present())
     }
 
     fn alive(&self, who: usize) -> bool {
-        self.members.get(who).is_some_and(|m| m.life.status == ALIVE)
+        self.members.get(who).is_some_and(|m| m.state.status == ALIVE)
     }
 
     /// It has its place in the tree: others' suspicions do not move anybody, what this node found itself does.
     fn stands(&self, who: usize) -> bool {
-        self.members.get(who).is_some_and(|m| m.life.status.present() && !m.accused)
+        self.members.get(who).is_some_and(|m| m.state.status.is_present() && !m.accused)
     }
 
     /// Its news is not to be pressed on others: it comes and goes all the time.
-    pub fn flaps(&self, who: Node) -> bool {
+    pub fn flaps(&self, who: NodeId) -> bool {
         self.member(who).is_some_and(|m| m.flaps > FLAPS)
     }
 
@@ -239,7 +239,7 @@
     pub fn counts(&self) -> [usize; 4] {
         let mut counts = [0; 4];
         for m in &self.members {
-            if let Some(n) = counts.get_mut(m.life.status as usize) {
+            if let Some(n) = counts.get_mut(m.state.status as usize) {
                 *n += 1;
             }
         }
@@ -249,9 +249,9 @@
     /// Members that still have their part of what is shared out: who is there; who was never heard, and may be of a
     /// build that does not speak; and who fell silent less than `hold` ago, and may serve on its side of a cut.
     pub fn parties(&self, now: Ms, hold: Ms) -> usize {
-        let has = |m: &&Member| match m.life.status {
+        let has = |m: &&Member| match m.state.status {
             Status::Alive | Status::Suspect => true,
-            Status::Gone => m.life.incarnation == 0 || now.saturating_sub(m.since) < hold,
+            Status::Dead => m.state.incarnation == 0 || now.saturating_sub(m.since) < hold,
             Status::Left => false,
         };
         self.members.iter().filter(has).count()
@@ -259,7 +259,7 @@
 
     /// Whom this node reports to: the nearest ancestor that stands, in a heap over the members' numbers; where
     /// there is none, the lowest member that does. None at the root.
-    pub fn parent(&self, who: Node) -> Option<Node> {
+    pub fn parent(&self, who: NodeId) -> Option<NodeId> {
         let mut at = usize::from(who);
         while at > 0 {
             at = (at - 1) / self.fan;
@@ -272,46 +272,46 @@
     }
 
     /// Who reports to this node.
-    pub fn children(&self) -> Vec<Node> {
+    pub fn children(&self) -> Vec<NodeId> {
         let all = 0..u16::try_from(self.members.len()).unwrap_or(u16::MAX);
-        all.filter(|n| *n != self.own && self.present(*n) && self.parent(*n) == Some(self.own)).collect()
+        all.filter(|n| *n != self.own && self.is_present(*n) && self.parent(*n) == Some(self.own)).collect()
     }
 
     /// Statuses of `count` members from `first` on: 0 there, 1 gone, 2 left.
-    pub fn classes(&self, first: Node, count: usize) -> Vec<u8> {
-        let class = |m: &Member| match m.life.status {
+    pub fn classes(&self, first: NodeId, count: usize) -> Vec<u8> {
+        let class = |m: &Member| match m.state.status {
             Status::Alive | Status::Suspect => 0,
-            Status::Gone => 1,
+            Status::Dead => 1,
             Status::Left => 2,
         };
         self.members.iter().skip(usize::from(first)).take(count).map(class).collect()
     }
 
-    fn set(&mut self, now: Ms, who: Node, life: Life, spread: u64) {
+    fn set(&mut self, now: Ms, who: NodeId, state: MemberState, spread: u64) {
         let Some(m) = self.members.get_mut(usize::from(who)) else { return };
-        if m.life.status != life.status {
+        if m.state.status != state.status {
             m.since = now;
             m.until = now + REFUTE_MS * u64::from(2 + self.late) / 2 + spread % REFUTE_SPREAD_MS;
             m.flaps += 1;
             m.flapped = now;
             self.version += 1;
-            if m.accused && life.status == ALIVE {
+            if m.accused && state.status == ALIVE {
                 // Falsely: perhaps this node hears less than others do.
                 self.late = (self.late + 1).min(LATE_MOST);
                 self.forgiven = now;
             }
             m.accused = false;
         }
-        m.life = life;
+        m.state = state;
     }
 
     /// A member spoke, and said so of itself.
-    pub fn heard(&mut self, now: Ms, from: Node, life: Life, out: &mut Vec<Output>) {
-        if from == self.own || life.incarnation == 0 || life.incarnation >= LAST_INCARNATION {
+    pub fn heard(&mut self, now: Ms, from: NodeId, state: MemberState, out: &mut Vec<Output>) {
+        if from == self.own || state.incarnation == 0 || state.incarnation >= LAST_INCARNATION {
             return;
         }
         let Some(m) = self.members.get_mut(usize::from(from)) else { return };
-        let (known, said) = (m.life, life);
+        let (known, said) = (m.state, state);
         if said.incarnation < known.incarnation {
             // It started again with lower numbers, or this is an old datagram: it bumps, or it does not matter.
             out.push(Output::Remind(from));
@@ -335,34 +335,42 @@
     }
 
     /// Somebody told of a member. True: it was news here. `draw` is any number.
-    pub fn told(&mut self, now: Ms, who: Node, life: Life, draw: u64, out: &mut Vec<Output>) -> bool {
-        if life.incarnation >= LAST_INCARNATION {
+    pub fn told(
+        &mut self,
+        now: Ms,
+        who: NodeId,
+        state: MemberState,
+        draw: u64,
+        out: &mut Vec<Output>,
+    ) -> bool {
+        if state.incarnation >= LAST_INCARNATION {
             return false;
         }
         if who == self.own {
-            self.refute(now, life, out);
+            self.refute(now, state, out);
             return false;
         }
-        let Some(known) = self.life(who) else { return false };
+        let Some(known) = self.state(who) else { return false };
         let first = known.incarnation == 0;
-        let near = life.incarnation <= known.incarnation.saturating_add(INCARNATION_STEP)
-            && (life.incarnation > known.incarnation || life.beat <= known.beat.saturating_add(BEAT_STEP));
+        let near = state.incarnation <= known.incarnation.saturating_add(INCARNATION_STEP)
+            && (state.incarnation > known.incarnation
+                || state.heartbeat <= known.heartbeat.saturating_add(BEAT_STEP));
         if !first && !near {
             return false;
         }
-        if life > known {
-            self.set(now, who, life, draw);
-            if life.status == ALIVE {
+        if state > known {
+            self.set(now, who, state, draw);
+            if state.status == ALIVE {
                 self.checks.remove(&who);
             }
-            let anew = known.incarnation != life.incarnation && known.incarnation > 0;
-            let news = known.status != life.status || anew;
+            let anew = known.incarnation != state.incarnation && known.incarnation > 0;
+            let news = known.status != state.status || anew;
             if news {
                 out.push(Output::Spread(who));
             }
             return news;
         }
-        if known.status == ALIVE && life.status != ALIVE && life.status != Status::Left && life < known {
+        if known.status == ALIVE && state.status != ALIVE && state.status != Status::Left && state < known {
             // It was heard since: the suspicion is out of date.
             out.push(Output::Spread(who));
         }
@@ -370,25 +378,27 @@
     }
 
     /// Somebody says that this node is not there.
-    fn refute(&mut self, now: Ms, said: Life, out: &mut Vec<Output>) {
-        let own = self.own_life(now);
+    fn refute(&mut self, now: Ms, said: MemberState, out: &mut Vec<Output>) {
+        let own = self.local_state(now);
         if said <= own && said.status == ALIVE {
             return;
         }
-        if (said.incarnation, said.beat) < (own.incarnation, own.beat) && said.status != Status::Left {
+        if (said.incarnation, said.heartbeat) < (own.incarnation, own.heartbeat)
+            && said.status != Status::Left
+        {
             out.push(Output::Spread(self.own));
             return;
         }
         let number = usize::from(self.own);
         if let Some(me) = self.members.get_mut(number) {
-            let ahead = (said.incarnation, said.beat) > (me.life.incarnation, me.life.beat);
+            let ahead = (said.incarnation, said.heartbeat) > (me.state.incarnation, me.state.heartbeat);
             if ahead || said.status == Status::Left {
                 // It is of an earlier start that had greater numbers.
-                let above = said.incarnation.max(me.life.incarnation).saturating_add(1);
-                me.life.incarnation = above.min(LAST_INCARNATION - 1);
+                let above = said.incarnation.max(me.state.incarnation).saturating_add(1);
+                me.state.incarnation = above.min(LAST_INCARNATION - 1);
             } else {
                 self.raised = self.raised.saturating_add(1);
-                me.life.beat = me.life.beat.saturating_add(1);
+                me.state.heartbeat = me.state.heartbeat.saturating_add(1);
             }
         }
         if said.status == Status::Suspect {
@@ -400,38 +410,38 @@
 
     /// This node ends: what it says from here on.
     pub fn leave(&mut self, now: Ms, out: &mut Vec<Output>) {
-        self.own_life(now);
+        self.local_state(now);
         if let Some(me) = self.members.get_mut(usize::from(self.own)) {
-            me.life.status = Status::Left;
+            me.state.status = Status::Left;
         }
         out.push(Output::Spread(self.own));
     }
 
     /// A question or an answer came. The sender was [`heard`](Members::heard) before.
-    pub fn asked(&mut self, now: Ms, from: Node, message: Message, out: &mut Vec<Output>) {
+    pub fn asked(&mut self, now: Ms, from: NodeId, message: Message, out: &mut Vec<Output>) {
         match message {
             Message::Ping(wanted_by) => {
-                let (about, life) = (self.own, self.own_life(now));
-                out.push(Output::Send(from, Message::Ack { about, life, wanted_by }));
+                let (about, state) = (self.own, self.local_state(now));
+                out.push(Output::Send(from, Message::Ack { about, state, wanted_by }));
             }
             Message::PingFor(target) if target != self.own && target != from => {
                 out.push(Output::Send(target, Message::Ping(from)));
             }
             Message::PingFor(_) => {}
-            Message::Ack { about, life, wanted_by } if wanted_by == self.own => {
+            Message::Ack { about, state, wanted_by } if wanted_by == self.own => {
                 if about != from {
                     // By way of another: that one is believed only as far as the numbers go.
-                    self.told(now, about, life, 0, out);
+                    self.told(now, about, state, 0, out);
                     if let Some(m) = self.members.get_mut(usize::from(about))
-                        && m.life == life
+                        && m.state == state
                     {
                         m.heard = now;
                         self.checks.remove(&about);
                     }
                 }
             }
-            Message::Ack { about, life, wanted_by } if about == from && wanted_by != from => {
-                out.push(Output::Send(wanted_by, Message::Ack { about, life, wanted_by }));
+            Message::Ack { about, state, wanted_by } if about == from && wanted_by != from => {
+                out.push(Output::Send(wanted_by, Message::Ack { about, state, wanted_by }));
             }
             Message::Ack { .. } => {}
         }
@@ -442,12 +452,12 @@
     pub fn tick(
         &mut self,
         now: Ms,
-        watched: &[Node],
+        watched: &[NodeId],
         silent: Ms,
         draw: &mut dyn FnMut() -> u64,
         out: &mut Vec<Output>,
     ) {
-        self.own_life(now);
+        self.local_state(now);
         let stall = now.saturating_sub(self.ticked);
         self.ticked = now;
         if stall > STALL_MS {
@@ -473,21 +483,21 @@
         self.carry_on(now, draw, out);
         for who in 0..u16::try_from(self.members.len()).unwrap_or(u16::MAX) {
             let Some(m) = self.member(who) else { break };
-            if m.life.status == Status::Suspect && now >= m.until {
-                let life = Life { status: Status::Gone, ..m.life };
-                self.set(now, who, life, 0);
+            if m.state.status == Status::Suspect && now >= m.until {
+                let state = MemberState { status: Status::Dead, ..m.state };
+                self.set(now, who, state, 0);
                 out.push(Output::Spread(who));
             }
         }
         self.seek(now, draw, out);
     }
 
-    fn watch(&mut self, now: Ms, watched: &[Node], silent: Ms, out: &mut Vec<Output>) {
+    fn watch(&mut self, now: Ms, watched: &[NodeId], silent: Ms, out: &mut Vec<Output>) {
         let slower = Ms::from(1 + self.late);
         self.checks.retain(|who, _| watched.contains(who));
         for &who in watched {
             let quiet = self.member(who).is_some_and(|m| {
-                m.life.status == ALIVE && now.saturating_sub(m.heard) > silent * (1 + slower) / 2
+                m.state.status == ALIVE && now.saturating_sub(m.heard) > silent * (1 + slower) / 2
             });
             if quiet && !self.checks.contains_key(&who) {
                 self.checks.insert(who, Check { due: now + ANSWER_MS * slower, asked: 1 });
@@ -497,9 +507,9 @@
     }
 
     /// Someone new to watch is asked at once: nobody knows when it last spoke.
-    pub fn meet(&mut self, now: Ms, who: Node, out: &mut Vec<Output>) {
+    pub fn meet(&mut self, now: Ms, who: NodeId, out: &mut Vec<Output>) {
         let slower = Ms::from(1 + self.late);
-        if let Some(m) = self.members.get_mut(usize::from(who)).filter(|m| m.life.status == ALIVE) {
+        if let Some(m) = self.members.get_mut(usize::from(who)).filter(|m| m.state.status == ALIVE) {
             m.heard = m.heard.max(now.saturating_sub(1));
             let due = now + ANSWER_MS * slower;
             self.checks.entry(who).or_insert(Check { due, asked: 1 });
@@ -509,7 +519,7 @@
 
     fn carry_on(&mut self, now: Ms, draw: &mut dyn FnMut() -> u64, out: &mut Vec<Output>) {
         let slower = Ms::from(1 + self.late);
-        let due: Vec<Node> =
+        let due: Vec<NodeId> =
             self.checks.iter().filter(|(_, c)| now >= c.due).map(|(who, _)| *who).collect();
         for who in due {
             let Some(check) = self.checks.get_mut(&who) else { continue };
@@ -524,8 +534,8 @@
                 continue;
             }
             self.checks.remove(&who);
-            let Some(life) = self.life(who).filter(|l| l.status == ALIVE) else { continue };
-            self.set(now, who, Life { status: Status::Suspect, ..life }, draw());
+            let Some(state) = self.state(who).filter(|l| l.status == ALIVE) else { continue };
+            self.set(now, who, MemberState { status: Status::Suspect, ..state }, draw());
             if let Some(m) = self.members.get_mut(usize::from(who)) {
                 m.accused = true;
             }
@@ -535,9 +545,9 @@
     }
 
     /// A few others that are alive, by lot.
-    fn others(&self, but: Node, draw: &mut dyn FnMut() -> u64) -> Vec<Node> {
-        let fit = |n: &Node| *n != self.own && *n != but && self.alive(usize::from(*n));
-        let mut all: Vec<Node> =
+    fn others(&self, but: NodeId, draw: &mut dyn FnMut() -> u64) -> Vec<NodeId> {
+        let fit = |n: &NodeId| *n != self.own && *n != but && self.alive(usize::from(*n));
+        let mut all: Vec<NodeId> =
             (0..u16::try_from(self.members.len()).unwrap_or(u16::MAX)).filter(fit).collect();
         let mut chosen = Vec::new();
         while chosen.len() < HELPERS && !all.is_empty() {
@@ -561,8 +571,8 @@
             return;
         }
         let all = 0..u16::try_from(self.members.len()).unwrap_or(u16::MAX);
-        let gone: Vec<Node> =
-            all.filter(|n| self.member(*n).is_some_and(|m| m.life.status == Status::Gone)).collect();
+        let gone: Vec<NodeId> =
+            all.filter(|n| self.member(*n).is_some_and(|m| m.state.status == Status::Dead)).collect();
         // Every other time the lowest: the tree grows together from there.
         let n = if draw() & 1 << 20 == 0 { 0 } else { draw() % gone.len().max(1) as u64 };
         if let Some(who) = gone.get(usize::try_from(n).unwrap_or(0)) {
@@ -575,21 +585,21 @@
 mod tests {
     use super::*;
 
-    fn life(incarnation: u32, beat: u32, status: Status) -> Life {
-        Life { incarnation, beat, status }
+    fn state(incarnation: u32, heartbeat: u32, status: Status) -> MemberState {
+        MemberState { incarnation, heartbeat, status }
     }
 
-    fn fleet() -> Members {
-        Members::new(0, 0, 5, 7)
+    fn fleet() -> Membership {
+        Membership::new(0, 0, 5, 7)
     }
 
     #[test]
     fn of_two_words_the_newer_holds_in_whatever_order_they_come() {
         let words = [
-            life(3, 8, Status::Alive),
-            life(3, 8, Status::Suspect),
-            life(3, 9, Status::Alive),
-            life(3, 8, Status::Gone),
+            state(3, 8, Status::Alive),
+            state(3, 8, Status::Suspect),
+            state(3, 9, Status::Alive),
+            state(3, 8, Status::Dead),
         ];
         let mut out = Vec::new();
         for order in [[0, 1, 2, 3], [3, 2, 1, 0], [2, 3, 0, 1], [1, 1, 3, 2]] {
@@ -597,7 +607,7 @@
             for n in order {
                 m.told(10, 2, words[n], 0, &mut out);
             }
-            assert_eq!(m.life(2), Some(words[2]), "{order:?}");
+            assert_eq!(m.state(2), Some(words[2]), "{order:?}");
         }
     }
 
@@ -608,11 +618,11 @@
         let mut seen = Vec::new();
         for now in (0..8000).step_by(50) {
             for alive in [2, 3] {
-                m.heard(now, alive, life(1, u32::try_from(now / 250).unwrap(), ALIVE), &mut out);
+                m.heard(now, alive, state(1, u32::try_from(now / 250).unwrap(), ALIVE), &mut out);
             }
             out.clear();
             m.tick(now, &[1, 2], 1000, &mut || 1, &mut out);
-            let status = m.life(1).unwrap().status;
+            let status = m.state(1).unwrap().status;
             seen.extend(out.iter().filter(|o| !matches!(o, Output::Send(4, _))).map(|o| (*o, status)));
         }
         let ping = |n| Output::Send(n, Message::Ping(0));
@@ -620,8 +630,8 @@
         assert_eq!(seen[1], (ping(1), ALIVE));
         assert!(seen[2..].iter().any(|s| s.0 == Output::Send(2, Message::PingFor(1))));
         let spread: Vec<Status> = seen.iter().filter(|s| s.0 == Output::Spread(1)).map(|s| s.1).collect();
-        assert_eq!(spread, [Status::Suspect, Status::Gone]);
-        assert_eq!(m.life(2).unwrap().status, ALIVE);
+        assert_eq!(spread, [Status::Suspect, Status::Dead]);
+        assert_eq!(m.state(2).unwrap().status, ALIVE);
     }
 
     #[test]
@@ -639,30 +649,30 @@
     fn a_suspicion_is_refuted_by_its_subject_and_by_who_has_heard_it_since() {
         let mut m = fleet();
         let mut out = Vec::new();
-        let own = m.own_life(1000);
-        m.told(1000, 0, Life { status: Status::Suspect, ..own }, 0, &mut out);
+        let own = m.local_state(1000);
+        m.told(1000, 0, MemberState { status: Status::Suspect, ..own }, 0, &mut out);
         assert_eq!(out, [Output::Spread(0)]);
-        assert!(m.own_life(1000) > Life { status: Status::Left, ..own });
+        assert!(m.local_state(1000) > MemberState { status: Status::Left, ..own });
         out.clear();
-        m.heard(1000, 3, life(1, 9, ALIVE), &mut out);
+        m.heard(1000, 3, state(1, 9, ALIVE), &mut out);
         out.clear();
-        m.told(1000, 3, life(1, 8, Status::Gone), 0, &mut out);
+        m.told(1000, 3, state(1, 8, Status::Dead), 0, &mut out);
         assert_eq!(out, [Output::Spread(3)]);
-        assert_eq!(m.life(3), Some(life(1, 9, ALIVE)));
+        assert_eq!(m.state(3), Some(state(1, 9, ALIVE)));
     }
 
     #[test]
     fn a_node_that_starts_again_with_lower_numbers_goes_above_those_that_are_known() {
         let mut m = fleet();
         let mut out = Vec::new();
-        m.told(0, 0, life(900, 70, Status::Gone), 0, &mut out);
-        assert!(m.own_life(0) > life(900, 70, Status::Gone));
-        assert_eq!(m.life(0).unwrap().incarnation, 901);
+        m.told(0, 0, state(900, 70, Status::Dead), 0, &mut out);
+        assert!(m.local_state(0) > state(900, 70, Status::Dead));
+        assert_eq!(m.state(0).unwrap().incarnation, 901);
         // And where it speaks before it hears of them, it is told.
-        let mut other = Members::new(0, 1, 5, 1);
-        other.heard(0, 0, life(900, 70, ALIVE), &mut out);
+        let mut other = Membership::new(0, 1, 5, 1);
+        other.heard(0, 0, state(900, 70, ALIVE), &mut out);
         out.clear();
-        other.heard(0, 0, life(7, 1, ALIVE), &mut out);
+        other.heard(0, 0, state(7, 1, ALIVE), &mut out);
         assert_eq!(out, [Output::Remind(0)]);
     }
 
@@ -670,31 +680,31 @@
     fn numbers_from_the_far_future_are_not_believed_of_others() {
         let mut m = fleet();
         let mut out = Vec::new();
-        m.heard(0, 3, life(5, 9, ALIVE), &mut out);
+        m.heard(0, 3, state(5, 9, ALIVE), &mut out);
         out.clear();
         for wild in [
-            life(u32::MAX, 0, Status::Gone),
-            life(5_000_000, 0, Status::Gone),
-            life(5, u32::MAX, Status::Gone),
+            state(u32::MAX, 0, Status::Dead),
+            state(5_000_000, 0, Status::Dead),
+            state(5, u32::MAX, Status::Dead),
         ] {
             assert!(!m.told(0, 3, wild, 0, &mut out));
         }
-        assert_eq!(m.life(3), Some(life(5, 9, ALIVE)));
+        assert_eq!(m.state(3), Some(state(5, 9, ALIVE)));
         assert!(out.is_empty());
     }
 
     #[test]
     fn the_tree_goes_around_who_is_not_there() {
-        let mut m = Members::new(0, 0, 30, 1);
+        let mut m = Membership::new(0, 0, 30, 1);
         let mut out = Vec::new();
         assert_eq!((m.parent(0), m.parent(1), m.parent(7)), (None, Some(0), Some(1)));
-        m.told(0, 1, life(1, 1, Status::Gone), 0, &mut out);
+        m.told(0, 1, state(1, 1, Status::Dead), 0, &mut out);
         assert_eq!(m.parent(7), Some(0), "its grandparent");
         assert!(m.children().contains(&7));
         // Without the root the lowest takes its place, as each of them sees it.
-        let mut m = Members::new(0, 9, 30, 1);
-        m.told(0, 0, life(1, 1, Status::Gone), 0, &mut out);
-        m.told(0, 1, life(1, 1, Status::Gone), 0, &mut out);
+        let mut m = Membership::new(0, 9, 30, 1);
+        m.told(0, 0, state(1, 1, Status::Dead), 0, &mut out);
+        m.told(0, 1, state(1, 1, Status::Dead), 0, &mut out);
         assert_eq!((m.parent(2), m.parent(9), m.parent(3)), (None, Some(2), Some(2)));
     }
 
@@ -702,10 +712,10 @@
     fn who_was_never_heard_or_fell_silent_lately_keeps_its_part() {
         let mut m = fleet();
         let mut out = Vec::new();
-        m.heard(0, 1, life(1, 1, ALIVE), &mut out);
-        m.told(1000, 1, life(1, 1, Status::Gone), 0, &mut out);
-        m.told(1000, 2, life(0, 0, Status::Gone), 0, &mut out);
-        m.told(1000, 3, life(1, 1, Status::Left), 0, &mut out);
+        m.heard(0, 1, state(1, 1, ALIVE), &mut out);
+        m.told(1000, 1, state(1, 1, Status::Dead), 0, &mut out);
+        m.told(1000, 2, state(0, 0, Status::Dead), 0, &mut out);
+        m.told(1000, 3, state(1, 1, Status::Left), 0, &mut out);
         assert_eq!(m.parties(2000, 60_000), 4);
         assert_eq!(m.parties(70_000, 60_000), 3);
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -7,7 +7,7 @@
 pub mod departures;
 pub mod fleet;
 pub mod list_sync;
-pub mod members;
+pub mod membership;
 pub mod packet;
 pub mod share;
 pub mod start_times;
--- a/src/control/packet.rs
+++ b/src/control/packet.rs
@@ -1,7 +1,7 @@
 //! Datagrams between nodes: at most 256 bytes, checksummed, each with its sender's life and a running number. What
 //! is cut, of another version, spoilt or absurd is refused whole.
 
-use super::members::{Life, Message, Ms, Node, Status};
+use super::membership::{MemberState, Message, Ms, NodeId, Status};
 use super::share::{Finding, Place, TENANTS, Totals, Word};
 use bytes::{Buf, BufMut};
 use thiserror::Error;
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     /// Its number.
-    pub from: Node,
+    pub from: NodeId,
     /// What it says of itself.
-    pub life: Life,
+    pub state: MemberState,
     /// Counts its datagrams since its start.
     pub number: u32,
 }
@@ -48,9 +48,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
     /// How a member fares.
-    Member(Node, Life),
+    Member(NodeId, MemberState),
     /// What a node found of a server, and how old that is.
-    Finding(u32, Node, Finding, Ms),
+    Finding(u32, NodeId, Finding, Ms),
     /// Where a key has gone, and how old that is.
     Place(u32, Place, Ms),
     /// An operator's word, and how old it is.
@@ -72,7 +72,7 @@
     /// What all of them counted, from the root.
     Down {
         /// The root, and which of its starts.
-        root: (Node, u32),
+        root: (NodeId, u32),
         /// Counts up there.
         wave: u32,
         /// How far from the root the sender is.
@@ -98,7 +98,7 @@
     /// Statuses of members from `first` on, two bits each.
     Compare {
         /// The first one.
-        first: Node,
+        first: NodeId,
         /// 0 there, 1 gone, 2 left.
         classes: Vec<u8>,
         /// Digest of the words.
@@ -123,10 +123,10 @@
 /// Members that one comparison tells of.
 pub const COMPARED: usize = 800;
 
-fn put_life(out: &mut Vec<u8>, life: &Life) {
-    out.put_u32(life.incarnation);
-    out.put_u32(life.beat);
-    out.put_u8(life.status as u8);
+fn put_life(out: &mut Vec<u8>, state: &MemberState) {
+    out.put_u32(state.incarnation);
+    out.put_u32(state.heartbeat);
+    out.put_u8(state.status as u8);
 }
 
 fn put_totals(out: &mut Vec<u8>, totals: &Totals, digests: [u32; 2]) {
@@ -143,10 +143,10 @@
 impl Item {
     fn put(&self, out: &mut Vec<u8>) {
         match self {
-            Item::Member(who, life) => {
+            Item::Member(who, state) => {
                 out.put_u8(1);
                 out.put_u16(*who);
-                put_life(out, life);
+                put_life(out, state);
             }
             Item::Finding(server, who, f, age) => {
                 out.put_u8(if f.bad { 2 } else { 3 });
@@ -181,10 +181,10 @@
 /// Writes a datagram with as many of the items, in their order, as there is room for; and says how many that were.
 pub fn write(head: &Head, body: &Body, items: &[Item]) -> (Vec<u8>, usize) {
     let mut out = Vec::with_capacity(LONGEST);
-    out.put_slice(&[MAGIC, VERSION, body.kind(), head.life.status as u8]);
+    out.put_slice(&[MAGIC, VERSION, body.kind(), head.state.status as u8]);
     out.put_u16(head.from);
-    out.put_u32(head.life.incarnation);
-    out.put_u32(head.life.beat);
+    out.put_u32(head.state.incarnation);
+    out.put_u32(head.state.heartbeat);
     out.put_u32(head.number);
     out.put_u32(0);
     match body {
@@ -212,11 +212,11 @@
             out.put_u8(2);
             out.put_u16(*target);
         }
-        Body::Check(Message::Ack { about, life, wanted_by }) => {
+        Body::Check(Message::Ack { about, state, wanted_by }) => {
             out.put_u8(3);
             out.put_u16(*about);
             out.put_u16(*wanted_by);
-            put_life(&mut out, life);
+            put_life(&mut out, state);
         }
         Body::Compare { first, classes, words } => {
             let classes = classes.get(..classes.len().min(COMPARED)).unwrap_or_default();
@@ -273,8 +273,8 @@
         Status::ALL.get(usize::from(self.u8()?)).copied()
     }
 
-    fn life(&mut self) -> Option<Life> {
-        Some(Life { incarnation: self.u32()?, beat: self.u32()?, status: self.status()? })
+    fn state(&mut self) -> Option<MemberState> {
+        Some(MemberState { incarnation: self.u32()?, heartbeat: self.u32()?, status: self.status()? })
     }
 
     fn totals(&mut self) -> Option<(Totals, [u32; 2])> {
@@ -294,7 +294,7 @@
 
     fn item(&mut self) -> Option<Item> {
         Some(match self.u8()? {
-            1 => Item::Member(self.u16()?, self.life()?),
+            1 => Item::Member(self.u16()?, self.state()?),
             kind @ (2 | 3) => {
                 let (server, who) = (self.u32()?, self.u16()?);
                 let finding = Finding {
@@ -343,7 +343,7 @@
                 2 => Message::PingFor(self.u16()?),
                 3 => {
                     let (about, wanted_by) = (self.u16()?, self.u16()?);
-                    Message::Ack { about, life: self.life()?, wanted_by }
+                    Message::Ack { about, state: self.state()?, wanted_by }
                 }
                 _ => return None,
             }),
@@ -379,8 +379,8 @@
     let whole = |reader: &mut Reader| {
         let status = reader.status()?;
         let from = reader.u16()?;
-        let life = Life { incarnation: reader.u32()?, beat: reader.u32()?, status };
-        let head = Head { from, life, number: reader.u32()? };
+        let state = MemberState { incarnation: reader.u32()?, heartbeat: reader.u32()?, status };
+        let head = Head { from, state, number: reader.u32()? };
         reader.u32()?;
         let body = reader.body(kind)?;
         let mut items = Vec::new();
@@ -398,7 +398,11 @@
     use proptest::prelude::*;
 
     fn head() -> Head {
-        Head { from: 7, life: Life { incarnation: 3, beat: 900, status: Status::Alive }, number: 12 }
+        Head {
+            from: 7,
+            state: MemberState { incarnation: 3, heartbeat: 900, status: Status::Alive },
+            number: 12,
+        }
     }
 
     fn totals() -> Totals {
@@ -406,7 +410,7 @@
     }
 
     fn bodies() -> Vec<Body> {
-        let life = head().life;
+        let state = head().state;
         let mut all = vec![
             Body::Up { wave: 9, totals: totals(), digests: [1, 2] },
             Body::Down { root: (0, 5), wave: 9, depth: 2, totals: totals(), digests: [1, 2] },
@@ -415,7 +419,7 @@
             Body::Again { up: true, wave: 8 },
             Body::Check(Message::Ping(3)),
             Body::Check(Message::PingFor(4)),
-            Body::Check(Message::Ack { about: 3, life, wanted_by: 9 }),
+            Body::Check(Message::Ack { about: 3, state, wanted_by: 9 }),
         ];
         all.extend([0, 1, 3, 4, 5, 800].map(|n| {
             let classes = (0..n).map(|i| (i % 3) as u8).collect();
@@ -427,7 +431,7 @@
     fn items() -> Vec<Item> {
         let finding = Finding { incarnation: 4, number: 65_535, start: 9, bad: true };
         vec![
-            Item::Member(8, Life { incarnation: 1, beat: 2, status: Status::Gone }),
+            Item::Member(8, MemberState { incarnation: 1, heartbeat: 2, status: Status::Dead }),
             Item::Finding(77, 8, finding, 1234),
             Item::Place(5, Place { number: 1, who: 2, server: 3 }, 40),
             Item::Word("s-1".to_owned(), Word { number: 1, who: 2, out: false, for_s: 9 }, 60_000),
--- a/src/control/share.rs
+++ b/src/control/share.rs
@@ -3,7 +3,7 @@
 //! bounded in number and in age. Ages are sums of times that each holder measured itself: no clock of another node is
 //! believed.
 
-use super::members::{Ms, Node};
+use super::membership::{Ms, NodeId};
 use std::collections::BTreeMap;
 
 /// Tenants that are told of: those that use most, the first to be dropped those that use least.
@@ -78,7 +78,7 @@
     /// Counts up over all nodes: the greater is the later.
     pub number: u32,
     /// Who found it; breaks ties.
-    pub who: Node,
+    pub who: NodeId,
     /// The server.
     pub server: u32,
 }
@@ -89,7 +89,7 @@
     /// Counts up over all nodes: the greater is the later.
     pub number: u32,
     /// Who was told; breaks ties.
-    pub who: Node,
+    pub who: NodeId,
     /// It is out.
     pub out: bool,
     /// For so many seconds from when it was said; 0 until it is taken back.
@@ -151,7 +151,7 @@
 /// All that a node holds of it.
 #[derive(Clone, Debug)]
 pub struct Shared {
-    findings: Greatest<(u32, Node), Finding>,
+    findings: Greatest<(u32, NodeId), Finding>,
     places: Greatest<u32, Place>,
     words: Greatest<String, Word>,
     last: u32,
@@ -185,33 +185,33 @@
     }
 
     /// Takes in a finding. True: it is news.
-    pub fn finding(&mut self, server: u32, who: Node, finding: Finding, made: Ms) -> bool {
+    pub fn finding(&mut self, server: u32, who: NodeId, finding: Finding, made: Ms) -> bool {
         let news = self.findings.join(&(server, who), finding, made);
         self.findings.bound(|v| (true, v.made));
         news
     }
 
     /// What a node last found of a server.
-    pub fn found(&self, server: u32, who: Node) -> Option<Aged<Finding>> {
+    pub fn found(&self, server: u32, who: NodeId) -> Option<Aged<Finding>> {
         self.findings.all.get(&(server, who)).copied()
     }
 
     /// How many nodes' findings against this start of a server are younger than `age`.
     pub fn against(&self, now: Ms, server: u32, start: u32, age: Ms) -> usize {
-        let of = self.findings.all.range((server, 0)..=(server, Node::MAX));
+        let of = self.findings.all.range((server, 0)..=(server, NodeId::MAX));
         of.filter(|(_, v)| v.value.bad && v.value.start == start && now.saturating_sub(v.made) <= age)
             .count()
     }
 
     /// The same of any start, without one node's own.
-    pub fn against_by_others(&self, now: Ms, server: u32, own: Node, age: Ms) -> usize {
-        let of = self.findings.all.range((server, 0)..=(server, Node::MAX));
+    pub fn against_by_others(&self, now: Ms, server: u32, own: NodeId, age: Ms) -> usize {
+        let of = self.findings.all.range((server, 0)..=(server, NodeId::MAX));
         let fresh = |made: Ms| now.saturating_sub(made) <= age;
         of.filter(|((_, who), v)| *who != own && v.value.bad && fresh(v.made)).count()
     }
 
     /// This node puts a key there.
-    pub fn put(&mut self, now: Ms, who: Node, key: u32, server: u32) -> Option<Place> {
+    pub fn put(&mut self, now: Ms, who: NodeId, key: u32, server: u32) -> Option<Place> {
         if self.places.all.get(&key).is_some_and(|p| p.value.server == server && now - p.made < 1000) {
             return None;
         }
@@ -232,7 +232,7 @@
     }
 
     /// This node was told that a server is out, or back.
-    pub fn say(&mut self, now: Ms, who: Node, server: &str, out: bool, for_s: u32) -> Word {
+    pub fn say(&mut self, now: Ms, who: NodeId, server: &str, out: bool, for_s: u32) -> Word {
         let word = Word { number: self.next(), who, out, for_s };
         self.word(server, word, now);
         word
@@ -296,7 +296,7 @@
 
     #[derive(Clone, Debug)]
     enum Fact {
-        Finding(u32, Node, Finding),
+        Finding(u32, NodeId, Finding),
         Place(u32, Place),
         Word(String, Word),
     }
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -7,7 +7,7 @@
 use crate::rules::Current;
 use crate::zoning::{PREFIX, Zoning};
 use daleturn::control::fleet::{Action, Bounds, Event, Fleet};
-use daleturn::control::members::{Ms, Node, Status};
+use daleturn::control::membership::{Ms, NodeId, Status};
 use daleturn::control::packet::LONGEST_NAME;
 use daleturn::interface::{Observation, SharedUpdate};
 use daleturn::options::Share;
@@ -92,7 +92,7 @@
         seed: u64,
     ) -> Option<Rc<Sharing>> {
         let settings = rules.get().settings.clone();
-        let own = Node::try_from(settings.slot).ok()?;
+        let own = NodeId::try_from(settings.slot).ok()?;
         let count = u16::try_from(peers.nodes()).ok()?;
         if own >= count || !settings.peer_messages {
             say!(ERROR, "share", own, count, allowed = settings.peer_messages, "share.unusable");
@@ -178,7 +178,7 @@
     }
 
     fn heard(&self, from: u32, bytes: Vec<u8>) {
-        match Node::try_from(from) {
+        match NodeId::try_from(from) {
             Ok(from) if Sharing::is_own(&bytes) => self.act(Event::Heard(from, &bytes)),
             _ => self.driver.message(from, bytes),
         }
@@ -245,7 +245,7 @@
     pub fn against(&self, zone: &str) -> usize {
         let fleet = self.fleet.borrow();
         let age = Ms::from(self.verdicts_ms.get());
-        fleet.shared().against_by_others(self.now(), short(zone), fleet.members().own(), age)
+        fleet.shared().against_by_others(self.now(), short(zone), fleet.members().local_id(), age)
     }
 
     /// This node holds a zone for lost, or not any more.
@@ -315,16 +315,16 @@
         let fleet = self.fleet.borrow();
         let (members, counts, uses) = (fleet.members(), fleet.counts(), self.uses.borrow());
         let [alive, suspected, gone, left] = members.counts();
-        let named = |wanted: Status| -> Vec<Node> {
+        let named = |wanted: Status| -> Vec<NodeId> {
             let all = 0..u16::try_from(members.count()).unwrap_or(u16::MAX);
-            all.filter(|n| members.life(*n).is_some_and(|l| l.status == wanted)).take(32).collect()
+            all.filter(|n| members.state(*n).is_some_and(|l| l.status == wanted)).take(32).collect()
         };
         let total = fleet.totals(self.now()).map(|(t, age)| json!({"counted": t.counted, "age_ms": age}));
         let [findings, places, words] = fleet.shared().counts();
         json!({
             "members": {"alive": alive, "suspected": suspected, "gone": gone, "left": left,
-                        "who_suspected": named(Status::Suspect), "who_gone": named(Status::Gone)},
-            "own": members.own(), "reports_to": fleet.parent(), "lateness": members.lateness(),
+                        "who_suspected": named(Status::Suspect), "who_gone": named(Status::Dead)},
+            "own": members.local_id(), "reports_to": fleet.parent(), "lateness": members.lateness(),
             "total": total, "held": {"verdicts": findings, "places": places, "words": words},
             "ages_ms": {"limits": uses.limits.json(), "verdicts": uses.verdicts.json(),
                         "affinity": uses.affinity.json()},
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! fleet, how old what they share is, and what it costs.
 
 use daleturn::control::fleet::{Action, Bounds, Event, Fleet, PERIOD_MS};
-use daleturn::control::members::{Ms, Node, Status};
+use daleturn::control::membership::{Ms, NodeId, Status};
 use proptest::prelude::*;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
@@ -10,7 +10,7 @@
 const BOUNDS: Bounds = Bounds { limits_ms: 7500, verdicts_ms: 3000, affinity_ms: 5000 };
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Due(std::cmp::Reverse<(Ms, u64)>, usize, Option<(Node, Vec<u8>)>);
+struct Due(std::cmp::Reverse<(Ms, u64)>, usize, Option<(NodeId, Vec<u8>)>);
 
 /// What the network does to a datagram.
 #[derive(Clone, Copy)]
@@ -35,7 +35,7 @@
     sent: u64,
     received: u64,
     /// What each node was told of servers: when, which, by whom, bad.
-    verdicts: Vec<HashMap<(u32, Node, bool), Ms>>,
+    verdicts: Vec<HashMap<(u32, NodeId, bool), Ms>>,
     words: Vec<HashMap<String, bool>>,
     /// What node 6 said to node 1.
     overheard: Vec<Vec<u8>>,
@@ -68,14 +68,14 @@
     }
 
     fn start(&mut self, n: usize) {
-        let (own, count) = (n as Node, self.nodes.len().max(self.incarnations.len()) as u16);
+        let (own, count) = (n as NodeId, self.nodes.len().max(self.incarnations.len()) as u16);
         let seed = self.rng.u64(..);
         let fleet = Fleet::new(self.now, own, count, self.incarnations[n], BOUNDS, seed);
         self.incarnations[n] += 1;
         self.nodes[n] = Some(fleet);
     }
 
-    fn push(&mut self, at: Ms, n: usize, what: Option<(Node, Vec<u8>)>) {
+    fn push(&mut self, at: Ms, n: usize, what: Option<(NodeId, Vec<u8>)>) {
         self.order += 1;
         self.queue.push(Due(std::cmp::Reverse((at, self.order)), n, what));
     }
@@ -97,7 +97,7 @@
                     }
                     for _ in 0..if self.rng.f64() < self.net.double { 2 } else { 1 } {
                         let at = self.now + self.rng.u64(self.net.delay.0..=self.net.delay.1);
-                        self.push(at, to, Some((n as Node, bytes.clone())));
+                        self.push(at, to, Some((n as NodeId, bytes.clone())));
                     }
                 }
                 Action::Verdict { server, who, bad, .. } => {
@@ -138,7 +138,7 @@
     }
 
     fn status(&self, of: usize, at: usize) -> Status {
-        self.nodes[at].as_ref().unwrap().members().life(of as Node).unwrap().status
+        self.nodes[at].as_ref().unwrap().members().state(of as NodeId).unwrap().status
     }
 
     fn agree(&self) -> bool {
@@ -153,7 +153,7 @@
         let there = |n: usize| self.nodes[n].is_some();
         (0..self.nodes.len())
             .filter(|at| there(*at))
-            .all(|at| (0..self.nodes.len()).all(|of| self.status(of, at).present() == there(of)))
+            .all(|at| (0..self.nodes.len()).all(|of| self.status(of, at).is_present() == there(of)))
     }
 }
 
@@ -201,7 +201,7 @@
     let mut ages = Vec::new();
     for (server, who, at) in made {
         for n in (0..world.nodes.len()).filter(|n| *n != who) {
-            let heard = world.verdicts[n].get(&(server, who as Node, true));
+            let heard = world.verdicts[n].get(&(server, who as NodeId, true));
             ages.push(heard.map_or(99_999, |heard| heard - at));
         }
     }
@@ -241,7 +241,7 @@
         (0..count).for_each(|n| world.side[n] = u8::from(n % 4 >= 2));
         let cut = world.now;
         while !(0..count).all(|at| {
-            (0..count).all(|of| world.status(of, at).present() == (world.side[of] == world.side[at]))
+            (0..count).all(|of| world.status(of, at).is_present() == (world.side[of] == world.side[at]))
         }) {
             world.quiet(100);
             assert!(world.now < cut + 15_000, "{count}: the other side is still taken to be there");
--- a/tests/members_model.rs
+++ b/tests/members_model.rs
@@ -1,7 +1,7 @@
 //! The membership machine under a model checker: every way to lose a few messages, to cut a node off and to end one,
 //! among three nodes.
 
-use daleturn::control::members::{Life, Members, Message, Ms, Node, Output, Status};
+use daleturn::control::membership::{MemberState, Membership, Message, Ms, NodeId, Output, Status};
 use stateright::{Checker, Model, Property};
 
 /// Time of one step: what was sent in one arrives in the next.
@@ -14,24 +14,24 @@
     Check(Message),
     /// What a neighbour says anyway: that it is there.
     Hello,
-    News(Node, Life),
+    News(NodeId, MemberState),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Letter {
-    from: Node,
-    to: Node,
-    life: Life,
+    from: NodeId,
+    to: NodeId,
+    life: MemberState,
     what: What,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     step: u16,
-    nodes: Vec<Option<Members>>,
+    nodes: Vec<Option<Membership>>,
     letters: Vec<Letter>,
     lost: u8,
-    ended: Option<(Node, u16)>,
+    ended: Option<(NodeId, u16)>,
     /// Somebody was declared gone without having been suspected for the time that it has to refute that.
     unfair: bool,
     /// An incarnation went back.
@@ -43,7 +43,7 @@
     /// All letters arrive but this one.
     Lose(Option<usize>),
     /// This node's process ends, and all letters arrive.
-    End(Node),
+    End(NodeId),
 }
 
 struct World {
@@ -53,20 +53,20 @@
 }
 
 impl State {
-    fn others(&self, n: Node) -> Vec<Node> {
+    fn others(&self, n: NodeId) -> Vec<NodeId> {
         (0..COUNT).filter(|o| *o != n).collect()
     }
 
-    fn take(&mut self, now: Ms, n: Node, outputs: Vec<Output>) {
+    fn take(&mut self, now: Ms, n: NodeId, outputs: Vec<Output>) {
         let others = self.others(n);
         let Some(Some(node)) = self.nodes.get_mut(usize::from(n)) else { return };
-        let life = node.own_life(now);
+        let life = node.local_state(now);
         for output in outputs {
-            let (to, what): (Vec<Node>, What) = match output {
+            let (to, what): (Vec<NodeId>, What) = match output {
                 Output::Send(to, message) => (vec![to], What::Check(message)),
                 Output::Spread(who) | Output::Remind(who) => {
                     let to = if matches!(output, Output::Remind(_)) { vec![who] } else { others.clone() };
-                    (to, What::News(who, node.life(who).unwrap()))
+                    (to, What::News(who, node.state(who).unwrap()))
                 }
             };
             for to in to {
@@ -78,8 +78,8 @@
         }
     }
 
-    fn statuses(&self) -> Vec<Vec<Option<Life>>> {
-        let of = |m: &Members| (0..COUNT).map(|n| m.life(n)).collect();
+    fn statuses(&self) -> Vec<Vec<Option<MemberState>>> {
+        let of = |m: &Membership| (0..COUNT).map(|n| m.state(n)).collect();
         self.nodes.iter().map(|n| n.as_ref().map_or_else(Vec::new, of)).collect()
     }
 
@@ -109,15 +109,15 @@
             let others = self.others(n);
             let step = self.step;
             let Some(Some(node)) = self.nodes.get_mut(usize::from(n)) else { continue };
-            let held: Vec<Option<Status>> = (0..COUNT).map(|o| node.life(o).map(|l| l.status)).collect();
+            let held: Vec<Option<Status>> = (0..COUNT).map(|o| node.state(o).map(|l| l.status)).collect();
             let mut out = Vec::new();
             node.tick(now, &others, SILENT_MS, &mut || 0, &mut out);
             // By its own clock alone a node declares nobody gone that it did not hold for suspect before.
-            let gone = |o: Node| node.life(o).is_some_and(|l| l.status == Status::Gone);
+            let gone = |o: NodeId| node.state(o).is_some_and(|l| l.status == Status::Dead);
             self.unfair |= (0..COUNT).any(|o| gone(o) && held[usize::from(o)] == Some(Status::Alive));
             self.take(now, n, out);
             if step.is_multiple_of(2) {
-                let life = self.nodes[usize::from(n)].as_mut().unwrap().own_life(now);
+                let life = self.nodes[usize::from(n)].as_mut().unwrap().local_state(now);
                 for to in self.others(n) {
                     self.letters.push(Letter { from: n, to, life, what: What::Hello });
                 }
@@ -137,7 +137,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let nodes = (0..COUNT).map(|n| Some(Members::new(0, n, COUNT, 1))).collect();
+        let nodes = (0..COUNT).map(|n| Some(Membership::new(0, n, COUNT, 1))).collect();
         let (letters, lost, ended) = (Vec::new(), 0, None);
         vec![State { step: 0, nodes, letters, lost, ended, unfair: false, back: false }]
     }
@@ -177,21 +177,21 @@
             Property::always("no incarnation and no word goes back", |_, s: &State| !s.back),
             Property::always("who lives and can be reached is not gone for long", |_, s: &State| {
                 // With few losses every suspicion is refuted in time: nobody alive is ever gone.
-                let alive = |n: Node| s.nodes[usize::from(n)].is_some();
+                let alive = |n: NodeId| s.nodes[usize::from(n)].is_some();
                 s.nodes.iter().flatten().all(|m| {
                     (0..COUNT)
                         .filter(|n| alive(*n))
-                        .all(|n| m.life(n).is_some_and(|l| l.status != Status::Gone))
+                        .all(|n| m.state(n).is_some_and(|l| l.status != Status::Dead))
                 })
             }),
             Property::always("one that ended is found", |_, s: &State| {
                 let Some((dead, at)) = s.ended else { return true };
                 // Silence, four questions, and the time to refute: 5 s, and as much again for a lost word.
-                s.step < at + 35 || s.nodes.iter().flatten().all(|m| !m.present(dead))
+                s.step < at + 35 || s.nodes.iter().flatten().all(|m| !m.is_present(dead))
             }),
             Property::sometimes("somebody is suspected", |_, s: &State| {
-                let suspect = |m: &Members| {
-                    (0..COUNT).any(|n| m.life(n).is_some_and(|l| l.status == Status::Suspect))
+                let suspect = |m: &Membership| {
+                    (0..COUNT).any(|n| m.state(n).is_some_and(|l| l.status == Status::Suspect))
                 };
                 s.nodes.iter().flatten().any(suspect)
             }),
