--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -11,7 +11,7 @@
 use super::{Measure, MeasureError, Point, Series};
 use daleturn::control::fleet::{Action, Bounds, Event, Fleet};
 use daleturn::control::membership::{Ms, NodeId};
-use daleturn::control::share::TENANTS;
+use daleturn::control::shared_state::MAX_TENANTS;
 use rustix::time::{ClockId, clock_gettime};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -123,7 +123,7 @@
         let (now, count, seed) = (self.now, self.hosts.len(), self.rng.u64(..));
         let Some(host) = self.hosts.get_mut(n) else { return };
         let mut fleet = Fleet::new(now, n as NodeId, count as u16, host.incarnation, BOUNDS, seed);
-        let asked: Vec<(u32, f32)> = (1..=TENANTS as u32).map(|tenant| (tenant, 10.0)).collect();
+        let asked: Vec<(u32, f32)> = (1..=MAX_TENANTS as u32).map(|tenant| (tenant, 10.0)).collect();
         fleet.handle(now, Event::Asked(&asked), &mut Vec::new());
         host.incarnation += 1;
         host.fleet = Some(Box::new(fleet));
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -934,7 +934,7 @@
                         self.push(at, What::Datagram { from: node, to, bytes });
                     }
                 }
-                fleet::Action::Verdict { server, start, who, bad, age } => {
+                fleet::Action::Verdict { server, start, node: who, failing: bad, age } => {
                     let Some(n) = self.shorts.get(&server).copied() else { continue };
                     if start_of(self.machines[n].listed.1) == start {
                         let backend = BackendId(stable_hash(&self.plan.machines[n].name));
@@ -950,13 +950,15 @@
                         );
                     }
                 }
-                fleet::Action::Place { key, server, age } => {
+                fleet::Action::KeyLocation { key, server, age } => {
                     let Some(n) = self.shorts.get(&server).copied() else { continue };
                     let backend = BackendId(stable_hash(&self.plan.machines[n].name));
                     let until_ms = now + affinity - age as f64;
                     self.feed(node, Event::Shared(SharedUpdate::KeyLocation { key, backend, until_ms }));
                 }
-                fleet::Action::Word { about, out, .. } => self.word(node, &about, out),
+                fleet::Action::OperatorOrder { subject: about, cordoned: out, .. } => {
+                    self.word(node, &about, out)
+                }
             }
         }
     }
@@ -994,10 +996,10 @@
         match found {
             Observation::Backend { backend, failing: bad } => {
                 let start = self.ids.get(&backend).map_or(0, |n| start_of(self.machines[*n].listed.1));
-                self.share(node, fleet::Event::Found { server: backend.short(), start, bad });
+                self.share(node, fleet::Event::Verdict { server: backend.short(), start, failing: bad });
             }
             Observation::Key { key, backend } => {
-                self.share(node, fleet::Event::Placed { key, server: backend.short() })
+                self.share(node, fleet::Event::KeyLocation { key, server: backend.short() })
             }
         }
     }
@@ -1044,7 +1046,7 @@
             let age = self.options.share.verdicts_ms.into();
             for (n, name) in names.iter().enumerate() {
                 let against =
-                    fleet.shared().against_by_others(now as u64, short(name), node as NodeId, age);
+                    fleet.shared().failing_verdicts_by_others(now as u64, short(name), node as NodeId, age);
                 zones.set_peer_reports(n as u16, against);
             }
         }
@@ -1059,7 +1061,7 @@
         }
         let weights = (0..names.len() as u16).map(|z| host.parts.get(&z).copied().unwrap_or(1.0)).collect();
         for (server, bad) in told {
-            self.share(node, fleet::Event::Found { server, start: 0, bad });
+            self.share(node, fleet::Event::Verdict { server, start: 0, failing: bad });
         }
         self.feed(node, Event::ZoneWeights(weights));
     }
@@ -1257,7 +1259,7 @@
         };
         self.word(node, &about, out);
         if fleet {
-            self.share(node, fleet::Event::Said { about: &about, out, for_s: 0 });
+            self.share(node, fleet::Event::OperatorOrder { subject: &about, cordoned: out, for_s: 0 });
         }
     }
 
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -8,7 +8,7 @@
 
 use super::membership::{MemberState, Membership, Message, Ms, NodeId, Output, Status};
 use super::packet::{self, Body, COMPARED, Head, Item, LONGEST_NAME, PacketError};
-use super::share::{Finding, Shared, Totals};
+use super::shared_state::{SharedState, TenantTotals, Verdict};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Time between two waves.
@@ -67,27 +67,27 @@
     /// Requests a second that tenants ask of this node, by short hash.
     Asked(&'a [(u32, f32)]),
     /// This node found that a server fails, or serves again; `start` tells its starts apart.
-    Found {
+    Verdict {
         /// The server's short id.
         server: u32,
         /// Which of its starts.
         start: u32,
         /// It fails.
-        bad: bool,
+        failing: bool,
     },
     /// A key went to a server that is none of its candidates.
-    Placed {
+    KeyLocation {
         /// The key's short hash.
         key: u32,
         /// The server's short id.
         server: u32,
     },
     /// An operator's word for the whole fleet.
-    Said {
+    OperatorOrder {
         /// What it is about: a server's uid, or `zone:` and a zone's name.
-        about: &'a str,
+        subject: &'a str,
         /// It is out.
-        out: bool,
+        cordoned: bool,
         /// For so many seconds; 0 until it is taken back.
         for_s: u32,
     },
@@ -107,14 +107,14 @@
         /// Which of its starts.
         start: u32,
         /// Who.
-        who: NodeId,
+        node: NodeId,
         /// It fails, or serves again.
-        bad: bool,
+        failing: bool,
         /// Age in milliseconds.
         age: Ms,
     },
     /// Another node knows where a key is.
-    Place {
+    KeyLocation {
         /// The key's short hash.
         key: u32,
         /// The server's short id.
@@ -123,11 +123,11 @@
         age: Ms,
     },
     /// An operator's word to another node.
-    Word {
+    OperatorOrder {
         /// What it is about.
-        about: String,
+        subject: String,
         /// It is out.
-        out: bool,
+        cordoned: bool,
         /// For so many seconds; 0 until it is taken back.
         for_s: u32,
         /// Age in milliseconds.
@@ -162,10 +162,10 @@
 /// A reference to a piece of news; its content is looked up when it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum News {
-    Word(String),
+    OperatorOrder(String),
     Member(NodeId),
-    Finding(u32, NodeId),
-    Place(u32),
+    Verdict(u32, NodeId),
+    KeyLocation(u32),
 }
 
 #[derive(Clone, Debug)]
@@ -189,7 +189,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Child {
-    totals: Totals,
+    totals: TenantTotals,
     at: Ms,
     asked: usize,
 }
@@ -241,7 +241,7 @@
     bounds: Bounds,
     rng: fastrand::Rng,
     members: Membership,
-    shared: Shared,
+    shared: SharedState,
     /// What tenants ask here.
     own: Vec<(u32, f32)>,
     children: BTreeMap<NodeId, Child>,
@@ -256,7 +256,7 @@
     changed: Ms,
     unlike: u32,
     /// The totals of all, and when they were made.
-    total: Option<(Totals, Ms)>,
+    total: Option<(TenantTotals, Ms)>,
     lines: BTreeMap<NodeId, Line>,
     tokens: f64,
     ticked: Ms,
@@ -280,7 +280,7 @@
             bounds,
             seen: vec![Seen::default(); members.count()],
             members,
-            shared: Shared::default(),
+            shared: SharedState::default(),
             own: Vec::new(),
             children: BTreeMap::new(),
             parent: None,
@@ -318,7 +318,7 @@
     }
 
     /// What is shared.
-    pub fn shared(&self) -> &Shared {
+    pub fn shared(&self) -> &SharedState {
         &self.shared
     }
 
@@ -333,7 +333,7 @@
     }
 
     /// The totals of the fleet and their age, if they are young enough to be used.
-    pub fn totals(&self, now: Ms) -> Option<(&Totals, Ms)> {
+    pub fn totals(&self, now: Ms) -> Option<(&TenantTotals, Ms)> {
         let (totals, made) = self.total.as_ref()?;
         let age = now.saturating_sub(*made);
         (age <= self.bounds.limits_ms && totals.counted > 0).then_some((totals, age))
@@ -360,24 +360,24 @@
                 self.own.sort_by_key(|r| r.0);
                 self.own.dedup_by_key(|r| r.0);
             }
-            Event::Found { server, start, bad } => {
+            Event::Verdict { server, start, failing } => {
                 self.finding = self.finding.wrapping_add(1);
                 let own = self.members.local_state(now).incarnation;
-                let finding = Finding { incarnation: own, number: self.finding, start, bad };
-                let who = self.members.local_id();
-                if self.shared.finding(server, who, finding, now) {
-                    self.spread(now, &News::Finding(server, who), None);
+                let finding = Verdict { incarnation: own, number: self.finding, start, failing };
+                let node = self.members.local_id();
+                if self.shared.finding(server, node, finding, now) {
+                    self.spread(now, &News::Verdict(server, node), None);
                 }
             }
-            Event::Placed { key, server } => {
+            Event::KeyLocation { key, server } => {
                 if self.shared.put(now, self.members.local_id(), key, server).is_some() {
-                    self.spread(now, &News::Place(key), None);
+                    self.spread(now, &News::KeyLocation(key), None);
                 }
             }
-            Event::Said { about, out, for_s } => {
-                if !about.is_empty() && about.len() <= LONGEST_NAME {
-                    self.shared.say(now, self.members.local_id(), about, out, for_s);
-                    self.spread(now, &News::Word(about.to_owned()), None);
+            Event::OperatorOrder { subject, cordoned, for_s } => {
+                if !subject.is_empty() && subject.len() <= LONGEST_NAME {
+                    self.shared.say(now, self.members.local_id(), subject, cordoned, for_s);
+                    self.spread(now, &News::OperatorOrder(subject.to_owned()), None);
                 }
             }
             Event::Leave => {
@@ -456,15 +456,15 @@
                 Output::Send(to, message) => {
                     self.send(now, to, &Body::Check(message), &[], out);
                 }
-                Output::Spread(who) => {
-                    if !self.members.flaps(who) {
-                        self.spread(now, &News::Member(who), but);
+                Output::Spread(node) => {
+                    if !self.members.flaps(node) {
+                        self.spread(now, &News::Member(node), but);
                     }
                 }
-                Output::Remind(who) => {
-                    let known = self.members.state(who);
-                    let items: Vec<Item> = known.map(|l| Item::Member(who, l)).into_iter().collect();
-                    self.send(now, who, &Body::Check(Message::Ping(self.members.local_id())), &items, out);
+                Output::Remind(node) => {
+                    let known = self.members.state(node);
+                    let items: Vec<Item> = known.map(|l| Item::Member(node, l)).into_iter().collect();
+                    self.send(now, node, &Body::Check(Message::Ping(self.members.local_id())), &items, out);
                 }
             }
         }
@@ -490,7 +490,7 @@
     }
 
     fn wait(line: &mut Line, now: Ms, news: News) {
-        if let News::Place(key) = news {
+        if let News::KeyLocation(key) = news {
             line.idle.push_back(key);
             if line.idle.len() > IDLE {
                 line.idle.pop_front();
@@ -509,18 +509,18 @@
     fn item(&self, now: Ms, news: &News) -> Option<Item> {
         let age = |made: Ms| now.saturating_sub(made);
         Some(match news {
-            News::Member(who) => Item::Member(*who, self.members.state(*who)?),
-            News::Finding(server, who) => {
-                let found = self.shared.found(*server, *who)?;
-                Item::Finding(*server, *who, found.value, age(found.made))
+            News::Member(node) => Item::Member(*node, self.members.state(*node)?),
+            News::Verdict(server, node) => {
+                let found = self.shared.found(*server, *node)?;
+                Item::Verdict(*server, *node, found.value, age(found.made))
             }
-            News::Place(key) => {
+            News::KeyLocation(key) => {
                 let place = self.shared.placed(*key)?;
-                Item::Place(*key, place.value, age(place.made))
+                Item::KeyLocation(*key, place.value, age(place.made))
             }
-            News::Word(server) => {
-                let said = self.shared.said(server)?;
-                Item::Word(server.clone(), said.value, age(said.made))
+            News::OperatorOrder(server) => {
+                let said = self.shared.operator_order(server)?;
+                Item::OperatorOrder(server.clone(), said.value, age(said.made))
             }
         })
     }
@@ -529,7 +529,7 @@
     fn along(&self, now: Ms, to: NodeId) -> Vec<(Option<News>, Item)> {
         let Some(line) = self.lines.get(&to) else { return Vec::new() };
         let waiting = line.waiting.iter().filter_map(|n| Some((Some(n.clone()), self.item(now, n)?)));
-        let idle = line.idle.iter().filter_map(|k| Some((None, self.item(now, &News::Place(*k))?)));
+        let idle = line.idle.iter().filter_map(|k| Some((None, self.item(now, &News::KeyLocation(*k))?)));
         waiting.take(20).chain(idle.take(20)).collect()
     }
 
@@ -593,7 +593,7 @@
             let line = self.lines.entry(to).or_default();
             if tries == 1 {
                 line.waiting.retain(|n| !news.contains(n));
-                line.waiting.retain(|n| !matches!(n, News::Place(_)));
+                line.waiting.retain(|n| !matches!(n, News::KeyLocation(_)));
             }
             let again_at = now + RESEND_MS + 30 * Ms::from(tries);
             line.out = (!news.is_empty()).then_some(Out { id, news, again_at, tries });
@@ -617,14 +617,14 @@
     }
 
     /// What is counted here and below, of what is young enough.
-    fn counted(&self, now: Ms) -> Totals {
-        let mut all = Totals { tenants: self.own.clone(), counted: 1, age: 0 };
+    fn counted(&self, now: Ms) -> TenantTotals {
+        let mut all = TenantTotals { tenants: self.own.clone(), counted: 1, age: 0 };
         for child in self.children.values().filter(|c| c.totals.counted > 0) {
             let age = child.totals.age + now.saturating_sub(child.at);
             // By the time that all others have used it, it must be young enough still: the oldest part of a total
             // is what its age is, and each level above may miss a wave.
             if age + PERIOD_MS * (2 + Ms::from(self.level())) <= self.bounds.limits_ms {
-                all.add(&Totals { age, ..child.totals.clone() });
+                all.add(&TenantTotals { age, ..child.totals.clone() });
             }
         }
         all.trim();
@@ -639,7 +639,7 @@
 
     fn pass_on(&mut self, now: Ms, to: &[NodeId], out: &mut Vec<Action>) {
         let Some((totals, made)) = self.total.clone() else { return };
-        let totals = Totals { age: now.saturating_sub(made), ..totals };
+        let totals = TenantTotals { age: now.saturating_sub(made), ..totals };
         let (root, wave, depth) = (self.wave.root, self.wave.number, self.wave.depth);
         let body = Body::Down { root, wave, depth, totals, digests: self.digests() };
         for n in to {
@@ -748,48 +748,53 @@
 
     fn learn(&mut self, now: Ms, from: NodeId, item: Item, out: &mut Vec<Action>) {
         match item {
-            Item::Member(who, state) => {
+            Item::Member(node, state) => {
                 let (draw, mut outputs) = (self.rng.u64(..), Vec::new());
-                let news = self.members.told(now, who, state, draw, &mut outputs);
+                let news = self.members.told(now, node, state, draw, &mut outputs);
                 self.carry_out(now, outputs, Some(from), out);
-                let known = self.members.state(who);
+                let known = self.members.state(node);
                 if !news
                     && known
                         .is_some_and(|k| k > state && k.status.is_present() != state.status.is_present())
                 {
                     // The teller is behind.
                     let line = self.lines.entry(from).or_default();
-                    Fleet::wait(line, now, News::Member(who));
+                    Fleet::wait(line, now, News::Member(node));
                 }
             }
-            Item::Finding(server, who, finding, age) => {
+            Item::Verdict(server, node, finding, age) => {
                 let made = now.saturating_sub(age);
-                if who == self.members.local_id() || usize::from(who) >= self.members.count() {
+                if node == self.members.local_id() || usize::from(node) >= self.members.count() {
                     return;
                 }
-                if self.shared.finding(server, who, finding, made) {
-                    self.spread(now, &News::Finding(server, who), Some(from));
+                if self.shared.finding(server, node, finding, made) {
+                    self.spread(now, &News::Verdict(server, node), Some(from));
                     if age <= self.bounds.verdicts_ms {
-                        let Finding { start, bad, .. } = finding;
-                        out.push(Action::Verdict { server, start, who, bad, age });
+                        let Verdict { start, failing, .. } = finding;
+                        out.push(Action::Verdict { server, start, node, failing, age });
                     }
                 }
             }
-            Item::Place(key, place, age) => {
+            Item::KeyLocation(key, place, age) => {
                 let young = age <= self.bounds.affinity_ms;
                 if young && self.shared.place(key, place, now.saturating_sub(age)) {
-                    self.spread(now, &News::Place(key), Some(from));
-                    out.push(Action::Place { key, server: place.server, age });
+                    self.spread(now, &News::KeyLocation(key), Some(from));
+                    out.push(Action::KeyLocation { key, server: place.server, age });
                 }
             }
-            Item::Word(server, word, age) => {
+            Item::OperatorOrder(server, word, age) => {
                 if self.shared.word(&server, word, now.saturating_sub(age)) {
-                    self.spread(now, &News::Word(server.clone()), Some(from));
-                    out.push(Action::Word { about: server, out: word.out, for_s: word.for_s, age });
-                } else if self.shared.said(&server).is_some_and(|known| known.value > word) {
+                    self.spread(now, &News::OperatorOrder(server.clone()), Some(from));
+                    out.push(Action::OperatorOrder {
+                        subject: server,
+                        cordoned: word.cordoned,
+                        for_s: word.for_s,
+                        age,
+                    });
+                } else if self.shared.operator_order(&server).is_some_and(|known| known.value > word) {
                     // The teller is behind.
                     let line = self.lines.entry(from).or_default();
-                    Fleet::wait(line, now, News::Word(server));
+                    Fleet::wait(line, now, News::OperatorOrder(server));
                 }
             }
         }
@@ -879,7 +884,7 @@
     }
 
     /// A wave from the root: taken and passed on if it is a newer one.
-    fn down(&mut self, now: Ms, from: NodeId, wave: Wave, totals: Totals, out: &mut Vec<Action>) {
+    fn down(&mut self, now: Ms, from: NodeId, wave: Wave, totals: TenantTotals, out: &mut Vec<Action>) {
         if self.parent.is_none() || wave.root.0 == self.members.local_id() {
             return;
         }
@@ -937,7 +942,8 @@
 
     fn tell_words(&mut self, now: Ms, to: NodeId, out: &mut Vec<Action>) {
         let all: Vec<String> = self.shared.words().map(|w| w.0.to_owned()).collect();
-        let items: Vec<Item> = all.into_iter().filter_map(|w| self.item(now, &News::Word(w))).collect();
+        let items: Vec<Item> =
+            all.into_iter().filter_map(|w| self.item(now, &News::OperatorOrder(w))).collect();
         self.press(now, to, &items, out);
     }
 
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -194,13 +194,13 @@
         self.late
     }
 
-    fn member(&self, who: NodeId) -> Option<&Member> {
-        self.members.get(usize::from(who))
+    fn member(&self, node: NodeId) -> Option<&Member> {
+        self.members.get(usize::from(node))
     }
 
     /// What is known of a member; of this one, what it says itself.
-    pub fn state(&self, who: NodeId) -> Option<MemberState> {
-        self.member(who).map(|m| m.state)
+    pub fn state(&self, node: NodeId) -> Option<MemberState> {
+        self.member(node).map(|m| m.state)
     }
 
     /// What this node says of itself at a moment.
@@ -217,22 +217,22 @@
     }
 
     /// It counts as there.
-    pub fn is_present(&self, who: NodeId) -> bool {
-        self.member(who).is_some_and(|m| m.state.status.is_present())
+    pub fn is_present(&self, node: NodeId) -> bool {
+        self.member(node).is_some_and(|m| m.state.status.is_present())
     }
 
-    fn alive(&self, who: usize) -> bool {
-        self.members.get(who).is_some_and(|m| m.state.status == ALIVE)
+    fn alive(&self, node: usize) -> bool {
+        self.members.get(node).is_some_and(|m| m.state.status == ALIVE)
     }
 
     /// It has its place in the tree: others' suspicions do not move anybody, what this node found itself does.
-    fn stands(&self, who: usize) -> bool {
-        self.members.get(who).is_some_and(|m| m.state.status.is_present() && !m.accused)
+    fn stands(&self, node: usize) -> bool {
+        self.members.get(node).is_some_and(|m| m.state.status.is_present() && !m.accused)
     }
 
     /// Its news is not to be pressed on others: it comes and goes all the time.
-    pub fn flaps(&self, who: NodeId) -> bool {
-        self.member(who).is_some_and(|m| m.flaps > FLAPS)
+    pub fn flaps(&self, node: NodeId) -> bool {
+        self.member(node).is_some_and(|m| m.flaps > FLAPS)
     }
 
     /// How many are alive, suspected, gone and left.
@@ -259,8 +259,8 @@
 
     /// Whom this node reports to: the nearest ancestor that stands, in a heap over the members' numbers; where
     /// there is none, the lowest member that does. None at the root.
-    pub fn parent(&self, who: NodeId) -> Option<NodeId> {
-        let mut at = usize::from(who);
+    pub fn parent(&self, node: NodeId) -> Option<NodeId> {
+        let mut at = usize::from(node);
         while at > 0 {
             at = (at - 1) / self.fan;
             if self.stands(at) {
@@ -268,7 +268,7 @@
             }
         }
         let lowest = (0..self.members.len()).find(|n| self.stands(*n))?;
-        u16::try_from(lowest).ok().filter(|n| *n < who)
+        u16::try_from(lowest).ok().filter(|n| *n < node)
     }
 
     /// Who reports to this node.
@@ -287,8 +287,8 @@
         self.members.iter().skip(usize::from(first)).take(count).map(class).collect()
     }
 
-    fn set(&mut self, now: Ms, who: NodeId, state: MemberState, spread: u64) {
-        let Some(m) = self.members.get_mut(usize::from(who)) else { return };
+    fn set(&mut self, now: Ms, node: NodeId, state: MemberState, spread: u64) {
+        let Some(m) = self.members.get_mut(usize::from(node)) else { return };
         if m.state.status != state.status {
             m.since = now;
             m.until = now + REFUTE_MS * u64::from(2 + self.late) / 2 + spread % REFUTE_SPREAD_MS;
@@ -338,7 +338,7 @@
     pub fn told(
         &mut self,
         now: Ms,
-        who: NodeId,
+        node: NodeId,
         state: MemberState,
         draw: u64,
         out: &mut Vec<Output>,
@@ -346,11 +346,11 @@
         if state.incarnation >= LAST_INCARNATION {
             return false;
         }
-        if who == self.own {
+        if node == self.own {
             self.refute(now, state, out);
             return false;
         }
-        let Some(known) = self.state(who) else { return false };
+        let Some(known) = self.state(node) else { return false };
         let first = known.incarnation == 0;
         let near = state.incarnation <= known.incarnation.saturating_add(INCARNATION_STEP)
             && (state.incarnation > known.incarnation
@@ -359,20 +359,20 @@
             return false;
         }
         if state > known {
-            self.set(now, who, state, draw);
+            self.set(now, node, state, draw);
             if state.status == ALIVE {
-                self.checks.remove(&who);
+                self.checks.remove(&node);
             }
             let anew = known.incarnation != state.incarnation && known.incarnation > 0;
             let news = known.status != state.status || anew;
             if news {
-                out.push(Output::Spread(who));
+                out.push(Output::Spread(node));
             }
             return news;
         }
         if known.status == ALIVE && state.status != ALIVE && state.status != Status::Left && state < known {
             // It was heard since: the suspicion is out of date.
-            out.push(Output::Spread(who));
+            out.push(Output::Spread(node));
         }
         false
     }
@@ -481,12 +481,12 @@
         }
         self.watch(now, watched, silent, out);
         self.carry_on(now, draw, out);
-        for who in 0..u16::try_from(self.members.len()).unwrap_or(u16::MAX) {
-            let Some(m) = self.member(who) else { break };
+        for node in 0..u16::try_from(self.members.len()).unwrap_or(u16::MAX) {
+            let Some(m) = self.member(node) else { break };
             if m.state.status == Status::Suspect && now >= m.until {
                 let state = MemberState { status: Status::Dead, ..m.state };
-                self.set(now, who, state, 0);
-                out.push(Output::Spread(who));
+                self.set(now, node, state, 0);
+                out.push(Output::Spread(node));
             }
         }
         self.seek(now, draw, out);
@@ -494,53 +494,53 @@
 
     fn watch(&mut self, now: Ms, watched: &[NodeId], silent: Ms, out: &mut Vec<Output>) {
         let slower = Ms::from(1 + self.late);
-        self.checks.retain(|who, _| watched.contains(who));
-        for &who in watched {
-            let quiet = self.member(who).is_some_and(|m| {
+        self.checks.retain(|node, _| watched.contains(node));
+        for &node in watched {
+            let quiet = self.member(node).is_some_and(|m| {
                 m.state.status == ALIVE && now.saturating_sub(m.heard) > silent * (1 + slower) / 2
             });
-            if quiet && !self.checks.contains_key(&who) {
-                self.checks.insert(who, Check { due: now + ANSWER_MS * slower, asked: 1 });
-                out.push(Output::Send(who, Message::Ping(self.own)));
+            if quiet && !self.checks.contains_key(&node) {
+                self.checks.insert(node, Check { due: now + ANSWER_MS * slower, asked: 1 });
+                out.push(Output::Send(node, Message::Ping(self.own)));
             }
         }
     }
 
     /// Someone new to watch is asked at once: nobody knows when it last spoke.
-    pub fn meet(&mut self, now: Ms, who: NodeId, out: &mut Vec<Output>) {
+    pub fn meet(&mut self, now: Ms, node: NodeId, out: &mut Vec<Output>) {
         let slower = Ms::from(1 + self.late);
-        if let Some(m) = self.members.get_mut(usize::from(who)).filter(|m| m.state.status == ALIVE) {
+        if let Some(m) = self.members.get_mut(usize::from(node)).filter(|m| m.state.status == ALIVE) {
             m.heard = m.heard.max(now.saturating_sub(1));
             let due = now + ANSWER_MS * slower;
-            self.checks.entry(who).or_insert(Check { due, asked: 1 });
-            out.push(Output::Send(who, Message::Ping(self.own)));
+            self.checks.entry(node).or_insert(Check { due, asked: 1 });
+            out.push(Output::Send(node, Message::Ping(self.own)));
         }
     }
 
     fn carry_on(&mut self, now: Ms, draw: &mut dyn FnMut() -> u64, out: &mut Vec<Output>) {
         let slower = Ms::from(1 + self.late);
         let due: Vec<NodeId> =
-            self.checks.iter().filter(|(_, c)| now >= c.due).map(|(who, _)| *who).collect();
-        for who in due {
-            let Some(check) = self.checks.get_mut(&who) else { continue };
+            self.checks.iter().filter(|(_, c)| now >= c.due).map(|(node, _)| *node).collect();
+        for node in due {
+            let Some(check) = self.checks.get_mut(&node) else { continue };
             if check.asked < QUESTIONS {
                 check.asked += 1;
                 let last = check.asked == QUESTIONS;
                 check.due = now + if last { LAST_ANSWER_MS } else { ANSWER_MS } * slower;
-                out.push(Output::Send(who, Message::Ping(self.own)));
-                for helper in self.others(who, draw) {
-                    out.push(Output::Send(helper, Message::PingFor(who)));
+                out.push(Output::Send(node, Message::Ping(self.own)));
+                for helper in self.others(node, draw) {
+                    out.push(Output::Send(helper, Message::PingFor(node)));
                 }
                 continue;
             }
-            self.checks.remove(&who);
-            let Some(state) = self.state(who).filter(|l| l.status == ALIVE) else { continue };
-            self.set(now, who, MemberState { status: Status::Suspect, ..state }, draw());
-            if let Some(m) = self.members.get_mut(usize::from(who)) {
+            self.checks.remove(&node);
+            let Some(state) = self.state(node).filter(|l| l.status == ALIVE) else { continue };
+            self.set(now, node, MemberState { status: Status::Suspect, ..state }, draw());
+            if let Some(m) = self.members.get_mut(usize::from(node)) {
                 m.accused = true;
             }
             self.version += 1;
-            out.push(Output::Spread(who));
+            out.push(Output::Spread(node));
         }
     }
 
@@ -575,8 +575,8 @@
             all.filter(|n| self.member(*n).is_some_and(|m| m.state.status == Status::Dead)).collect();
         // Every other time the lowest: the tree grows together from there.
         let n = if draw() & 1 << 20 == 0 { 0 } else { draw() % gone.len().max(1) as u64 };
-        if let Some(who) = gone.get(usize::try_from(n).unwrap_or(0)) {
-            out.push(Output::Send(*who, Message::Ping(self.own)));
+        if let Some(node) = gone.get(usize::try_from(n).unwrap_or(0)) {
+            out.push(Output::Send(*node, Message::Ping(self.own)));
         }
     }
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -9,7 +9,7 @@
 pub mod list_sync;
 pub mod membership;
 pub mod packet;
-pub mod share;
+pub mod shared_state;
 pub mod start_times;
 pub mod subset;
 pub mod zones;
--- a/src/control/packet.rs
+++ b/src/control/packet.rs
@@ -2,7 +2,7 @@
 //! is cut, of another version, spoilt or absurd is refused whole.
 
 use super::membership::{MemberState, Message, Ms, NodeId, Status};
-use super::share::{Finding, Place, TENANTS, Totals, Word};
+use super::shared_state::{KeyLocation, MAX_TENANTS, OperatorOrder, TenantTotals, Verdict};
 use bytes::{Buf, BufMut};
 use thiserror::Error;
 
@@ -50,11 +50,11 @@
     /// How a member fares.
     Member(NodeId, MemberState),
     /// What a node found of a server, and how old that is.
-    Finding(u32, NodeId, Finding, Ms),
+    Verdict(u32, NodeId, Verdict, Ms),
     /// Where a key has gone, and how old that is.
-    Place(u32, Place, Ms),
+    KeyLocation(u32, KeyLocation, Ms),
     /// An operator's word, and how old it is.
-    Word(String, Word, Ms),
+    OperatorOrder(String, OperatorOrder, Ms),
 }
 
 /// What a datagram is about.
@@ -65,7 +65,7 @@
         /// Which wave it is for.
         wave: u32,
         /// The counts.
-        totals: Totals,
+        totals: TenantTotals,
         /// Digests of members and words.
         digests: [u32; 2],
     },
@@ -78,7 +78,7 @@
         /// How far from the root the sender is.
         depth: u8,
         /// The counts.
-        totals: Totals,
+        totals: TenantTotals,
         /// Digests of members and words.
         digests: [u32; 2],
     },
@@ -129,12 +129,12 @@
     out.put_u8(state.status as u8);
 }
 
-fn put_totals(out: &mut Vec<u8>, totals: &Totals, digests: [u32; 2]) {
+fn put_totals(out: &mut Vec<u8>, totals: &TenantTotals, digests: [u32; 2]) {
     out.put_u16(totals.counted);
     out.put_u16(totals.age.min(OLDEST) as u16);
     digests.iter().for_each(|d| out.put_u32(*d));
-    out.put_u8(totals.tenants.len().min(TENANTS) as u8);
-    for (tenant, rate) in totals.tenants.iter().take(TENANTS) {
+    out.put_u8(totals.tenants.len().min(MAX_TENANTS) as u8);
+    for (tenant, rate) in totals.tenants.iter().take(MAX_TENANTS) {
         out.put_u32(*tenant);
         out.put_f32(*rate);
     }
@@ -143,32 +143,32 @@
 impl Item {
     fn put(&self, out: &mut Vec<u8>) {
         match self {
-            Item::Member(who, state) => {
+            Item::Member(node, state) => {
                 out.put_u8(1);
-                out.put_u16(*who);
+                out.put_u16(*node);
                 put_life(out, state);
             }
-            Item::Finding(server, who, f, age) => {
-                out.put_u8(if f.bad { 2 } else { 3 });
+            Item::Verdict(server, node, f, age) => {
+                out.put_u8(if f.failing { 2 } else { 3 });
                 out.put_u32(*server);
-                out.put_u16(*who);
+                out.put_u16(*node);
                 out.put_u32(f.incarnation);
                 out.put_u16(f.number);
                 out.put_u32(f.start);
                 out.put_u16((*age).min(OLDEST) as u16);
             }
-            Item::Place(key, place, age) => {
+            Item::KeyLocation(key, place, age) => {
                 out.put_u8(4);
                 out.put_u32(*key);
                 out.put_u32(place.number);
-                out.put_u16(place.who);
+                out.put_u16(place.node);
                 out.put_u32(place.server);
                 out.put_u16((*age).min(OLDEST) as u16);
             }
-            Item::Word(server, word, age) => {
-                out.put_u8(if word.out { 5 } else { 6 });
+            Item::OperatorOrder(server, word, age) => {
+                out.put_u8(if word.cordoned { 5 } else { 6 });
                 out.put_u32(word.number);
-                out.put_u16(word.who);
+                out.put_u16(word.node);
                 out.put_u32(word.for_s);
                 out.put_u32(u32::try_from(*age / 1000).unwrap_or(u32::MAX));
                 out.put_u8(server.len() as u8);
@@ -277,47 +277,51 @@
         Some(MemberState { incarnation: self.u32()?, heartbeat: self.u32()?, status: self.status()? })
     }
 
-    fn totals(&mut self) -> Option<(Totals, [u32; 2])> {
+    fn totals(&mut self) -> Option<(TenantTotals, [u32; 2])> {
         let (counted, age) = (self.u16()?, Ms::from(self.u16()?));
         let digests = [self.u32()?, self.u32()?];
         let mut tenants = Vec::new();
         for _ in 0..self.u8()? {
             let (tenant, rate) = (self.u32()?, self.0.try_get_f32().ok()?);
             let rises = tenants.last().is_none_or(|(last, _)| *last < tenant);
-            if !rate.is_finite() || rate < 0.0 || !rises || tenants.len() >= TENANTS {
+            if !rate.is_finite() || rate < 0.0 || !rises || tenants.len() >= MAX_TENANTS {
                 return None;
             }
             tenants.push((tenant, rate));
         }
-        Some((Totals { tenants, counted, age }, digests))
+        Some((TenantTotals { tenants, counted, age }, digests))
     }
 
     fn item(&mut self) -> Option<Item> {
         Some(match self.u8()? {
             1 => Item::Member(self.u16()?, self.state()?),
             kind @ (2 | 3) => {
-                let (server, who) = (self.u32()?, self.u16()?);
-                let finding = Finding {
+                let (server, node) = (self.u32()?, self.u16()?);
+                let finding = Verdict {
                     incarnation: self.u32()?,
                     number: self.u16()?,
                     start: self.u32()?,
-                    bad: kind == 2,
+                    failing: kind == 2,
                 };
-                Item::Finding(server, who, finding, Ms::from(self.u16()?))
+                Item::Verdict(server, node, finding, Ms::from(self.u16()?))
             }
             4 => {
                 let key = self.u32()?;
-                let place = Place { number: self.u32()?, who: self.u16()?, server: self.u32()? };
-                Item::Place(key, place, Ms::from(self.u16()?))
+                let place = KeyLocation { number: self.u32()?, node: self.u16()?, server: self.u32()? };
+                Item::KeyLocation(key, place, Ms::from(self.u16()?))
             }
             kind @ (5 | 6) => {
-                let word =
-                    Word { number: self.u32()?, who: self.u16()?, out: kind == 5, for_s: self.u32()? };
+                let word = OperatorOrder {
+                    number: self.u32()?,
+                    node: self.u16()?,
+                    cordoned: kind == 5,
+                    for_s: self.u32()?,
+                };
                 let (age, length) = (Ms::from(self.u32()?) * 1000, usize::from(self.u8()?));
                 let name = self.0.get(..length).filter(|_| (1..=LONGEST_NAME).contains(&length))?;
                 let name = std::str::from_utf8(name).ok()?.to_owned();
                 self.0.advance(length);
-                Item::Word(name, word, age)
+                Item::OperatorOrder(name, word, age)
             }
             _ => return None,
         })
@@ -405,8 +409,8 @@
         }
     }
 
-    fn totals() -> Totals {
-        Totals { tenants: (0..12).map(|n| (n * 5, n as f32 * 1.5)).collect(), counted: 300, age: 777 }
+    fn totals() -> TenantTotals {
+        TenantTotals { tenants: (0..12).map(|n| (n * 5, n as f32 * 1.5)).collect(), counted: 300, age: 777 }
     }
 
     fn bodies() -> Vec<Body> {
@@ -429,12 +433,16 @@
     }
 
     fn items() -> Vec<Item> {
-        let finding = Finding { incarnation: 4, number: 65_535, start: 9, bad: true };
+        let finding = Verdict { incarnation: 4, number: 65_535, start: 9, failing: true };
         vec![
             Item::Member(8, MemberState { incarnation: 1, heartbeat: 2, status: Status::Dead }),
-            Item::Finding(77, 8, finding, 1234),
-            Item::Place(5, Place { number: 1, who: 2, server: 3 }, 40),
-            Item::Word("s-1".to_owned(), Word { number: 1, who: 2, out: false, for_s: 9 }, 60_000),
+            Item::Verdict(77, 8, finding, 1234),
+            Item::KeyLocation(5, KeyLocation { number: 1, node: 2, server: 3 }, 40),
+            Item::OperatorOrder(
+                "s-1".to_owned(),
+                OperatorOrder { number: 1, node: 2, cordoned: false, for_s: 9 },
+                60_000,
+            ),
         ]
     }
 
--- a/src/control/share.rs
+++ b/src/control/shared_state.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Tenants that are told of: those that use most, the first to be dropped those that use least.
-pub const TENANTS: usize = 12;
+pub const MAX_TENANTS: usize = 12;
 /// Verdicts that are kept: the oldest goes first.
 const VERDICTS: usize = 1024;
 /// Places that are kept, and words: the oldest goes first, words that took something back before others.
@@ -20,7 +20,7 @@
 
 /// What tenants ask, summed over some nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Totals {
+pub struct TenantTotals {
     /// Requests a second, by the tenant's short hash, least hash first.
     pub tenants: Vec<(u32, f32)>,
     /// Nodes that are counted.
@@ -29,9 +29,9 @@
     pub age: Ms,
 }
 
-impl Totals {
+impl TenantTotals {
     /// Adds what others counted.
-    pub fn add(&mut self, other: &Totals) {
+    pub fn add(&mut self, other: &TenantTotals) {
         for (tenant, rate) in &other.tenants {
             match self.tenants.binary_search_by_key(tenant, |t| t.0) {
                 Ok(n) => self.tenants[n].1 += rate,
@@ -46,7 +46,7 @@
     pub fn trim(&mut self) {
         self.tenants.retain(|t| t.1.is_finite() && t.1 > 0.0);
         self.tenants.iter_mut().for_each(|t| t.1 = t.1.min(MOST_RPS));
-        while self.tenants.len() > TENANTS {
+        while self.tenants.len() > MAX_TENANTS {
             let least = self.tenants.iter().enumerate().min_by(|a, b| a.1.1.total_cmp(&b.1.1));
             let Some((least, _)) = least else { return };
             self.tenants.remove(least);
@@ -61,7 +61,7 @@
 
 /// What a node found of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Finding {
+pub struct Verdict {
     /// Its author's start.
     pub incarnation: u32,
     /// Counts its author's findings.
@@ -69,29 +69,29 @@
     /// Which start of the server: low bits of the list's time.
     pub start: u32,
     /// It fails; else it serves again.
-    pub bad: bool,
+    pub failing: bool,
 }
 
 /// Where a key has gone that its candidates could not take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
+pub struct KeyLocation {
     /// Counts up over all nodes: the greater is the later.
     pub number: u32,
     /// Who found it; breaks ties.
-    pub who: NodeId,
+    pub node: NodeId,
     /// The server.
     pub server: u32,
 }
 
 /// An operator's word on a server that holds for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Word {
+pub struct OperatorOrder {
     /// Counts up over all nodes: the greater is the later.
     pub number: u32,
     /// Who was told; breaks ties.
-    pub who: NodeId,
+    pub node: NodeId,
     /// It is out.
-    pub out: bool,
+    pub cordoned: bool,
     /// For so many seconds from when it was said; 0 until it is taken back.
     pub for_s: u32,
 }
@@ -107,14 +107,14 @@
 
 /// Values by key of which the greatest holds.
 #[derive(Clone, Debug)]
-struct Greatest<K, T> {
+struct LatestByKey<K, T> {
     all: BTreeMap<K, Aged<T>>,
     most: usize,
 }
 
-impl<K: Ord + Clone, T: Ord + Copy> Greatest<K, T> {
-    fn new(most: usize) -> Greatest<K, T> {
-        Greatest { all: BTreeMap::new(), most }
+impl<K: Ord + Clone, T: Ord + Copy> LatestByKey<K, T> {
+    fn new(most: usize) -> LatestByKey<K, T> {
+        LatestByKey { all: BTreeMap::new(), most }
     }
 
     /// True: it is news.
@@ -150,25 +150,25 @@
 
 /// All that a node holds of it.
 #[derive(Clone, Debug)]
-pub struct Shared {
-    findings: Greatest<(u32, NodeId), Finding>,
-    places: Greatest<u32, Place>,
-    words: Greatest<String, Word>,
+pub struct SharedState {
+    findings: LatestByKey<(u32, NodeId), Verdict>,
+    places: LatestByKey<u32, KeyLocation>,
+    words: LatestByKey<String, OperatorOrder>,
     last: u32,
 }
 
-impl Default for Shared {
-    fn default() -> Shared {
-        Shared {
-            findings: Greatest::new(VERDICTS),
-            places: Greatest::new(PLACES),
-            words: Greatest::new(WORDS),
+impl Default for SharedState {
+    fn default() -> SharedState {
+        SharedState {
+            findings: LatestByKey::new(VERDICTS),
+            places: LatestByKey::new(PLACES),
+            words: LatestByKey::new(WORDS),
             last: 0,
         }
     }
 }
 
-impl Shared {
+impl SharedState {
     /// The next number of this node's places and words: above all it has seen.
     fn next(&mut self) -> u32 {
         self.last = self.last.saturating_add(1);
@@ -185,74 +185,81 @@
     }
 
     /// Takes in a finding. True: it is news.
-    pub fn finding(&mut self, server: u32, who: NodeId, finding: Finding, made: Ms) -> bool {
-        let news = self.findings.join(&(server, who), finding, made);
+    pub fn finding(&mut self, server: u32, node: NodeId, finding: Verdict, made: Ms) -> bool {
+        let news = self.findings.join(&(server, node), finding, made);
         self.findings.bound(|v| (true, v.made));
         news
     }
 
     /// What a node last found of a server.
-    pub fn found(&self, server: u32, who: NodeId) -> Option<Aged<Finding>> {
-        self.findings.all.get(&(server, who)).copied()
+    pub fn found(&self, server: u32, node: NodeId) -> Option<Aged<Verdict>> {
+        self.findings.all.get(&(server, node)).copied()
     }
 
     /// How many nodes' findings against this start of a server are younger than `age`.
     pub fn against(&self, now: Ms, server: u32, start: u32, age: Ms) -> usize {
         let of = self.findings.all.range((server, 0)..=(server, NodeId::MAX));
-        of.filter(|(_, v)| v.value.bad && v.value.start == start && now.saturating_sub(v.made) <= age)
+        of.filter(|(_, v)| v.value.failing && v.value.start == start && now.saturating_sub(v.made) <= age)
             .count()
     }
 
     /// The same of any start, without one node's own.
-    pub fn against_by_others(&self, now: Ms, server: u32, own: NodeId, age: Ms) -> usize {
+    pub fn failing_verdicts_by_others(&self, now: Ms, server: u32, own: NodeId, age: Ms) -> usize {
         let of = self.findings.all.range((server, 0)..=(server, NodeId::MAX));
         let fresh = |made: Ms| now.saturating_sub(made) <= age;
-        of.filter(|((_, who), v)| *who != own && v.value.bad && fresh(v.made)).count()
+        of.filter(|((_, node), v)| *node != own && v.value.failing && fresh(v.made)).count()
     }
 
     /// This node puts a key there.
-    pub fn put(&mut self, now: Ms, who: NodeId, key: u32, server: u32) -> Option<Place> {
+    pub fn put(&mut self, now: Ms, node: NodeId, key: u32, server: u32) -> Option<KeyLocation> {
         if self.places.all.get(&key).is_some_and(|p| p.value.server == server && now - p.made < 1000) {
             return None;
         }
-        let place = Place { number: self.next(), who, server };
+        let place = KeyLocation { number: self.next(), node, server };
         self.place(key, place, now).then_some(place)
     }
 
     /// Takes in a place. True: it is news.
-    pub fn place(&mut self, key: u32, place: Place, made: Ms) -> bool {
+    pub fn place(&mut self, key: u32, place: KeyLocation, made: Ms) -> bool {
         let news = self.fits(place.number) && self.places.join(&key, place, made);
         self.places.bound(|v| (true, v.made));
         news
     }
 
     /// Where a key is.
-    pub fn placed(&self, key: u32) -> Option<Aged<Place>> {
+    pub fn placed(&self, key: u32) -> Option<Aged<KeyLocation>> {
         self.places.all.get(&key).copied()
     }
 
     /// This node was told that a server is out, or back.
-    pub fn say(&mut self, now: Ms, who: NodeId, server: &str, out: bool, for_s: u32) -> Word {
-        let word = Word { number: self.next(), who, out, for_s };
+    pub fn say(
+        &mut self,
+        now: Ms,
+        node: NodeId,
+        server: &str,
+        cordoned: bool,
+        for_s: u32,
+    ) -> OperatorOrder {
+        let word = OperatorOrder { number: self.next(), node, cordoned, for_s };
         self.word(server, word, now);
         word
     }
 
     /// Takes in a word. True: it is news.
-    pub fn word(&mut self, server: &str, word: Word, made: Ms) -> bool {
+    pub fn word(&mut self, server: &str, word: OperatorOrder, made: Ms) -> bool {
         let news = self.fits(word.number) && self.words.join(&server.to_owned(), word, made);
         // Words that took something back go first.
-        self.words.bound(|v| (v.value.out, v.made));
+        self.words.bound(|v| (v.value.cordoned, v.made));
         news
     }
 
     /// What was last said of a server.
-    pub fn said(&self, server: &str) -> Option<Aged<Word>> {
+    pub fn operator_order(&self, server: &str) -> Option<Aged<OperatorOrder>> {
         self.words.all.get(server).copied()
     }
 
     /// All words, by server.
-    pub fn words(&self) -> impl Iterator<Item = (&str, Word)> {
+    pub fn words(&self) -> impl Iterator<Item = (&str, OperatorOrder)> {
         self.words.all.iter().map(|(server, v)| (server.as_str(), v.value))
     }
 
@@ -262,8 +269,8 @@
         for (server, word) in self.words() {
             hash.update(server.as_bytes());
             hash.update(&word.number.to_be_bytes());
-            hash.update(&word.who.to_be_bytes());
-            hash.update(&[u8::from(word.out)]);
+            hash.update(&word.node.to_be_bytes());
+            hash.update(&[u8::from(word.cordoned)]);
             hash.update(&word.for_s.to_be_bytes());
         }
         hash.finalize()
@@ -296,43 +303,43 @@
 
     #[derive(Clone, Debug)]
     enum Fact {
-        Finding(u32, NodeId, Finding),
-        Place(u32, Place),
-        Word(String, Word),
+        Verdict(u32, NodeId, Verdict),
+        KeyLocation(u32, KeyLocation),
+        OperatorOrder(String, OperatorOrder),
     }
 
     fn fact() -> impl Strategy<Value = Fact> {
         let finding =
-            (0_u32..3, 0_u16..3, 1_u32..3, 0_u16..4, any::<bool>()).prop_map(|(s, w, i, n, bad)| {
+            (0_u32..3, 0_u16..3, 1_u32..3, 0_u16..4, any::<bool>()).prop_map(|(s, w, i, n, failing)| {
                 // An author gives a number to one finding only.
                 let start = u32::from(n) / 2;
-                Fact::Finding(
+                Fact::Verdict(
                     s,
                     w,
-                    Finding { incarnation: i, number: n, start, bad: bad && n > 0 || n == 3 },
+                    Verdict { incarnation: i, number: n, start, failing: failing && n > 0 || n == 3 },
                 )
             });
         let place = (0_u32..3, 1_u32..9, 0_u16..3).prop_map(|(k, n, w)| {
-            Fact::Place(k, Place { number: n, who: w, server: n * 7 + u32::from(w) })
+            Fact::KeyLocation(k, KeyLocation { number: n, node: w, server: n * 7 + u32::from(w) })
         });
         let word = (0_u32..3, 1_u32..9, 0_u16..3).prop_map(|(s, n, w)| {
-            Fact::Word(
+            Fact::OperatorOrder(
                 format!("s-{s}"),
-                Word { number: n, who: w, out: (n + u32::from(w)) % 2 == 0, for_s: 0 },
+                OperatorOrder { number: n, node: w, cordoned: (n + u32::from(w)) % 2 == 0, for_s: 0 },
             )
         });
         prop_oneof![finding, place, word]
     }
 
-    fn take(shared: &mut Shared, fact: &Fact) {
+    fn take(shared: &mut SharedState, fact: &Fact) {
         match fact.clone() {
-            Fact::Finding(s, w, f) => drop(shared.finding(s, w, f, 5)),
-            Fact::Place(k, p) => drop(shared.place(k, p, 5)),
-            Fact::Word(s, w) => drop(shared.word(&s, w, 5)),
+            Fact::Verdict(s, w, f) => drop(shared.finding(s, w, f, 5)),
+            Fact::KeyLocation(k, p) => drop(shared.place(k, p, 5)),
+            Fact::OperatorOrder(s, w) => drop(shared.word(&s, w, 5)),
         }
     }
 
-    fn values(s: &Shared) -> impl PartialEq + std::fmt::Debug + use<> {
+    fn values(s: &SharedState) -> impl PartialEq + std::fmt::Debug + use<> {
         (s.findings.all.clone(), s.places.all.clone(), s.words.all.clone())
     }
 
@@ -341,12 +348,12 @@
         /// In any order, each as often as it likes, the same is known in the end.
         #[test]
         fn facts_converge(facts in prop::collection::vec(fact(), 1..20), order in any::<u64>()) {
-            let mut one = Shared::default();
+            let mut one = SharedState::default();
             facts.iter().for_each(|f| take(&mut one, f));
             let mut rng = fastrand::Rng::with_seed(order);
             let mut doubled: Vec<Fact> = facts.iter().chain(&facts).cloned().collect();
             rng.shuffle(&mut doubled);
-            let mut other = Shared::default();
+            let mut other = SharedState::default();
             doubled.iter().for_each(|f| take(&mut other, f));
             prop_assert_eq!(values(&one), values(&other));
             prop_assert_eq!(one.digest(), other.digest());
@@ -355,34 +362,34 @@
 
     #[test]
     fn all_of_it_is_bounded() {
-        let mut shared = Shared::default();
-        let finding = Finding { incarnation: 1, number: 1, start: 0, bad: true };
+        let mut shared = SharedState::default();
+        let finding = Verdict { incarnation: 1, number: 1, start: 0, failing: true };
         for n in 0..5000_u32 {
             shared.finding(n, 1, finding, Ms::from(n));
             shared.put(Ms::from(n), 1, n, 7);
             shared.say(Ms::from(n), 1, &format!("s-{n}"), n % 2 == 0, 0);
         }
         assert_eq!(shared.counts(), [VERDICTS, PLACES, WORDS]);
-        assert!(shared.words().all(|w| w.1.out), "words that took something back went first");
+        assert!(shared.words().all(|w| w.1.cordoned), "words that took something back went first");
         assert!(shared.found(0, 1).is_none() && shared.found(4999, 1).is_some());
         assert!(
-            !shared.word("far", Word { number: u32::MAX, who: 1, out: true, for_s: 0 }, 0),
+            !shared.word("far", OperatorOrder { number: u32::MAX, node: 1, cordoned: true, for_s: 0 }, 0),
             "from the far future"
         );
     }
 
     #[test]
     fn totals_keep_to_the_tenants_that_ask_most_and_to_rates_that_can_be() {
-        let mut all = Totals::default();
+        let mut all = TenantTotals::default();
         for n in 0..20 {
-            all.add(&Totals {
+            all.add(&TenantTotals {
                 tenants: vec![(n, n as f32), (99, f32::NAN)],
                 counted: 1,
                 age: u64::from(n),
             });
         }
         all.trim();
-        assert_eq!((all.tenants.len(), all.counted, all.age), (TENANTS, 20, 19));
+        assert_eq!((all.tenants.len(), all.counted, all.age), (MAX_TENANTS, 20, 19));
         assert_eq!((all.rate(19), all.rate(2), all.rate(99)), (Some(19.0), None, None));
     }
 }
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -187,9 +187,11 @@
     fn found(&self, found: Observation, start: u32) {
         match found {
             Observation::Backend { backend, failing: bad } => {
-                self.act(Event::Found { server: backend.short(), start, bad })
+                self.act(Event::Verdict { server: backend.short(), start, failing: bad })
+            }
+            Observation::Key { key, backend } => {
+                self.act(Event::KeyLocation { key, server: backend.short() })
             }
-            Observation::Key { key, backend } => self.act(Event::Placed { key, server: backend.short() }),
         }
     }
 
@@ -201,7 +203,7 @@
         for action in actions {
             match action {
                 Action::Send(to, bytes) => self.peers.send(Some(u32::from(to)), &bytes),
-                Action::Verdict { server, start, who, bad, age } => {
+                Action::Verdict { server, start, node: who, failing: bad, age } => {
                     self.uses.borrow_mut().verdicts.note(age);
                     let until_ms = clock + f64::from(self.verdicts_ms.get()) - age as f64;
                     if let Some(backend) = self.driver.listed_as(server, Some(start)) {
@@ -209,7 +211,7 @@
                         self.driver.take(Input::Fleet(news));
                     }
                 }
-                Action::Place { key, server, age } => {
+                Action::KeyLocation { key, server, age } => {
                     self.uses.borrow_mut().affinity.note(age);
                     let until_ms = clock + f64::from(self.affinity_ms.get()) - age as f64;
                     if let Some(backend) = self.driver.listed_as(server, None) {
@@ -220,7 +222,9 @@
                         }));
                     }
                 }
-                Action::Word { about, out, for_s, age } => self.word(&about, out, for_s, age),
+                Action::OperatorOrder { subject: about, cordoned: out, for_s, age } => {
+                    self.word(&about, out, for_s, age)
+                }
             }
         }
     }
@@ -245,12 +249,12 @@
     pub fn against(&self, zone: &str) -> usize {
         let fleet = self.fleet.borrow();
         let age = Ms::from(self.verdicts_ms.get());
-        fleet.shared().against_by_others(self.now(), short(zone), fleet.members().local_id(), age)
+        fleet.shared().failing_verdicts_by_others(self.now(), short(zone), fleet.members().local_id(), age)
     }
 
     /// This node holds a zone for lost, or not any more.
     pub fn found_zone(&self, zone: &str, bad: bool) {
-        self.act(Event::Found { server: short(zone), start: 0, bad });
+        self.act(Event::Verdict { server: short(zone), start: 0, failing: bad });
     }
 
     /// What is asked here for the fleet, and what the fleet's totals make of each tenant's share for the decisions.
@@ -290,13 +294,13 @@
         if about.len() > LONGEST_NAME {
             return Err(format!("a name for the fleet has at most {LONGEST_NAME} bytes"));
         }
-        self.act(Event::Said { about, out, for_s });
+        self.act(Event::OperatorOrder { subject: about, cordoned: out, for_s });
         Ok(())
     }
 
     /// Whether an operator's word for the whole fleet has a backend out.
     pub fn is_out(&self, uid: &str) -> bool {
-        self.fleet.borrow().shared().said(uid).is_some_and(|said| said.value.out)
+        self.fleet.borrow().shared().operator_order(uid).is_some_and(|order| order.value.cordoned)
     }
 
     /// This node ends, and no other process of it goes on.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -100,11 +100,13 @@
                         self.push(at, to, Some((n as NodeId, bytes.clone())));
                     }
                 }
-                Action::Verdict { server, who, bad, .. } => {
-                    self.verdicts[n].entry((server, who, bad)).or_insert(self.now);
+                Action::Verdict { server, node, failing, .. } => {
+                    self.verdicts[n].entry((server, node, failing)).or_insert(self.now);
                 }
-                Action::Word { about, out, .. } => drop(self.words[n].insert(about, out)),
-                Action::Place { .. } => {}
+                Action::OperatorOrder { subject: about, cordoned: out, .. } => {
+                    drop(self.words[n].insert(about, out))
+                }
+                Action::KeyLocation { .. } => {}
             }
         }
     }
@@ -194,7 +196,7 @@
     for server in 0..verdicts {
         let who = world.rng.usize(..world.nodes.len());
         made.push((server + 1000, who, world.now));
-        world.act(who, Event::Found { server: server + 1000, start: 1, bad: true });
+        world.act(who, Event::Verdict { server: server + 1000, start: 1, failing: true });
         world.quiet(every_ms);
     }
     world.quiet(6000);
@@ -339,14 +341,14 @@
     let mut world = World::new(30, 4, Net { loss: 0.1, ..CALM });
     world.quiet(4000);
     world.nodes[20] = None;
-    world.act(7, Event::Said { about: "s-1", out: true, for_s: 0 });
+    world.act(7, Event::OperatorOrder { subject: "s-1", cordoned: true, for_s: 0 });
     world.quiet(3000);
     let knows = |w: &World, n: usize| w.words[n].get("s-1").copied();
     assert!((0..30).filter(|n| *n != 7 && *n != 20).all(|n| knows(&world, n) == Some(true)));
     world.start(20);
     world.quiet(6000);
     assert_eq!(knows(&world, 20), Some(true), "by comparison");
-    world.act(20, Event::Said { about: "s-1", out: false, for_s: 0 });
+    world.act(20, Event::OperatorOrder { subject: "s-1", cordoned: false, for_s: 0 });
     world.quiet(3000);
     assert!((0..30).filter(|n| *n != 20).all(|n| knows(&world, n) == Some(false)));
 }
@@ -402,7 +404,7 @@
                 0 => world.nodes[n] = None,
                 1 => world.start(n),
                 2 => world.side[n] ^= 1,
-                _ => world.act(n, Event::Said { about: "s-9", out: ms % 2 == 0, for_s: 0 }),
+                _ => world.act(n, Event::OperatorOrder { subject: "s-9", cordoned: ms % 2 == 0, for_s: 0 }),
             }
             world.quiet(ms);
         }
