--- a/src/control/packet.rs
+++ b/src/control/datagram.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 /// A longer datagram breaks the deployment's rules.
-pub const LONGEST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// First byte; what nodes tell each other of backends (`src/news.rs`) begins with a small number.
 const MAGIC: u8 = 0xd1;
 /// Of the form that is told here.
@@ -15,27 +15,27 @@
 /// Bytes before the body: magic, version, kind, status, sender, incarnation, beat, number, checksum.
 const HEAD: usize = 4 + 2 + 4 + 4 + 4 + 4;
 /// A server's name in an operator's word is no longer.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// An age beyond this is told as this.
 const OLDEST: Ms = 65_535;
 
 /// Why a datagram is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum PacketError {
+pub enum DatagramError {
     /// It is none of these.
     #[error("not a datagram of the fleet's")]
-    Strange,
+    Unknown,
     /// Of a version that this build does not speak.
     #[error("of version {0}")]
     Version(u8),
     /// Cut, or spoilt.
     #[error("cut or spoilt")]
-    Spoilt,
+    Corrupt,
 }
 
 /// Who sends, how it lives, and which of its datagrams this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct Header {
     /// Its number.
     pub from: NodeId,
     /// What it says of itself.
@@ -46,7 +46,7 @@
 
 /// A piece of news.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Item {
+pub enum Update {
     /// How a member fares.
     Member(NodeId, MemberState),
     /// What a node found of a server, and how old that is.
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
     /// What was counted below the sender, for its parent.
-    Up {
+    TotalsUp {
         /// Which wave it is for.
         wave: u32,
         /// The counts.
@@ -70,7 +70,7 @@
         digests: [u32; 2],
     },
     /// What all of them counted, from the root.
-    Down {
+    TotalsDown {
         /// The root, and which of its starts.
         root: (NodeId, u32),
         /// Counts up there.
@@ -83,20 +83,20 @@
         digests: [u32; 2],
     },
     /// News that is to be acknowledged.
-    News(u16),
+    Updates(u16),
     /// It was.
-    Got(u16),
+    Ack(u16),
     /// Say again, please: `up`, what you counted; else a wave after that one.
-    Again {
+    Resend {
         /// Which of them.
         up: bool,
         /// The wave that is known.
         wave: u32,
     },
     /// A question of membership, or its answer.
-    Check(Message),
+    MembershipCheck(Message),
     /// Statuses of members from `first` on, two bits each.
-    Compare {
+    Comparison {
         /// The first one.
         first: NodeId,
         /// 0 there, 1 gone, 2 left.
@@ -109,13 +109,13 @@
 impl Body {
     fn kind(&self) -> u8 {
         match self {
-            Body::Up { .. } => 1,
-            Body::Down { .. } => 2,
-            Body::News(_) => 3,
-            Body::Got(_) => 4,
-            Body::Again { .. } => 5,
-            Body::Check(_) => 6,
-            Body::Compare { .. } => 7,
+            Body::TotalsUp { .. } => 1,
+            Body::TotalsDown { .. } => 2,
+            Body::Updates(_) => 3,
+            Body::Ack(_) => 4,
+            Body::Resend { .. } => 5,
+            Body::MembershipCheck(_) => 6,
+            Body::Comparison { .. } => 7,
         }
     }
 }
@@ -140,15 +140,15 @@
     }
 }
 
-impl Item {
+impl Update {
     fn put(&self, out: &mut Vec<u8>) {
         match self {
-            Item::Member(node, state) => {
+            Update::Member(node, state) => {
                 out.put_u8(1);
                 out.put_u16(*node);
                 put_life(out, state);
             }
-            Item::Verdict(server, node, f, age) => {
+            Update::Verdict(server, node, f, age) => {
                 out.put_u8(if f.failing { 2 } else { 3 });
                 out.put_u32(*server);
                 out.put_u16(*node);
@@ -157,7 +157,7 @@
                 out.put_u32(f.start);
                 out.put_u16((*age).min(OLDEST) as u16);
             }
-            Item::KeyLocation(key, place, age) => {
+            Update::KeyLocation(key, place, age) => {
                 out.put_u8(4);
                 out.put_u32(*key);
                 out.put_u32(place.number);
@@ -165,7 +165,7 @@
                 out.put_u32(place.server);
                 out.put_u16((*age).min(OLDEST) as u16);
             }
-            Item::OperatorOrder(server, word, age) => {
+            Update::OperatorOrder(server, word, age) => {
                 out.put_u8(if word.cordoned { 5 } else { 6 });
                 out.put_u32(word.number);
                 out.put_u16(word.node);
@@ -179,8 +179,8 @@
 }
 
 /// Writes a datagram with as many of the items, in their order, as there is room for; and says how many that were.
-pub fn write(head: &Head, body: &Body, items: &[Item]) -> (Vec<u8>, usize) {
-    let mut out = Vec::with_capacity(LONGEST);
+pub fn encode(head: &Header, body: &Body, items: &[Update]) -> (Vec<u8>, usize) {
+    let mut out = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     out.put_slice(&[MAGIC, VERSION, body.kind(), head.state.status as u8]);
     out.put_u16(head.from);
     out.put_u32(head.state.incarnation);
@@ -188,37 +188,37 @@
     out.put_u32(head.number);
     out.put_u32(0);
     match body {
-        Body::Up { wave, totals, digests } => {
+        Body::TotalsUp { wave, totals, digests } => {
             out.put_u32(*wave);
             put_totals(&mut out, totals, *digests);
         }
-        Body::Down { root, wave, depth, totals, digests } => {
+        Body::TotalsDown { root, wave, depth, totals, digests } => {
             out.put_u16(root.0);
             out.put_u32(root.1);
             out.put_u32(*wave);
             out.put_u8(*depth);
             put_totals(&mut out, totals, *digests);
         }
-        Body::News(id) | Body::Got(id) => out.put_u16(*id),
-        Body::Again { up, wave } => {
+        Body::Updates(id) | Body::Ack(id) => out.put_u16(*id),
+        Body::Resend { up, wave } => {
             out.put_u8(u8::from(*up));
             out.put_u32(*wave);
         }
-        Body::Check(Message::Ping(wanted_by)) => {
+        Body::MembershipCheck(Message::Ping(wanted_by)) => {
             out.put_u8(1);
             out.put_u16(*wanted_by);
         }
-        Body::Check(Message::PingFor(target)) => {
+        Body::MembershipCheck(Message::PingFor(target)) => {
             out.put_u8(2);
             out.put_u16(*target);
         }
-        Body::Check(Message::Ack { about, state, wanted_by }) => {
+        Body::MembershipCheck(Message::Ack { about, state, wanted_by }) => {
             out.put_u8(3);
             out.put_u16(*about);
             out.put_u16(*wanted_by);
             put_life(&mut out, state);
         }
-        Body::Compare { first, classes, words } => {
+        Body::Comparison { first, classes, words } => {
             let classes = classes.get(..classes.len().min(COMPARED)).unwrap_or_default();
             out.put_u16(*first);
             out.put_u16(classes.len() as u16);
@@ -232,7 +232,7 @@
     for item in items {
         let before = out.len();
         item.put(&mut out);
-        if out.len() > LONGEST {
+        if out.len() > MAX_DATAGRAM_BYTES {
             out.truncate(before);
             break;
         }
@@ -292,9 +292,9 @@
         Some((TenantTotals { tenants, counted, age }, digests))
     }
 
-    fn item(&mut self) -> Option<Item> {
+    fn item(&mut self) -> Option<Update> {
         Some(match self.u8()? {
-            1 => Item::Member(self.u16()?, self.state()?),
+            1 => Update::Member(self.u16()?, self.state()?),
             kind @ (2 | 3) => {
                 let (server, node) = (self.u32()?, self.u16()?);
                 let finding = Verdict {
@@ -303,12 +303,12 @@
                     start: self.u32()?,
                     failing: kind == 2,
                 };
-                Item::Verdict(server, node, finding, Ms::from(self.u16()?))
+                Update::Verdict(server, node, finding, Ms::from(self.u16()?))
             }
             4 => {
                 let key = self.u32()?;
                 let place = KeyLocation { number: self.u32()?, node: self.u16()?, server: self.u32()? };
-                Item::KeyLocation(key, place, Ms::from(self.u16()?))
+                Update::KeyLocation(key, place, Ms::from(self.u16()?))
             }
             kind @ (5 | 6) => {
                 let word = OperatorOrder {
@@ -318,10 +318,10 @@
                     for_s: self.u32()?,
                 };
                 let (age, length) = (Ms::from(self.u32()?) * 1000, usize::from(self.u8()?));
-                let name = self.0.get(..length).filter(|_| (1..=LONGEST_NAME).contains(&length))?;
+                let name = self.0.get(..length).filter(|_| (1..=MAX_NAME_BYTES).contains(&length))?;
                 let name = std::str::from_utf8(name).ok()?.to_owned();
                 self.0.advance(length);
-                Item::OperatorOrder(name, word, age)
+                Update::OperatorOrder(name, word, age)
             }
             _ => return None,
         })
@@ -332,17 +332,17 @@
             1 => {
                 let wave = self.u32()?;
                 let (totals, digests) = self.totals()?;
-                Body::Up { wave, totals, digests }
+                Body::TotalsUp { wave, totals, digests }
             }
             2 => {
                 let (root, wave, depth) = ((self.u16()?, self.u32()?), self.u32()?, self.u8()?);
                 let (totals, digests) = self.totals()?;
-                Body::Down { root, wave, depth, totals, digests }
+                Body::TotalsDown { root, wave, depth, totals, digests }
             }
-            3 => Body::News(self.u16()?),
-            4 => Body::Got(self.u16()?),
-            5 => Body::Again { up: self.u8()? == 1, wave: self.u32()? },
-            6 => Body::Check(match self.u8()? {
+            3 => Body::Updates(self.u16()?),
+            4 => Body::Ack(self.u16()?),
+            5 => Body::Resend { up: self.u8()? == 1, wave: self.u32()? },
+            6 => Body::MembershipCheck(match self.u8()? {
                 1 => Message::Ping(self.u16()?),
                 2 => Message::PingFor(self.u16()?),
                 3 => {
@@ -359,7 +359,7 @@
                     classes.extend([0, 2, 4, 6].map(|shift| byte >> shift & 3));
                 }
                 classes.truncate(count);
-                Body::Compare { first, classes, words }
+                Body::Comparison { first, classes, words }
             }
             _ => return None,
         })
@@ -370,21 +370,21 @@
 ///
 /// # Errors
 /// It is none, or not whole.
-pub fn read(bytes: &[u8]) -> Result<(Head, Body, Vec<Item>), PacketError> {
-    let &[MAGIC, version, kind, ..] = bytes else { return Err(PacketError::Strange) };
+pub fn decode(bytes: &[u8]) -> Result<(Header, Body, Vec<Update>), DatagramError> {
+    let &[MAGIC, version, kind, ..] = bytes else { return Err(DatagramError::Unknown) };
     if version != VERSION {
-        return Err(PacketError::Version(version));
+        return Err(DatagramError::Version(version));
     }
     let sum = bytes.get(HEAD - 4..HEAD).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
-    if bytes.len() > LONGEST || sum != Some(checksum(bytes)) {
-        return Err(PacketError::Spoilt);
+    if bytes.len() > MAX_DATAGRAM_BYTES || sum != Some(checksum(bytes)) {
+        return Err(DatagramError::Corrupt);
     }
     let mut reader = Reader(bytes.get(3..).unwrap_or_default());
     let whole = |reader: &mut Reader| {
         let status = reader.status()?;
         let from = reader.u16()?;
         let state = MemberState { incarnation: reader.u32()?, heartbeat: reader.u32()?, status };
-        let head = Head { from, state, number: reader.u32()? };
+        let head = Header { from, state, number: reader.u32()? };
         reader.u32()?;
         let body = reader.body(kind)?;
         let mut items = Vec::new();
@@ -393,7 +393,7 @@
         }
         Some((head, body, items))
     };
-    whole(&mut reader).ok_or(PacketError::Spoilt)
+    whole(&mut reader).ok_or(DatagramError::Corrupt)
 }
 
 #[cfg(test)]
@@ -401,8 +401,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn head() -> Head {
-        Head {
+    fn head() -> Header {
+        Header {
             from: 7,
             state: MemberState { incarnation: 3, heartbeat: 900, status: Status::Alive },
             number: 12,
@@ -416,29 +416,29 @@
     fn bodies() -> Vec<Body> {
         let state = head().state;
         let mut all = vec![
-            Body::Up { wave: 9, totals: totals(), digests: [1, 2] },
-            Body::Down { root: (0, 5), wave: 9, depth: 2, totals: totals(), digests: [1, 2] },
-            Body::News(5),
-            Body::Got(6),
-            Body::Again { up: true, wave: 8 },
-            Body::Check(Message::Ping(3)),
-            Body::Check(Message::PingFor(4)),
-            Body::Check(Message::Ack { about: 3, state, wanted_by: 9 }),
+            Body::TotalsUp { wave: 9, totals: totals(), digests: [1, 2] },
+            Body::TotalsDown { root: (0, 5), wave: 9, depth: 2, totals: totals(), digests: [1, 2] },
+            Body::Updates(5),
+            Body::Ack(6),
+            Body::Resend { up: true, wave: 8 },
+            Body::MembershipCheck(Message::Ping(3)),
+            Body::MembershipCheck(Message::PingFor(4)),
+            Body::MembershipCheck(Message::Ack { about: 3, state, wanted_by: 9 }),
         ];
         all.extend([0, 1, 3, 4, 5, 800].map(|n| {
             let classes = (0..n).map(|i| (i % 3) as u8).collect();
-            Body::Compare { first: 40, classes, words: 99 }
+            Body::Comparison { first: 40, classes, words: 99 }
         }));
         all
     }
 
-    fn items() -> Vec<Item> {
+    fn items() -> Vec<Update> {
         let finding = Verdict { incarnation: 4, number: 65_535, start: 9, failing: true };
         vec![
-            Item::Member(8, MemberState { incarnation: 1, heartbeat: 2, status: Status::Dead }),
-            Item::Verdict(77, 8, finding, 1234),
-            Item::KeyLocation(5, KeyLocation { number: 1, node: 2, server: 3 }, 40),
-            Item::OperatorOrder(
+            Update::Member(8, MemberState { incarnation: 1, heartbeat: 2, status: Status::Dead }),
+            Update::Verdict(77, 8, finding, 1234),
+            Update::KeyLocation(5, KeyLocation { number: 1, node: 2, server: 3 }, 40),
+            Update::OperatorOrder(
                 "s-1".to_owned(),
                 OperatorOrder { number: 1, node: 2, cordoned: false, for_s: 9 },
                 60_000,
@@ -449,43 +449,43 @@
     #[test]
     fn a_datagram_is_read_as_it_was_written_and_holds_what_fits() {
         for body in bodies() {
-            let many: Vec<Item> = items().into_iter().cycle().take(40).collect();
-            let (bytes, written) = write(&head(), &body, &many);
-            assert!(bytes.len() <= LONGEST, "{body:?}");
-            let full = matches!(body, Body::Compare { ref classes, .. } if classes.len() == 800);
+            let many: Vec<Update> = items().into_iter().cycle().take(40).collect();
+            let (bytes, written) = encode(&head(), &body, &many);
+            assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{body:?}");
+            let full = matches!(body, Body::Comparison { ref classes, .. } if classes.len() == 800);
             assert!(full || written >= 4, "{body:?} left room for {written}");
-            assert_eq!(read(&bytes), Ok((head(), body, many[..written].to_vec())));
+            assert_eq!(decode(&bytes), Ok((head(), body, many[..written].to_vec())));
         }
     }
 
     #[test]
     fn what_is_cut_spoilt_or_of_another_version_is_refused() {
         for body in bodies() {
-            let (bytes, _) = write(&head(), &body, &items());
+            let (bytes, _) = encode(&head(), &body, &items());
             for n in 0..bytes.len() {
-                assert!(read(&bytes[..n]).is_err());
+                assert!(decode(&bytes[..n]).is_err());
                 let mut spoilt = bytes.clone();
                 spoilt[n] ^= 0x10;
-                assert!(read(&spoilt).is_err(), "byte {n} of {body:?}");
+                assert!(decode(&spoilt).is_err(), "byte {n} of {body:?}");
             }
             let longer = [&bytes[..], &[0]].concat();
-            assert!(read(&longer).is_err());
+            assert!(decode(&longer).is_err());
         }
-        assert_eq!(read(&[MAGIC, 9, 1, 0]), Err(PacketError::Version(9)));
-        assert_eq!(read(&[1, 2, 3, 4, 5]), Err(PacketError::Strange));
+        assert_eq!(decode(&[MAGIC, 9, 1, 0]), Err(DatagramError::Version(9)));
+        assert_eq!(decode(&[1, 2, 3, 4, 5]), Err(DatagramError::Unknown));
     }
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
         /// With a right checksum, too, nothing that is read can stop the reader.
         #[test]
-        fn no_bytes_stop_the_reader(mut bytes in prop::collection::vec(any::<u8>(), HEAD..LONGEST + 10), kind in 0_u8..9) {
+        fn no_bytes_stop_the_reader(mut bytes in prop::collection::vec(any::<u8>(), HEAD..MAX_DATAGRAM_BYTES + 10), kind in 0_u8..9) {
             (bytes[0], bytes[1], bytes[2]) = (MAGIC, VERSION, kind);
             let sum = checksum(&bytes);
             bytes[HEAD - 4..HEAD].copy_from_slice(&sum.to_be_bytes());
-            if let Ok((head, body, items)) = read(&bytes) {
-                let (again, written) = write(&head, &body, &items);
-                prop_assert!(written <= items.len() && again.len() <= LONGEST);
+            if let Ok((head, body, items)) = decode(&bytes) {
+                let (again, written) = encode(&head, &body, &items);
+                prop_assert!(written <= items.len() && again.len() <= MAX_DATAGRAM_BYTES);
             }
         }
     }
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -6,8 +6,8 @@
 //! on at once, and reports shortly before the next, its children a little earlier, so that what the root tells is
 //! half a second old and not a period for each level. What is missing is asked for again within that half second.
 
+use super::datagram::{self, Body, COMPARED, DatagramError, Header, MAX_NAME_BYTES, Update};
 use super::membership::{MemberState, Membership, Message, Ms, NodeId, Output, Status};
-use super::packet::{self, Body, COMPARED, Head, Item, LONGEST_NAME, PacketError};
 use super::shared_state::{SharedState, TenantTotals, Verdict};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -375,7 +375,7 @@
                 }
             }
             Event::OperatorOrder { subject, cordoned, for_s } => {
-                if !subject.is_empty() && subject.len() <= LONGEST_NAME {
+                if !subject.is_empty() && subject.len() <= MAX_NAME_BYTES {
                     self.shared.say(now, self.members.local_id(), subject, cordoned, for_s);
                     self.spread(now, &News::OperatorOrder(subject.to_owned()), None);
                 }
@@ -454,7 +454,7 @@
         for output in outputs {
             match output {
                 Output::Send(to, message) => {
-                    self.send(now, to, &Body::Check(message), &[], out);
+                    self.send(now, to, &Body::MembershipCheck(message), &[], out);
                 }
                 Output::Spread(node) => {
                     if !self.members.flaps(node) {
@@ -463,19 +463,25 @@
                 }
                 Output::Remind(node) => {
                     let known = self.members.state(node);
-                    let items: Vec<Item> = known.map(|l| Item::Member(node, l)).into_iter().collect();
-                    self.send(now, node, &Body::Check(Message::Ping(self.members.local_id())), &items, out);
+                    let items: Vec<Update> = known.map(|l| Update::Member(node, l)).into_iter().collect();
+                    self.send(
+                        now,
+                        node,
+                        &Body::MembershipCheck(Message::Ping(self.members.local_id())),
+                        &items,
+                        out,
+                    );
                 }
             }
         }
     }
 
     /// Writes and sends; says how many of the items went along.
-    fn send(&mut self, now: Ms, to: NodeId, body: &Body, items: &[Item], out: &mut Vec<Action>) -> usize {
+    fn send(&mut self, now: Ms, to: NodeId, body: &Body, items: &[Update], out: &mut Vec<Action>) -> usize {
         let state = self.members.local_state(now);
         self.number = self.number.wrapping_add(1);
-        let head = Head { from: self.members.local_id(), state, number: self.number };
-        let (bytes, written) = packet::write(&head, body, items);
+        let head = Header { from: self.members.local_id(), state, number: self.number };
+        let (bytes, written) = datagram::encode(&head, body, items);
         self.counts.sent += 1;
         out.push(Action::Send(to, bytes));
         written
@@ -506,27 +512,27 @@
     }
 
     /// What news says now; none where it is forgotten or too old to be used.
-    fn item(&self, now: Ms, news: &News) -> Option<Item> {
+    fn item(&self, now: Ms, news: &News) -> Option<Update> {
         let age = |made: Ms| now.saturating_sub(made);
         Some(match news {
-            News::Member(node) => Item::Member(*node, self.members.state(*node)?),
+            News::Member(node) => Update::Member(*node, self.members.state(*node)?),
             News::Verdict(server, node) => {
                 let found = self.shared.found(*server, *node)?;
-                Item::Verdict(*server, *node, found.value, age(found.made))
+                Update::Verdict(*server, *node, found.value, age(found.made))
             }
             News::KeyLocation(key) => {
                 let place = self.shared.placed(*key)?;
-                Item::KeyLocation(*key, place.value, age(place.made))
+                Update::KeyLocation(*key, place.value, age(place.made))
             }
             News::OperatorOrder(server) => {
                 let said = self.shared.operator_order(server)?;
-                Item::OperatorOrder(server.clone(), said.value, age(said.made))
+                Update::OperatorOrder(server.clone(), said.value, age(said.made))
             }
         })
     }
 
     /// What waits for a neighbour and may go along with a wave; it counts as told where so many of it fit.
-    fn along(&self, now: Ms, to: NodeId) -> Vec<(Option<News>, Item)> {
+    fn along(&self, now: Ms, to: NodeId) -> Vec<(Option<News>, Update)> {
         let Some(line) = self.lines.get(&to) else { return Vec::new() };
         let waiting = line.waiting.iter().filter_map(|n| Some((Some(n.clone()), self.item(now, n)?)));
         let idle = line.idle.iter().filter_map(|k| Some((None, self.item(now, &News::KeyLocation(*k))?)));
@@ -535,7 +541,7 @@
 
     fn send_wave(&mut self, now: Ms, to: NodeId, body: &Body, out: &mut Vec<Action>) {
         let along = self.along(now, to);
-        let items: Vec<Item> = along.iter().map(|a| a.1.clone()).collect();
+        let items: Vec<Update> = along.iter().map(|a| a.1.clone()).collect();
         let written = self.send(now, to, body, &items, out);
         let lossy = self.lines.get(&to).map_or(0, |l| l.lossy);
         if lossy >= LOSSY {
@@ -584,11 +590,11 @@
                     (self.news, line.waiting.iter().take(24).cloned().collect(), 1)
                 }
             };
-            let known: Vec<(News, Item)> =
+            let known: Vec<(News, Update)> =
                 news.into_iter().filter_map(|n| Some((n.clone(), self.item(now, &n)?))).collect();
-            let items: Vec<Item> = known.iter().map(|k| k.1.clone()).collect();
+            let items: Vec<Update> = known.iter().map(|k| k.1.clone()).collect();
             self.tokens -= 1.0;
-            let written = self.send(now, to, &Body::News(id), &items, out);
+            let written = self.send(now, to, &Body::Updates(id), &items, out);
             let news: Vec<News> = known.into_iter().take(written).map(|k| k.0).collect();
             let line = self.lines.entry(to).or_default();
             if tries == 1 {
@@ -633,7 +639,8 @@
 
     fn report(&mut self, now: Ms, out: &mut Vec<Action>) {
         let Some(parent) = self.parent else { return };
-        let body = Body::Up { wave: self.wave.number, totals: self.counted(now), digests: self.digests() };
+        let body =
+            Body::TotalsUp { wave: self.wave.number, totals: self.counted(now), digests: self.digests() };
         self.send_wave(now, parent, &body, out);
     }
 
@@ -641,7 +648,7 @@
         let Some((totals, made)) = self.total.clone() else { return };
         let totals = TenantTotals { age: now.saturating_sub(made), ..totals };
         let (root, wave, depth) = (self.wave.root, self.wave.number, self.wave.depth);
-        let body = Body::Down { root, wave, depth, totals, digests: self.digests() };
+        let body = Body::TotalsDown { root, wave, depth, totals, digests: self.digests() };
         for n in to {
             self.send_wave(now, *n, &body, out);
         }
@@ -667,7 +674,7 @@
                 if let Some(child) = self.children.get_mut(&n) {
                     child.asked += 1;
                 }
-                self.send(now, n, &Body::Again { up: true, wave: self.wave.number }, &[], out);
+                self.send(now, n, &Body::Resend { up: true, wave: self.wave.number }, &[], out);
             }
         }
         if self.parent.is_none() {
@@ -695,7 +702,7 @@
             && let Some(parent) = self.parent
         {
             self.down_asked += 1;
-            self.send(now, parent, &Body::Again { up: false, wave: self.wave.number }, &[], out);
+            self.send(now, parent, &Body::Resend { up: false, wave: self.wave.number }, &[], out);
         }
         if now >= self.wave.at + 2 * PERIOD_MS {
             // None came: this one counts as missed, and the next is waited for.
@@ -706,9 +713,9 @@
 
     fn heard(&mut self, now: Ms, from: NodeId, bytes: &[u8], out: &mut Vec<Action>) {
         let refused = &mut self.counts.refused;
-        let (head, body, items) = match packet::read(bytes) {
+        let (head, body, items) = match datagram::decode(bytes) {
             Ok(read) => read,
-            Err(PacketError::Version(_)) => return refused.version += 1,
+            Err(DatagramError::Version(_)) => return refused.version += 1,
             Err(_) => return refused.spoilt += 1,
         };
         if head.from != from || from == self.members.local_id() {
@@ -724,9 +731,15 @@
             refused.replayed += 1;
             if self.members.state(from).is_some_and(|known| head.state < known) {
                 // Should it be a start with lower numbers, it hears of that.
-                let item = self.members.state(from).map(|l| Item::Member(from, l));
-                let items: Vec<Item> = item.into_iter().collect();
-                self.send(now, from, &Body::Check(Message::Ping(self.members.local_id())), &items, out);
+                let item = self.members.state(from).map(|l| Update::Member(from, l));
+                let items: Vec<Update> = item.into_iter().collect();
+                self.send(
+                    now,
+                    from,
+                    &Body::MembershipCheck(Message::Ping(self.members.local_id())),
+                    &items,
+                    out,
+                );
             }
             return;
         }
@@ -746,9 +759,9 @@
         self.take(now, from, body, out);
     }
 
-    fn learn(&mut self, now: Ms, from: NodeId, item: Item, out: &mut Vec<Action>) {
+    fn learn(&mut self, now: Ms, from: NodeId, item: Update, out: &mut Vec<Action>) {
         match item {
-            Item::Member(node, state) => {
+            Update::Member(node, state) => {
                 let (draw, mut outputs) = (self.rng.u64(..), Vec::new());
                 let news = self.members.told(now, node, state, draw, &mut outputs);
                 self.carry_out(now, outputs, Some(from), out);
@@ -762,7 +775,7 @@
                     Fleet::wait(line, now, News::Member(node));
                 }
             }
-            Item::Verdict(server, node, finding, age) => {
+            Update::Verdict(server, node, finding, age) => {
                 let made = now.saturating_sub(age);
                 if node == self.members.local_id() || usize::from(node) >= self.members.count() {
                     return;
@@ -775,14 +788,14 @@
                     }
                 }
             }
-            Item::KeyLocation(key, place, age) => {
+            Update::KeyLocation(key, place, age) => {
                 let young = age <= self.bounds.affinity_ms;
                 if young && self.shared.place(key, place, now.saturating_sub(age)) {
                     self.spread(now, &News::KeyLocation(key), Some(from));
                     out.push(Action::KeyLocation { key, server: place.server, age });
                 }
             }
-            Item::OperatorOrder(server, word, age) => {
+            Update::OperatorOrder(server, word, age) => {
                 if self.shared.word(&server, word, now.saturating_sub(age)) {
                     self.spread(now, &News::OperatorOrder(server.clone()), Some(from));
                     out.push(Action::OperatorOrder {
@@ -806,12 +819,12 @@
         let first = NodeId::try_from(first).unwrap_or(0);
         let classes = self.members.classes(first, COMPARED);
         let words = self.shared.digest();
-        self.send(now, with, &Body::Compare { first, classes, words }, &[], out);
+        self.send(now, with, &Body::Comparison { first, classes, words }, &[], out);
     }
 
     fn take(&mut self, now: Ms, from: NodeId, body: Body, out: &mut Vec<Action>) {
         match body {
-            Body::Up { mut totals, .. } => {
+            Body::TotalsUp { mut totals, .. } => {
                 totals.trim();
                 if Some(from) == self.parent || !self.members.is_present(from) {
                     return;
@@ -824,7 +837,7 @@
                     self.neighbours.push(from);
                 }
             }
-            Body::Down { root, wave, depth, mut totals, digests } => {
+            Body::TotalsDown { root, wave, depth, mut totals, digests } => {
                 totals.trim();
                 self.down(
                     now,
@@ -844,10 +857,10 @@
                     }
                 }
             }
-            Body::News(id) => {
-                self.send(now, from, &Body::Got(id), &[], out);
+            Body::Updates(id) => {
+                self.send(now, from, &Body::Ack(id), &[], out);
             }
-            Body::Got(id) => {
+            Body::Ack(id) => {
                 if let Some(line) = self.lines.get_mut(&from)
                     && line.out.as_ref().is_some_and(|o| o.id == id)
                 {
@@ -855,24 +868,24 @@
                     line.since = now.saturating_sub(GATHER_MS);
                 }
             }
-            Body::Again { up: true, .. } => {
+            Body::Resend { up: true, .. } => {
                 if Some(from) == self.parent {
                     self.lost(from);
                     self.report(now, out);
                 }
             }
-            Body::Again { up: false, wave } => {
+            Body::Resend { up: false, wave } => {
                 if wave != self.wave.number && now.saturating_sub(self.wave.at) < PERIOD_MS {
                     self.lost(from);
                     self.pass_on(now, &[from], out);
                 }
             }
-            Body::Check(message) => {
+            Body::MembershipCheck(message) => {
                 let mut outputs = Vec::new();
                 self.members.asked(now, from, message, &mut outputs);
                 self.carry_out(now, outputs, Some(from), out);
             }
-            Body::Compare { first, classes, words } => {
+            Body::Comparison { first, classes, words } => {
                 self.compared(now, from, first, &classes, words, out)
             }
         }
@@ -921,7 +934,7 @@
         // Of one that was never heard here there is nothing to tell but that it is gone.
         let (told, unheard): (Vec<_>, Vec<_>) =
             known.partition(|(_, l)| l.incarnation > 0 || !l.status.is_present());
-        let mut items: Vec<Item> = told.into_iter().map(|(n, l)| Item::Member(n, l)).collect();
+        let mut items: Vec<Update> = told.into_iter().map(|(n, l)| Update::Member(n, l)).collect();
         if !unheard.is_empty() && self.tokens >= 1.0 {
             // The other one knows more of it, and says so when asked the same.
             self.tokens -= 1.0;
@@ -942,18 +955,18 @@
 
     fn tell_words(&mut self, now: Ms, to: NodeId, out: &mut Vec<Action>) {
         let all: Vec<String> = self.shared.words().map(|w| w.0.to_owned()).collect();
-        let items: Vec<Item> =
+        let items: Vec<Update> =
             all.into_iter().filter_map(|w| self.item(now, &News::OperatorOrder(w))).collect();
         self.press(now, to, &items, out);
     }
 
     /// Sends items at once, in as many datagrams as they need and the budget has.
-    fn press(&mut self, now: Ms, to: NodeId, items: &[Item], out: &mut Vec<Action>) {
+    fn press(&mut self, now: Ms, to: NodeId, items: &[Update], out: &mut Vec<Action>) {
         let mut left = items;
         while !left.is_empty() && self.tokens >= 1.0 {
             self.tokens -= 1.0;
             self.news = self.news.wrapping_add(1);
-            let written = self.send(now, to, &Body::News(self.news), left, out);
+            let written = self.send(now, to, &Body::Updates(self.news), left, out);
             left = left.get(written.max(1)..).unwrap_or_default();
         }
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -4,11 +4,11 @@
 //! [`fleet::Fleet`] owns the parts: [`members`] says who is in the fleet, [`share`] holds what is shared, and
 //! [`packet`] is how it is written into datagrams of at most 256 bytes. `docs/shared-state.md` tells the whole.
 
+pub mod datagram;
 pub mod departures;
 pub mod fleet;
 pub mod list_sync;
 pub mod membership;
-pub mod packet;
 pub mod shared_state;
 pub mod start_times;
 pub mod subset;
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -10,7 +10,7 @@
 use crate::socket::Descriptors;
 use crate::upstream::Upstream;
 use crate::zoning::{self, Zoning};
-use daleturn::control::packet::LONGEST_NAME;
+use daleturn::control::datagram::MAX_NAME_BYTES;
 use daleturn::operator_call::{MAX_CALL_BYTES, NO_HOLDER, OperatorCall, OperatorCallError};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -257,9 +257,9 @@
         if let OperatorCall::FleetCordon(id) | OperatorCall::FleetUncordon(id) = call {
             // Nothing may hold here that cannot be said to all.
             self.sharing.as_ref().ok_or(UNSHARED)?;
-            if id.len() > LONGEST_NAME {
+            if id.len() > MAX_NAME_BYTES {
                 return Err(format!(
-                    "nothing changed: an ID for the fleet has at most {LONGEST_NAME} bytes"
+                    "nothing changed: an ID for the fleet has at most {MAX_NAME_BYTES} bytes"
                 ));
             }
         }
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -6,9 +6,9 @@
 use crate::peers::Peers;
 use crate::rules::Current;
 use crate::zoning::{PREFIX, Zoning};
+use daleturn::control::datagram::MAX_NAME_BYTES;
 use daleturn::control::fleet::{Action, Bounds, Event, Fleet};
 use daleturn::control::membership::{Ms, NodeId, Status};
-use daleturn::control::packet::LONGEST_NAME;
 use daleturn::interface::{Observation, SharedUpdate};
 use daleturn::options::Share;
 use daleturn::wire::stable_hash;
@@ -291,8 +291,8 @@
     /// # Errors
     /// It does not fit a datagram.
     pub fn say(&self, about: &str, out: bool, for_s: u32) -> Result<(), String> {
-        if about.len() > LONGEST_NAME {
-            return Err(format!("a name for the fleet has at most {LONGEST_NAME} bytes"));
+        if about.len() > MAX_NAME_BYTES {
+            return Err(format!("a name for the fleet has at most {MAX_NAME_BYTES} bytes"));
         }
         self.act(Event::OperatorOrder { subject: about, cordoned: out, for_s });
         Ok(())
