--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -1,5 +1,5 @@
 //! What membership and shared state cost a node, by the number of members: the machines of
-//! `daleturn::control::fleet` in virtual time, over a network that loses and delays as links between
+//! `daleturn::control::gossip` in virtual time, over a network that loses and delays as links between
 //! regions do.
 //!
 //! Every node asks twelve tenants, so that each wave is as long as it gets. Bytes count both ways and
@@ -9,7 +9,7 @@
 //! reached by then is no point of the series, and `..._not_reached` counts it.
 
 use super::{Measure, MeasureError, Point, Series};
-use daleturn::control::fleet::{Action, Bounds, Event, Fleet};
+use daleturn::control::gossip::{Action, Event, Gossip, MaxAges};
 use daleturn::control::membership::{Ms, NodeId};
 use daleturn::control::shared_state::MAX_TENANTS;
 use rustix::time::{ClockId, clock_gettime};
@@ -19,7 +19,7 @@
 
 /// As often as a node's loop hands the machine a tick.
 const TICK_MS: Ms = 20;
-const BOUNDS: Bounds = Bounds { limits_ms: 7500, verdicts_ms: 3000, affinity_ms: 5000 };
+const BOUNDS: MaxAges = MaxAges { limits_ms: 7500, verdicts_ms: 3000, affinity_ms: 5000 };
 /// Bytes of IP and UDP about a datagram.
 const HEADERS: u64 = 28;
 const LOSS: f64 = 0.05;
@@ -49,7 +49,7 @@
 }
 
 struct Host {
-    fleet: Option<Box<Fleet>>,
+    fleet: Option<Box<Gossip>>,
     incarnation: u32,
     side: u8,
     rng: fastrand::Rng,
@@ -122,9 +122,9 @@
     fn start(&mut self, n: usize) {
         let (now, count, seed) = (self.now, self.hosts.len(), self.rng.u64(..));
         let Some(host) = self.hosts.get_mut(n) else { return };
-        let mut fleet = Fleet::new(now, n as NodeId, count as u16, host.incarnation, BOUNDS, seed);
+        let mut fleet = Gossip::new(now, n as NodeId, count as u16, host.incarnation, BOUNDS, seed);
         let asked: Vec<(u32, f32)> = (1..=MAX_TENANTS as u32).map(|tenant| (tenant, 10.0)).collect();
-        fleet.handle(now, Event::Asked(&asked), &mut Vec::new());
+        fleet.handle(now, Event::TenantRates(&asked), &mut Vec::new());
         host.incarnation += 1;
         host.fleet = Some(Box::new(fleet));
     }
@@ -166,7 +166,7 @@
                 self.queue.push(Reverse(Due { at, to: due.to, from: None, bytes: Vec::new() }));
                 Event::Tick
             }
-            Some((from, _)) => Event::Heard(from as NodeId, &due.bytes),
+            Some((from, _)) => Event::Datagram(from as NodeId, &due.bytes),
         };
         if due.from.is_some() && host.fleet.is_some() {
             host.count(due.bytes.len());
@@ -214,7 +214,7 @@
 
     /// Each has a total that counts all.
     fn counted(&self) -> bool {
-        let all = |fleet: &Fleet| fleet.totals(self.now).map_or(0, |(t, _)| usize::from(t.counted));
+        let all = |fleet: &Gossip| fleet.totals(self.now).map_or(0, |(t, _)| usize::from(t.counted));
         self.hosts.iter().filter_map(|h| h.fleet.as_ref()).all(|fleet| all(fleet) == self.hosts.len())
     }
 
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -8,7 +8,7 @@
 use crate::server::{Admit, Server, spec};
 use crate::settings::settings;
 use daleturn::Balancer;
-use daleturn::control::fleet::{self, Bounds, Fleet};
+use daleturn::control::gossip::{self, Gossip, MaxAges};
 use daleturn::control::membership::NodeId;
 use daleturn::control::zones::{ZoneOrder, Zones};
 use daleturn::interface::{
@@ -238,7 +238,7 @@
 /// One node.
 struct Host {
     balancer: Balancer,
-    fleet: Option<Fleet>,
+    fleet: Option<Gossip>,
     zones: Option<Zones>,
     parts: BTreeMap<u16, f64>,
     open: HashMap<RequestId, Open>,
@@ -443,12 +443,12 @@
             Balancer::new(settings.clone(), seed).map_err(|e| SimError::Settings(e.to_string()))?;
         let (own, count) = (node as NodeId, self.nodes.len() as u16);
         let share = &self.options.share;
-        let bounds = Bounds {
+        let bounds = MaxAges {
             limits_ms: share.limits_ms.into(),
             verdicts_ms: share.verdicts_ms.into(),
             affinity_ms: share.affinity_ms.into(),
         };
-        let fleet = share.on.then(|| Fleet::new(self.now as u64, own, count, epoch, bounds, seed));
+        let fleet = share.on.then(|| Gossip::new(self.now as u64, own, count, epoch, bounds, seed));
         let zones = self.options.topology.on.then(|| Zones::new(self.now, settings.zone, settings.cold_ms));
         let host = Host {
             balancer,
@@ -916,7 +916,7 @@
         (!cut && luck >= loss).then_some(self.now + ms)
     }
 
-    fn share(&mut self, node: usize, event: fleet::Event) {
+    fn share(&mut self, node: usize, event: gossip::Event) {
         let mut out = Vec::new();
         let now = self.now;
         let Some(fleet) = self.nodes[node].as_mut().and_then(|h| h.fleet.as_mut()) else { return };
@@ -927,14 +927,14 @@
             (f64::from(self.options.share.verdicts_ms), f64::from(self.options.share.affinity_ms));
         for action in out {
             match action {
-                fleet::Action::Send(to, bytes) => {
+                gossip::Action::Send(to, bytes) => {
                     self.checker.datagram(now, bytes.len());
                     let to = usize::from(to);
                     if let Some(at) = self.travels(node, to) {
                         self.push(at, What::Datagram { from: node, to, bytes });
                     }
                 }
-                fleet::Action::Verdict { server, start, node: who, failing: bad, age } => {
+                gossip::Action::Verdict { server, start, node: who, failing: bad, age } => {
                     let Some(n) = self.shorts.get(&server).copied() else { continue };
                     if start_of(self.machines[n].listed.1) == start {
                         let backend = BackendId(stable_hash(&self.plan.machines[n].name));
@@ -950,13 +950,13 @@
                         );
                     }
                 }
-                fleet::Action::KeyLocation { key, server, age } => {
+                gossip::Action::KeyLocation { key, server, age } => {
                     let Some(n) = self.shorts.get(&server).copied() else { continue };
                     let backend = BackendId(stable_hash(&self.plan.machines[n].name));
                     let until_ms = now + affinity - age as f64;
                     self.feed(node, Event::Shared(SharedUpdate::KeyLocation { key, backend, until_ms }));
                 }
-                fleet::Action::OperatorOrder { subject: about, cordoned: out, .. } => {
+                gossip::Action::OperatorOrder { subject: about, cordoned: out, .. } => {
                     self.word(node, &about, out)
                 }
             }
@@ -996,16 +996,16 @@
         match found {
             Observation::Backend { backend, failing: bad } => {
                 let start = self.ids.get(&backend).map_or(0, |n| start_of(self.machines[*n].listed.1));
-                self.share(node, fleet::Event::Verdict { server: backend.short(), start, failing: bad });
+                self.share(node, gossip::Event::Verdict { server: backend.short(), start, failing: bad });
             }
             Observation::Key { key, backend } => {
-                self.share(node, fleet::Event::KeyLocation { key, server: backend.short() })
+                self.share(node, gossip::Event::KeyLocation { key, server: backend.short() })
             }
         }
     }
 
     fn share_tick(&mut self, node: usize, turn: u64) {
-        self.share(node, fleet::Event::Tick);
+        self.share(node, gossip::Event::Tick);
         if turn.is_multiple_of(TELL_EVERY) {
             let now = self.now as u64;
             let short = |n: usize| (stable_hash(&self.plan.scenario.tenant[n].name) >> 32) as u32;
@@ -1015,10 +1015,13 @@
                 asked.iter().enumerate().map(|(n, r)| (short(n), *r as f32)).collect();
             let within = |n: usize| {
                 let quota = self.plan.scenario.tenant[n].quota_rps;
-                host.fleet.as_ref().filter(|_| quota > 0.0).and_then(|f| f.within(now, short(n), quota))
+                host.fleet
+                    .as_ref()
+                    .filter(|_| quota > 0.0)
+                    .and_then(|f| f.share_within_quota(now, short(n), quota))
             };
             let parts: Vec<Option<f64>> = (0..asked.len()).map(within).collect();
-            self.share(node, fleet::Event::Asked(&rates));
+            self.share(node, gossip::Event::TenantRates(&rates));
             self.feed(node, Event::Shared(SharedUpdate::TenantShares(parts)));
         }
     }
@@ -1061,7 +1064,7 @@
         }
         let weights = (0..names.len() as u16).map(|z| host.parts.get(&z).copied().unwrap_or(1.0)).collect();
         for (server, bad) in told {
-            self.share(node, fleet::Event::Verdict { server, start: 0, failing: bad });
+            self.share(node, gossip::Event::Verdict { server, start: 0, failing: bad });
         }
         self.feed(node, Event::ZoneWeights(weights));
     }
@@ -1259,7 +1262,7 @@
         };
         self.word(node, &about, out);
         if fleet {
-            self.share(node, fleet::Event::OperatorOrder { subject: &about, cordoned: out, for_s: 0 });
+            self.share(node, gossip::Event::OperatorOrder { subject: &about, cordoned: out, for_s: 0 });
         }
     }
 
@@ -1344,7 +1347,7 @@
                     self.push(self.now + ZONES_TICK_MS, What::Zones { node, epoch });
                 }
                 What::Datagram { from, to, bytes } => {
-                    self.share(to, fleet::Event::Heard(from as NodeId, &bytes))
+                    self.share(to, gossip::Event::Datagram(from as NodeId, &bytes))
                 }
                 What::Message { from, to, bytes } => {
                     self.feed(to, Event::PeerMessage { from: from as u32, bytes });
--- a/src/control/fleet.rs
+++ b/src/control/gossip.rs
@@ -48,7 +48,7 @@
 
 /// How old what is shared may be to be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct MaxAges {
     /// Tenants' totals.
     pub limits_ms: Ms,
     /// Verdicts on servers.
@@ -63,9 +63,9 @@
     /// Time passes; comes every 20 ms or so.
     Tick,
     /// A datagram from a member's address.
-    Heard(NodeId, &'a [u8]),
+    Datagram(NodeId, &'a [u8]),
     /// Requests a second that tenants ask of this node, by short hash.
-    Asked(&'a [(u32, f32)]),
+    TenantRates(&'a [(u32, f32)]),
     /// This node found that a server fails, or serves again; `start` tells its starts apart.
     Verdict {
         /// The server's short id.
@@ -135,15 +135,15 @@
     },
 }
 
-/// What was refused, and why.
+/// What was rejected, and why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Refused {
+pub struct RejectedDatagrams {
     /// Cut, spoilt or strange.
-    pub spoilt: u64,
+    pub corrupt: u64,
     /// Of another version.
     pub version: u64,
     /// Under another's number.
-    pub name: u64,
+    pub wrong_sender: u64,
     /// Doubled, or of an earlier time.
     pub replayed: u64,
 }
@@ -155,8 +155,8 @@
     pub sent: u64,
     /// Datagrams taken in.
     pub received: u64,
-    /// Datagrams refused.
-    pub refused: Refused,
+    /// Datagrams rejected.
+    pub rejected: RejectedDatagrams,
 }
 
 /// A reference to a piece of news; its content is looked up when it is sent.
@@ -237,8 +237,8 @@
 
 /// One node's part of the fleet.
 #[derive(Debug)]
-pub struct Fleet {
-    bounds: Bounds,
+pub struct Gossip {
+    bounds: MaxAges,
     rng: fastrand::Rng,
     members: Membership,
     shared: SharedState,
@@ -269,14 +269,14 @@
     counts: Counts,
 }
 
-impl Fleet {
+impl Gossip {
     /// The part of node `own` of `count`. `incarnation` must be greater at each start; where it is not, the others
     /// say so, and this node goes above what they know.
-    pub fn new(now: Ms, own: NodeId, count: u16, incarnation: u32, bounds: Bounds, seed: u64) -> Fleet {
+    pub fn new(now: Ms, own: NodeId, count: u16, incarnation: u32, bounds: MaxAges, seed: u64) -> Gossip {
         let mut rng = fastrand::Rng::with_seed(seed);
         let members = Membership::new(now, own, count, incarnation);
         let first = now + rng.u64(..PERIOD_MS);
-        Fleet {
+        Gossip {
             bounds,
             seen: vec![Seen::default(); members.count()],
             members,
@@ -308,7 +308,7 @@
     }
 
     /// Other bounds from here on.
-    pub fn retune(&mut self, bounds: Bounds) {
+    pub fn update_settings(&mut self, bounds: MaxAges) {
         self.bounds = bounds;
     }
 
@@ -342,7 +342,7 @@
     /// What part of a tenant's requests is within its share of `quota` requests a second over the whole fleet; none
     /// where the totals are too old, or do not tell of it. Who is not counted keeps its part of the quota: it may
     /// serve beyond a cut.
-    pub fn within(&self, now: Ms, tenant: u32, quota: f64) -> Option<f64> {
+    pub fn share_within_quota(&self, now: Ms, tenant: u32, quota: f64) -> Option<f64> {
         let (totals, _) = self.totals(now)?;
         let asked = f64::from(totals.rate(tenant)?);
         let parties = self.members.parties(now, HOLD_MS).max(usize::from(totals.counted)).max(1);
@@ -354,8 +354,8 @@
     pub fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Heard(from, bytes) => self.heard(now, from, bytes, out),
-            Event::Asked(rates) => {
+            Event::Datagram(from, bytes) => self.heard(now, from, bytes, out),
+            Event::TenantRates(rates) => {
                 self.own = rates.iter().copied().filter(|r| r.1.is_finite() && r.1 > 0.0).collect();
                 self.own.sort_by_key(|r| r.0);
                 self.own.dedup_by_key(|r| r.0);
@@ -491,7 +491,7 @@
     fn spread(&mut self, now: Ms, news: &News, but: Option<NodeId>) {
         for n in self.neighbours.iter().filter(|n| Some(**n) != but) {
             let line = self.lines.entry(*n).or_default();
-            Fleet::wait(line, now, news.clone());
+            Gossip::wait(line, now, news.clone());
         }
     }
 
@@ -712,23 +712,23 @@
     }
 
     fn heard(&mut self, now: Ms, from: NodeId, bytes: &[u8], out: &mut Vec<Action>) {
-        let refused = &mut self.counts.refused;
+        let rejected = &mut self.counts.rejected;
         let (head, body, items) = match datagram::decode(bytes) {
             Ok(read) => read,
-            Err(DatagramError::Version(_)) => return refused.version += 1,
-            Err(_) => return refused.spoilt += 1,
+            Err(DatagramError::Version(_)) => return rejected.version += 1,
+            Err(_) => return rejected.corrupt += 1,
         };
         if head.from != from || from == self.members.local_id() {
-            return refused.name += 1;
+            return rejected.wrong_sender += 1;
         }
-        let Some(seen) = self.seen.get_mut(usize::from(from)) else { return refused.name += 1 };
+        let Some(seen) = self.seen.get_mut(usize::from(from)) else { return rejected.wrong_sender += 1 };
         let known = self.members.state(from).map_or(0, |l| l.incarnation);
         if seen.incarnation > known {
             // Its numbers were believed by mistake, or it went back to what the others know.
             *seen = Seen::default();
         }
         if !seen.fresh(head.state.incarnation, head.number) {
-            refused.replayed += 1;
+            rejected.replayed += 1;
             if self.members.state(from).is_some_and(|known| head.state < known) {
                 // Should it be a start with lower numbers, it hears of that.
                 let item = self.members.state(from).map(|l| Update::Member(from, l));
@@ -772,7 +772,7 @@
                 {
                     // The teller is behind.
                     let line = self.lines.entry(from).or_default();
-                    Fleet::wait(line, now, News::Member(node));
+                    Gossip::wait(line, now, News::Member(node));
                 }
             }
             Update::Verdict(server, node, finding, age) => {
@@ -807,7 +807,7 @@
                 } else if self.shared.operator_order(&server).is_some_and(|known| known.value > word) {
                     // The teller is behind.
                     let line = self.lines.entry(from).or_default();
-                    Fleet::wait(line, now, News::OperatorOrder(server));
+                    Gossip::wait(line, now, News::OperatorOrder(server));
                 }
             }
         }
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -7,7 +7,7 @@
 use crate::rules::Current;
 use crate::zoning::{PREFIX, Zoning};
 use daleturn::control::datagram::MAX_NAME_BYTES;
-use daleturn::control::fleet::{Action, Bounds, Event, Fleet};
+use daleturn::control::gossip::{Action, Event, Gossip, MaxAges};
 use daleturn::control::membership::{Ms, NodeId, Status};
 use daleturn::interface::{Observation, SharedUpdate};
 use daleturn::options::Share;
@@ -57,7 +57,7 @@
 
 /// What this node shares.
 pub struct Sharing {
-    fleet: RefCell<Fleet>,
+    fleet: RefCell<Gossip>,
     uses: RefCell<Uses>,
     peers: Rc<Peers>,
     driver: Rc<Driver>,
@@ -69,9 +69,9 @@
     zoning: RefCell<Weak<Zoning>>,
 }
 
-fn bounds(share: &Share) -> Bounds {
+fn bounds(share: &Share) -> MaxAges {
     let ms = Ms::from;
-    Bounds {
+    MaxAges {
         limits_ms: ms(share.limits_ms),
         verdicts_ms: ms(share.verdicts_ms),
         affinity_ms: ms(share.affinity_ms),
@@ -101,7 +101,7 @@
         // Seconds since 1970 rise with each start; where a clock went back, the others say so.
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = u32::try_from(wall.as_secs()).unwrap_or(1);
-        let fleet = Fleet::new(0, own, count, incarnation, bounds(share), seed);
+        let fleet = Gossip::new(0, own, count, incarnation, bounds(share), seed);
         let uses =
             Uses { limits: Ages::new(), verdicts: Ages::new(), affinity: Ages::new(), looked: 0, alone: 0 };
         let sharing = Rc::new(Sharing {
@@ -127,7 +127,7 @@
 
     /// Other bounds from here on.
     pub fn retune(&self, share: &Share) {
-        self.fleet.borrow_mut().retune(bounds(share));
+        self.fleet.borrow_mut().update_settings(bounds(share));
         self.verdicts_ms.set(share.verdicts_ms);
         self.affinity_ms.set(share.affinity_ms);
     }
@@ -179,7 +179,7 @@
 
     fn heard(&self, from: u32, bytes: Vec<u8>) {
         match NodeId::try_from(from) {
-            Ok(from) if Sharing::is_own(&bytes) => self.act(Event::Heard(from, &bytes)),
+            Ok(from) if Sharing::is_own(&bytes) => self.act(Event::Datagram(from, &bytes)),
             _ => self.driver.message(from, bytes),
         }
     }
@@ -264,13 +264,15 @@
         let asked = self.driver.asked();
         let rates: Vec<(u32, f32)> =
             (0..asked.len()).filter_map(|t| Some((name(t)?, asked[t] as f32))).collect();
-        self.act(Event::Asked(&rates));
+        self.act(Event::TenantRates(&rates));
         let now = self.now();
         let (parts, age) = {
             let fleet = self.fleet.borrow();
             let within = |t: usize| {
                 let quota = rules.settings.tenants.get(t).map_or(0.0, |t| t.quota_rps);
-                name(t).filter(|_| quota > 0.0).and_then(|short| fleet.within(now, short, quota))
+                name(t)
+                    .filter(|_| quota > 0.0)
+                    .and_then(|short| fleet.share_within_quota(now, short, quota))
             };
             let parts: Vec<Option<f64>> = (0..rules.settings.tenants.len()).map(within).collect();
             (parts, fleet.totals(now).map(|(_, age)| age))
@@ -333,9 +335,9 @@
             "ages_ms": {"limits": uses.limits.json(), "verdicts": uses.verdicts.json(),
                         "affinity": uses.affinity.json()},
             "limits_alone": {"of": uses.looked, "times": uses.alone},
-            "datagrams": {"sent": counts.sent, "received": counts.received, "spoilt": counts.refused.spoilt,
-                          "version": counts.refused.version, "name": counts.refused.name,
-                          "replayed": counts.refused.replayed},
+            "datagrams": {"sent": counts.sent, "received": counts.received, "spoilt": counts.rejected.corrupt,
+                          "version": counts.rejected.version, "name": counts.rejected.wrong_sender,
+                          "replayed": counts.rejected.replayed},
         })
     }
 }
--- a/tests/fleet.rs
+++ b/tests/gossip.rs
@@ -1,13 +1,13 @@
 //! Many nodes' shared state over a network that loses, delays, doubles and cuts, in virtual time: who is in the
 //! fleet, how old what they share is, and what it costs.
 
-use daleturn::control::fleet::{Action, Bounds, Event, Fleet, PERIOD_MS};
+use daleturn::control::gossip::{Action, Event, Gossip, MaxAges, PERIOD_MS};
 use daleturn::control::membership::{Ms, NodeId, Status};
 use proptest::prelude::*;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
 const TICK_MS: Ms = 20;
-const BOUNDS: Bounds = Bounds { limits_ms: 7500, verdicts_ms: 3000, affinity_ms: 5000 };
+const BOUNDS: MaxAges = MaxAges { limits_ms: 7500, verdicts_ms: 3000, affinity_ms: 5000 };
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Due(std::cmp::Reverse<(Ms, u64)>, usize, Option<(NodeId, Vec<u8>)>);
@@ -25,7 +25,7 @@
 struct World {
     now: Ms,
     net: Net,
-    nodes: Vec<Option<Fleet>>,
+    nodes: Vec<Option<Gossip>>,
     incarnations: Vec<u32>,
     /// Nodes on different sides hear nothing of each other.
     side: Vec<u8>,
@@ -70,7 +70,7 @@
     fn start(&mut self, n: usize) {
         let (own, count) = (n as NodeId, self.nodes.len().max(self.incarnations.len()) as u16);
         let seed = self.rng.u64(..);
-        let fleet = Fleet::new(self.now, own, count, self.incarnations[n], BOUNDS, seed);
+        let fleet = Gossip::new(self.now, own, count, self.incarnations[n], BOUNDS, seed);
         self.incarnations[n] += 1;
         self.nodes[n] = Some(fleet);
     }
@@ -123,7 +123,7 @@
                     if self.nodes[n].is_some() {
                         self.received += 1;
                     }
-                    self.act(n, Event::Heard(from, &bytes));
+                    self.act(n, Event::Datagram(from, &bytes));
                 }
                 None => {
                     self.act(n, Event::Tick);
@@ -144,7 +144,7 @@
     }
 
     fn agree(&self) -> bool {
-        let classes = |f: &Fleet| f.members().classes(0, f.members().count());
+        let classes = |f: &Gossip| f.members().classes(0, f.members().count());
         let mut all = self.nodes.iter().flatten().map(classes);
         let first = all.next();
         all.all(|c| Some(&c) == first.as_ref())
@@ -173,7 +173,7 @@
     let mut ages = Vec::new();
     world.run(for_ms, |w, n| {
         if let Some(k) = authors.iter().position(|a| *a == n) {
-            w.act(n, Event::Asked(&[(k as u32, (w.now as f32) / 1000.0)]));
+            w.act(n, Event::TenantRates(&[(k as u32, (w.now as f32) / 1000.0)]));
         }
         if w.now < 8000 || !(w.now / TICK_MS + n as u64).is_multiple_of(7) {
             return;
@@ -297,7 +297,7 @@
 fn granted(world: &World, asked: &[f64], quota: f64) -> f64 {
     let share = |n: usize| {
         let fleet = world.nodes[n].as_ref()?;
-        fleet.within(world.now, 7, quota)
+        fleet.share_within_quota(world.now, 7, quota)
     };
     let alone = quota / asked.len() as f64;
     (0..asked.len()).map(|n| share(n).map_or(asked[n].min(alone), |part| part * asked[n])).sum()
@@ -314,7 +314,7 @@
         let quota = 100.0;
         let tell = |w: &mut World, n: usize| {
             let rate = asked[n] as f32;
-            w.act(n, Event::Asked(&[(7, rate)]));
+            w.act(n, Event::TenantRates(&[(7, rate)]));
         };
         world.run(5000, tell);
         for _ in 0..40 {
@@ -366,22 +366,22 @@
         }
         // Noise, and what was said long ago, in the name of others.
         let noise: Vec<u8> = (0..world.rng.usize(..256)).map(|_| world.rng.u8(..)).collect();
-        world.act(4, Event::Heard(9, &noise));
+        world.act(4, Event::Datagram(9, &noise));
         // Node 6 reports to node 1: what it said before is said again, in its name and in another's.
         if let Some(bytes) = world.overheard.get(world.rng.usize(..world.overheard.len().max(1))).cloned() {
             replayed += 1;
-            world.act(1, Event::Heard(6, &bytes));
-            world.act(1, Event::Heard(11, &bytes));
+            world.act(1, Event::Datagram(6, &bytes));
+            world.act(1, Event::Datagram(11, &bytes));
         }
         world.quiet(100);
     }
     world.quiet(12_000);
     assert!(world.true_to_life(), "all are there, and known to be");
     let counts = world.nodes[4].as_ref().unwrap().counts();
-    assert!(counts.refused.spoilt >= 190, "{counts:?}");
+    assert!(counts.rejected.corrupt >= 190, "{counts:?}");
     let counts = world.nodes[1].as_ref().unwrap().counts();
     assert!(replayed > 100, "{replayed}");
-    assert!(counts.refused.name >= replayed && counts.refused.replayed >= replayed, "{counts:?}");
+    assert!(counts.rejected.wrong_sender >= replayed && counts.rejected.replayed >= replayed, "{counts:?}");
 }
 
 proptest! {
