--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -3,7 +3,7 @@
 use crate::discovery_calls::{Calls, Ended, LIST_LIMIT, Progress, Resources, TooLong, span};
 use crate::driver::{Driver, Input};
 use crate::listing::{Lines, Listing, Seen};
-use crate::log::say;
+use crate::log::log_event;
 use crate::rules::Current;
 use crate::socket::Descriptors;
 use daleturn::control::departures::Departures;
@@ -133,7 +133,7 @@
     fn move_to(&mut self, at: SocketAddr, how: Discovery) {
         self.calls.move_to(at);
         self.asking.discovery_changed(self.driver.clock.now_ms(), how);
-        say!(INFO, "discovery", %at, ?how, replaced_calls = self.calls.count(), "discovery.moved");
+        log_event!(INFO, "discovery", %at, ?how, replaced_calls = self.calls.count(), "discovery.moved");
     }
 
     async fn take(&mut self, progress: Progress) {
@@ -195,7 +195,7 @@
         if !beside {
             let Listing { rev: version, all, entries, .. } = listing;
             let (number, after_ms) = (call.number(), call.elapsed_ms(now));
-            say!(
+            log_event!(
                 INFO,
                 "discovery",
                 version,
@@ -230,7 +230,16 @@
         if listing.entries > 0 {
             let Listing { rev: version, all, entries, .. } = *listing;
             let (number, after_ms) = (call.number(), call.elapsed_ms(now));
-            say!(INFO, "discovery", version, entries, all, after_ms, call = number, "discovery.listed");
+            log_event!(
+                INFO,
+                "discovery",
+                version,
+                entries,
+                all,
+                after_ms,
+                call = number,
+                "discovery.listed"
+            );
         }
     }
 
@@ -283,7 +292,7 @@
     fn overlong(&mut self) {
         self.asking.response_too_long(self.driver.clock.now_ms());
         self.driver.list_too_long();
-        say!(ERROR, "discovery", limit = LIST_LIMIT, "discovery.list_too_long");
+        log_event!(ERROR, "discovery", limit = LIST_LIMIT, "discovery.list_too_long");
     }
 
     fn failed(&mut self, call: &ListCall, reason: &str) {
@@ -336,7 +345,16 @@
             self.told_at = Some(now);
             let (number, after_ms) = (call.number(), call.elapsed_ms(now));
             let (failed, tries) = (self.calls, self.tries);
-            say!(WARN, "discovery", after_ms, reason, failed, tries, call = number, "discovery.failed");
+            log_event!(
+                WARN,
+                "discovery",
+                after_ms,
+                reason,
+                failed,
+                tries,
+                call = number,
+                "discovery.failed"
+            );
         }
     }
 
@@ -344,7 +362,7 @@
     fn over(&mut self) {
         if self.calls > 0 {
             let Failures { calls: failed, tries, .. } = *self;
-            say!(INFO, "discovery", failed, tries, "discovery.recovered");
+            log_event!(INFO, "discovery", failed, tries, "discovery.recovered");
             *self = Failures::default();
         }
     }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -5,7 +5,7 @@
 
 use crate::body::Upload;
 use crate::listing::Lines;
-use crate::log::{self, say};
+use crate::log::{self, log_event};
 use crate::peers::Peers;
 use crate::rules::Rules;
 use crate::state::State;
@@ -248,14 +248,20 @@
     match note {
         LogNote::Congested { backend, failures, tries, pause_ms } => {
             let (backend, pause_ms) = (name(backend), pause_ms.round());
-            say!(WARN, "backend", backend, failures, tries, pause_ms, "backend.congested");
+            log_event!(WARN, "backend", backend, failures, tries, pause_ms, "backend.congested");
         }
         LogNote::Live { backend, failed_trials } => {
-            say!(INFO, "backend", backend = name(backend), failed_trials, "backend.live");
+            log_event!(INFO, "backend", backend = name(backend), failed_trials, "backend.live");
         }
         LogNote::Stopped(told) => {
             let (counts, look) = (told.0.to_string(), told.1.to_string());
-            say!(INFO, "admission", counts = counts.as_str(), look = look.as_str(), "admission.stopped");
+            log_event!(
+                INFO,
+                "admission",
+                counts = counts.as_str(),
+                look = look.as_str(),
+                "admission.stopped"
+            );
         }
     }
 }
@@ -580,7 +586,7 @@
             out.chain(back).collect()
         };
         if !changes.is_empty() {
-            say!(INFO, "upgrade", changes = changes.join(", ").as_str(), "upgrade.operators_word");
+            log_event!(INFO, "upgrade", changes = changes.join(", ").as_str(), "upgrade.operators_word");
             self.take(Input::Cordoned(cordoned));
         }
     }
@@ -617,7 +623,7 @@
         } else {
             cordoned.remove(&id);
         }
-        say!(INFO, "share", backend = uid, out, ?stored, "share.operators_word");
+        log_event!(INFO, "share", backend = uid, out, ?stored, "share.operators_word");
         self.take(Input::Cordoned(cordoned));
     }
 
@@ -1111,7 +1117,7 @@
         if !same {
             let figures = self.subset.stats();
             let (listed, held, held_by) = (figures.listed, figures.held, now.unwrap_or(settings.instances));
-            say!(INFO, "list", listed, held, held_by, "list.subset");
+            log_event!(INFO, "list", listed, held, held_by, "list.subset");
             self.due.push_back(Input::Settings(Box::new(settings.clone())));
         }
     }
@@ -1187,7 +1193,7 @@
         if !left.is_empty() {
             left.sort();
             let backends = left.iter().take(NAMED_IN_LOG).map(|uid| &**uid).collect::<Vec<_>>().join(",");
-            say!(INFO, "backend", count = left.len(), backends = backends.as_str(), "backend.left");
+            log_event!(INFO, "backend", count = left.len(), backends = backends.as_str(), "backend.left");
         }
     }
 }
--- a/src/node/durable.rs
+++ b/src/node/durable.rs
@@ -1,7 +1,7 @@
 //! What survives this machine: operators' words, this node's incarnation, the last list and what was learned, in the
 //! directory that `[state] dir` names. A thread of its own has the disk; nobody who is served waits for it.
 
-use crate::log::say;
+use crate::log::log_event;
 use daleturn::options::State;
 use daleturn_store::scripted_faults::ScriptedFaultDisk;
 use daleturn_store::{Disk, Entry, Limits, RealDisk, Store, StoreError};
@@ -180,7 +180,7 @@
     fn open(state: &State, limits: Limits) -> Result<(Thread<AnyDisk>, Kept, u64), StoreError> {
         let (mut store, report) = Store::open(disk(state)?, limits)?;
         for (file, aside) in &report.quarantined {
-            say!(ERROR, "state", file = file.as_str(), aside = aside.as_str(), "state.damaged");
+            log_event!(ERROR, "state", file = file.as_str(), aside = aside.as_str(), "state.damaged");
         }
         let now = wall_ms();
         let number = |store: &Store<AnyDisk>| {
@@ -207,7 +207,7 @@
         store.sync()?;
         let (generation, records, cut) = (report.generation, report.records, report.truncated_bytes);
         let words = kept.cordons.len();
-        say!(INFO, "state", incarnation, generation, records, cut, words, looping, "state.opened");
+        log_event!(INFO, "state", incarnation, generation, records, cut, words, looping, "state.opened");
         Ok((Thread { store }, kept, incarnation))
     }
 }
@@ -231,7 +231,7 @@
                 let said = written.as_ref().copied().map_err(ToString::to_string);
                 let late = done.send(said).is_err();
                 if late {
-                    say!(WARN, "state", kind, key = key.as_str(), "state.too_late");
+                    log_event!(WARN, "state", kind, key = key.as_str(), "state.too_late");
                 }
                 if late || written.is_err() {
                     // Whoever asked was told that nothing changed: what was there before holds.
@@ -292,11 +292,11 @@
                         .map(|(entries, ..)| believed(&entries, wall_ms(), false))
                         .unwrap_or_default();
                     let _ = first.try_send(kept);
-                    say!(INFO, "state", "state.held");
+                    log_event!(INFO, "state", "state.held");
                 }
             }
             Err(e) => {
-                say!(ERROR, "state", reason = e.to_string().as_str(), "state.unusable");
+                log_event!(ERROR, "state", reason = e.to_string().as_str(), "state.unusable");
                 let _ = first.try_send(Kept::default());
                 return;
             }
@@ -315,7 +315,7 @@
     while let Ok(job) = jobs.recv() {
         if let Err(e) = thread.work(job) {
             set(&|c| c.failed += 1);
-            say!(ERROR, "state", reason = e.to_string().as_str(), "state.failed");
+            log_event!(ERROR, "state", reason = e.to_string().as_str(), "state.failed");
         }
     }
 }
@@ -343,7 +343,7 @@
             Err(_) => Err(RecvTimeoutError::Disconnected),
         };
         if kept.is_err() {
-            say!(ERROR, "state", "state.slow_start");
+            log_event!(ERROR, "state", "state.slow_start");
         }
         let durable = Durable {
             jobs: RefCell::new(Some(jobs)),
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -2,7 +2,7 @@
 //! descriptors and places for long transfers each may use.
 
 use crate::driver::Driver;
-use crate::log::say;
+use crate::log::log_event;
 use crate::rules::Current;
 use crate::socket::Descriptors;
 use crate::state::{Record, Stage, State};
@@ -131,7 +131,7 @@
         if !self.others.borrow().is_empty()
             && let Some(memory) = self.state.left(&self.rules.get().names)
         {
-            say!(INFO, "upgrade", backends = memory.backends.len(), "upgrade.remembers");
+            log_event!(INFO, "upgrade", backends = memory.backends.len(), "upgrade.remembers");
             self.driver.remember(memory);
         }
         self.look();
@@ -185,7 +185,7 @@
                 Role::Older => "old of two",
                 Role::Newer(_) => "new of two",
             };
-            say!(INFO, "upgrade", role, descriptors = limit, used, "upgrade.role");
+            log_event!(INFO, "upgrade", role, descriptors = limit, used, "upgrade.role");
         }
         let starting = self.others.borrow().iter().any(|o| o.stage == Stage::Starting);
         if role == Role::Older && starting && self.stage.get() == Stage::Serving {
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -1,6 +1,6 @@
 //! The form in which discovery tells the list of backends, read from JSON.
 
-use crate::log::say;
+use crate::log::log_event;
 use crate::rules::Current;
 use bytes::Bytes;
 use daleturn::control::subset::{Catalog, Target, home_zone};
@@ -83,7 +83,7 @@
     /// Logs lines that were skipped: one bad line must not hide the rest.
     pub fn tell_skipped(&self) {
         for (field, line) in &self.spoilt {
-            say!(WARN, "discovery", field, entry = line.as_str(), "discovery.entry_skipped");
+            log_event!(WARN, "discovery", field, entry = line.as_str(), "discovery.entry_skipped");
         }
     }
 }
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -67,15 +67,15 @@
 }
 
 /// Writes an event, unless its level is off or this second has had its share: nothing of it is put together
-/// then. `say!(WARN, "discovery", reason = ?e, "discovery.failed")`: level, target, fields, name.
-macro_rules! say {
+/// then. `log_event!(WARN, "discovery", reason = ?e, "discovery.failed")`: level, target, fields, name.
+macro_rules! log_event {
     ($level:ident, $target:literal, $($rest:tt)+) => {
         if tracing::event_enabled!(target: $target, tracing::Level::$level) && $crate::log::admits($target) {
             tracing::event!(target: $target, tracing::Level::$level, $($rest)+);
         }
     };
 }
-pub(crate) use say;
+pub(crate) use log_event;
 
 /// Text or JSON, whichever is asked for now.
 struct Lines {
@@ -182,7 +182,7 @@
         self.told.set(dropped);
         self.told_at.set(Some(Instant::now()));
         let (unwritten, over) = dropped;
-        say!(WARN, "log", unwritten, over, "log.dropped");
+        log_event!(WARN, "log", unwritten, over, "log.dropped");
     }
 }
 
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -25,7 +25,7 @@
 use crate::driver::{Driver, Input, window};
 use crate::durable::{Durable, Kept};
 use crate::handover::Handover;
-use crate::log::{Log, say};
+use crate::log::{Log, log_event};
 use crate::operator::{Lease, Operator};
 use crate::peers::Peers;
 use crate::rules::Current;
@@ -99,7 +99,7 @@
             Ok(Err(e)) => e.to_string(),
             Err(e) => e.to_string(),
         };
-        say!(ERROR, "config", reason = turned_down.as_str(), "config.refused");
+        log_event!(ERROR, "config", reason = turned_down.as_str(), "config.refused");
         // The reader is done with it.
         Arc::unwrap_or_clone(running)
     }
@@ -124,7 +124,7 @@
         let told = (discovery, settings.discovery);
         self.discovery.send_if_modified(|known| std::mem::replace(known, told) != told);
         let taken = rules.taken;
-        say!(INFO, "config", taken, %discovery, ?settings, "config.taken");
+        log_event!(INFO, "config", taken, %discovery, ?settings, "config.taken");
         file
     }
 }
@@ -215,7 +215,7 @@
         discovery::hand_on(&driver, ListKind::Saved, known.lines).await;
     }
     if let Some(memory) = kept.learned.as_deref().and_then(|text| memory_from(text, names)) {
-        say!(INFO, "state", backends = memory.backends.len(), "state.remembers");
+        log_event!(INFO, "state", backends = memory.backends.len(), "state.remembers");
         driver.remember(memory);
     }
     let sharing = match &peers {
@@ -223,7 +223,7 @@
             Sharing::new(&options.share, peers.clone(), driver.clone(), rules.clone(), config.seed)
         }
         None if options.share.on => {
-            say!(ERROR, "share", reason = "peer_listen is not configured", "share.unusable");
+            log_event!(ERROR, "share", reason = "peer_listen is not configured", "share.unusable");
             None
         }
         _ => None,
@@ -273,7 +273,7 @@
     });
     let server = Server::new(driver.clone(), upstream.clone(), rules.clone(), descriptors.clone());
     for uid in driver.out() {
-        say!(INFO, "operator", backend = uid.as_str(), "operator.still_out");
+        log_event!(INFO, "operator", backend = uid.as_str(), "operator.still_out");
     }
     if let Some(durable) = durable.clone() {
         spawn_local(keep(durable, driver.clone(), rules.clone()));
@@ -323,7 +323,7 @@
     }
     let listener = listener.listen(BACKLOG).map_err(|e| format!("listen: {}: {e}", config.listen))?;
     handover.serves();
-    say!(INFO, "node", name = config.name.as_str(), listen = %config.listen, ?settings, "node.serving");
+    log_event!(INFO, "node", name = config.name.as_str(), listen = %config.listen, ?settings, "node.serving");
     let mut accepting = {
         let server = server.clone();
         spawn_local(async move { server.accept(listener).await })
@@ -332,7 +332,7 @@
         // Once it takes clients, and before it has answered any.
         tokio::task::yield_now().await;
         if let Err(why) = server.quiesce() {
-            say!(ERROR, "operator", why, "operator.not_quiesced");
+            log_event!(ERROR, "operator", why, "operator.not_quiesced");
         }
     }
     terminate.recv().await;
@@ -340,7 +340,7 @@
     let longest = Duration::from_secs_f64(longest.clamp(0.0, 1e6) / 1000.0).min(LONGEST_DEADLINE);
     let end = Instant::now() + longest + LAST_ANSWERS;
     let successor = handover.stops();
-    say!(INFO, "node", successor, "node.stopping");
+    log_event!(INFO, "node", successor, "node.stopping");
     server.stop(successor);
     if let Some(sharing) = sharing.filter(|_| !successor) {
         sharing.leave();
@@ -376,7 +376,7 @@
     match options.map_err(|e| (2, e)).and_then(|options| serve(&log, options)) {
         Ok(()) => ExitCode::SUCCESS,
         Err((code, reason)) => {
-            say!(ERROR, "node", reason = reason.as_str(), "node.failed");
+            log_event!(ERROR, "node", reason = reason.as_str(), "node.failed");
             ExitCode::from(code)
         }
     }
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::Driver;
 use crate::durable::{Cordon, Durable};
-use crate::log::{Log, say};
+use crate::log::{Log, log_event};
 use crate::peers::Peers;
 use crate::rules::Current;
 use crate::server::Server;
@@ -146,7 +146,7 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(e) => {
-                    say!(WARN, "operator", reason = e.to_string().as_str(), "operator.accept_failed");
+                    log_event!(WARN, "operator", reason = e.to_string().as_str(), "operator.accept_failed");
                     self.descriptors.relieve();
                     tokio::time::sleep(Duration::from_millis(5)).await;
                     continue;
@@ -332,7 +332,13 @@
             OperatorCall::Resume => self.server.resume()?,
             OperatorCall::Stats => return Ok(self.stats()),
         };
-        say!(INFO, "operator", call = call.to_string().as_str(), said = said.as_str(), "operator.called");
+        log_event!(
+            INFO,
+            "operator",
+            call = call.to_string().as_str(),
+            said = said.as_str(),
+            "operator.called"
+        );
         Ok(said)
     }
 
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,6 +1,6 @@
 //! Datagrams between nodes.
 
-use crate::log::say;
+use crate::log::log_event;
 use socket2::{Domain, Socket, Type};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
     /// Sends to one node or to all others. A message that cannot go is lost, as any may be.
     pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
         if bytes.len() > LONGEST {
-            say!(ERROR, "peers", bytes = bytes.len(), "peers.too_long");
+            log_event!(ERROR, "peers", bytes = bytes.len(), "peers.too_long");
             return;
         }
         let node = |n: u32| self.nodes.get(n as usize).copied();
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -2,7 +2,7 @@
 
 use crate::body::{Download, LONGEST_BODY, Upload, drain};
 use crate::driver::{Answer, Driver};
-use crate::log::say;
+use crate::log::log_event;
 use crate::rules::{Current, Rules};
 use crate::socket::{Descriptors, Slot, Socket};
 use crate::upstream::{BODY_LIMIT, BUFFER, Call, EXPIRES, Reply, ReplyBody, Upstream};
@@ -310,7 +310,7 @@
                 Err(e) => {
                     // Out of descriptors, or a client that has gone already: neither may end the node or
                     // keep it busy.
-                    say!(WARN, "clients", reason = e.to_string().as_str(), "clients.accept_failed");
+                    log_event!(WARN, "clients", reason = e.to_string().as_str(), "clients.accept_failed");
                     self.descriptors.relieve();
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::{Driver, Input};
 use crate::handover::Handover;
-use crate::log::say;
+use crate::log::log_event;
 use crate::peers::Peers;
 use crate::rules::Current;
 use crate::zoning::{PREFIX, Zoning};
@@ -95,7 +95,7 @@
         let own = NodeId::try_from(settings.slot).ok()?;
         let count = u16::try_from(peers.nodes()).ok()?;
         if own >= count || !settings.peer_messages {
-            say!(ERROR, "share", own, count, allowed = settings.peer_messages, "share.unusable");
+            log_event!(ERROR, "share", own, count, allowed = settings.peer_messages, "share.unusable");
             return None;
         }
         // Seconds since 1970 rise with each start; where a clock went back, the others say so.
@@ -151,7 +151,7 @@
             if here != self.here.get() {
                 if here {
                     if let Err(e) = self.peers.join() {
-                        say!(ERROR, "share", reason = e.to_string().as_str(), "share.no_address");
+                        log_event!(ERROR, "share", reason = e.to_string().as_str(), "share.no_address");
                         continue;
                     }
                     self.clone().listen();
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -2,7 +2,7 @@
 //!
 //! Each file is written whole and renamed into place. One that is absent, torn or strange counts as none.
 
-use crate::log::say;
+use crate::log::log_event;
 use daleturn::interface::{BackendId, BackendMemory, Memory};
 use daleturn::wire::{Names, stable_hash};
 use serde_json::{Value, json};
@@ -81,7 +81,7 @@
     /// The directory of the node that clients reach at `listen`; made where it is missing.
     pub fn open(listen: SocketAddr) -> State {
         let Some(tmp) = std::env::var_os("TMPDIR").filter(|t| !t.is_empty()) else {
-            say!(WARN, "state", "state.unset");
+            log_event!(WARN, "state", "state.unset");
             return State::at(None, std::process::id());
         };
         State::open_in(Path::new(&tmp), listen, std::process::id())
@@ -99,7 +99,7 @@
         match fs::create_dir_all(&dir).and_then(|()| lock(&dir, pid)) {
             Ok(alive) => State { _alive: Some(alive), ..State::at(Some(dir), pid) },
             Err(e) => {
-                say!(WARN, "state", reason = e.to_string().as_str(), "state.unwritable");
+                log_event!(WARN, "state", reason = e.to_string().as_str(), "state.unwritable");
                 State::at(None, pid)
             }
         }
@@ -115,7 +115,7 @@
         if let Some(dir) = &self.dir
             && let Err(e) = write_whole(dir, &format!("{RECORD}{}", self.pid), record.write().as_bytes())
         {
-            say!(WARN, "state", reason = e.to_string().as_str(), "state.failed");
+            log_event!(WARN, "state", reason = e.to_string().as_str(), "state.failed");
         }
     }
 
@@ -155,7 +155,7 @@
     pub fn leave(&self, memory: &Memory, names: &Names) {
         let Some(dir) = &self.dir else { return };
         if let Err(e) = write_whole(dir, MEMORY, memory_text(memory, names).as_bytes()) {
-            say!(WARN, "state", reason = e.to_string().as_str(), "state.failed");
+            log_event!(WARN, "state", reason = e.to_string().as_str(), "state.failed");
         }
     }
 
--- a/src/node/zoning.rs
+++ b/src/node/zoning.rs
@@ -3,7 +3,7 @@
 
 use crate::driver::{Driver, Input};
 use crate::durable::Durable;
-use crate::log::say;
+use crate::log::log_event;
 use crate::rules::Current;
 use crate::sharing::Sharing;
 use daleturn::control::zones::{MIN_ACTIVE_WEIGHT, ZoneOrder};
@@ -84,7 +84,7 @@
             // The steps of a ramp are no news; that it begins and ends is.
             if before.is_none_or(|(_, stand)| stand != change.state) {
                 let (weight, stand, why) = (change.weight, change.state, change.reason.as_str());
-                say!(WARN, "zone", zone = zone.as_str(), stand, weight, why, "zone.turned");
+                log_event!(WARN, "zone", zone = zone.as_str(), stand, weight, why, "zone.turned");
             }
             if let (Some(sharing), Some(bad)) = (&self.sharing, change.report) {
                 sharing.found_zone(&format!("{PREFIX}{zone}"), bad);
@@ -160,7 +160,7 @@
     pub fn hear(&self, zone: &str, out: bool, left: Option<Duration>) {
         let taken = self.order(zone, out, left);
         let refused = taken.err();
-        say!(INFO, "zone", zone, out, ?refused, "zone.operators_word");
+        log_event!(INFO, "zone", zone, out, ?refused, "zone.operators_word");
     }
 
     /// Where the zones stand.
