--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -206,7 +206,7 @@
                 ?late,
                 "discovery.late"
             );
-            self.driver.answered_late();
+            self.driver.count_late_response();
         }
         match late {
             LateAnswer::Outdated => {}
@@ -245,7 +245,7 @@
 
     /// Takes all that an answer says.
     async fn hold(&mut self, call: &ListCall, listing: Listing) {
-        self.driver.list_version(self.asking.version());
+        self.driver.set_list_version(self.asking.version());
         let Listing { all, entries, skipped, mut lines, .. } = listing;
         let kept_out = match &mut lines {
             Lines::Few(lines) => self.departures.exclude_departed(call.number(), lines),
@@ -266,7 +266,7 @@
         self.resources.seen.set(seen);
         let kind = if all { ListKind::Full } else { ListKind::Changes };
         hand_on(&self.driver, kind, lines).await;
-        self.driver.list_heard();
+        self.driver.list_received();
     }
 
     /// Takes no more of an answer than that backends leave: that counts as notified from the moment in which it was written,
@@ -274,7 +274,7 @@
     async fn depart(&mut self, listing: Listing, omissions: bool) {
         let departures = self.driver.departures(&listing.lines, omissions && listing.all);
         self.departures.record(&departures, self.asking.last_call());
-        if !self.driver.are_news(&departures) {
+        if !self.driver.any_may_be_up(&departures) {
             return;
         }
         self.ask_whether_they_left();
@@ -286,12 +286,12 @@
     fn ask_whether_they_left(&mut self) {
         self.asking.request_full_list(self.driver.clock.now_ms());
         self.calls.replace_watch();
-        self.driver.list_version(self.asking.version());
+        self.driver.set_list_version(self.asking.version());
     }
 
     fn overlong(&mut self) {
         self.asking.response_too_long(self.driver.clock.now_ms());
-        self.driver.list_too_long();
+        self.driver.count_oversized_list();
         log_event!(ERROR, "discovery", limit = LIST_LIMIT, "discovery.list_too_long");
     }
 
@@ -302,7 +302,7 @@
         // Calls that the decisions pace are few: each failure is told.
         self.failures.tell(now, call, tries, paced, reason);
         if paced {
-            self.driver.take(Input::List(ListKind::Failed, Vec::new()));
+            self.driver.handle(Input::List(ListKind::Failed, Vec::new()));
         }
     }
 }
@@ -314,15 +314,15 @@
 /// Hands on what an answer holds; many changes in slices.
 pub async fn hand_on(driver: &Rc<Driver>, kind: ListKind, lines: Lines) {
     match lines {
-        Lines::Whole(catalog, _) => driver.take(Input::Whole(kind, *catalog)),
-        Lines::Same => driver.take(Input::List(ListKind::Changes, Vec::new())),
+        Lines::Whole(catalog, _) => driver.handle(Input::FullList(kind, *catalog)),
+        Lines::Same => driver.handle(Input::List(ListKind::Changes, Vec::new())),
         Lines::Few(mut lines) => {
             while kind == ListKind::Changes && lines.len() > SLICE {
                 let rest = lines.split_off(SLICE);
-                driver.take(Input::List(kind, std::mem::replace(&mut lines, rest)));
+                driver.handle(Input::List(kind, std::mem::replace(&mut lines, rest)));
                 tokio::task::yield_now().await;
             }
-            driver.take(Input::List(kind, lines));
+            driver.handle(Input::List(kind, lines));
         }
     }
 }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -1,7 +1,7 @@
-//! The only owner of the balancer: events in, actions out, one at a time and at once.
+//! Owns the balancer: turns inputs into events, one at a time, and performs the resulting actions.
 //!
-//! It keeps what the decisions do not: where backends are, the timers, and which requests and attempts are
-//! open. It decides nothing itself.
+//! The driver keeps the state that the balancer does not hold: backend addresses, timers, and the open
+//! requests and attempts. It makes no balancing decisions itself.
 
 use crate::body::Upload;
 use crate::listing::Lines;
@@ -33,8 +33,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
-/// The decisions' clock: milliseconds since 1970 as the system had it at the start, and monotonic from
-/// there. So what discovery tells in wall time can be compared with it, and always converts alike.
+/// Clock of the balancer: milliseconds since 1970, read from the system clock once at startup and advanced
+/// by the monotonic clock from there. Wall-clock times received from discovery can be compared with it, and
+/// a given instant always converts to the same value.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -42,18 +43,18 @@
 }
 
 impl Clock {
-    /// Starts now.
+    /// Starts the clock at the current system time.
     pub fn new() -> Clock {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), start_ms: wall.as_secs_f64() * 1000.0 }
     }
 
-    /// Now.
+    /// Returns the current time in milliseconds since 1970.
     pub fn now_ms(&self) -> f64 {
         self.at_ms(Instant::now())
     }
 
-    /// A moment since the start, on this clock.
+    /// Converts an instant after the start to milliseconds since 1970.
     pub fn at_ms(&self, at: Instant) -> f64 {
         self.start_ms + at.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
@@ -63,46 +64,49 @@
     }
 }
 
-/// A request's final answer.
+/// Final answer to a client's request.
 #[derive(Debug)]
 pub enum Answer {
-    /// A backend's.
+    /// Response of a backend.
     Served(Reply),
-    /// Trying again is harmless, best after this long.
+    /// The request was not processed, so the client may safely retry.
     Refused {
-        /// Milliseconds.
+        /// Recommended delay before the retry, in milliseconds.
         retry_after_ms: f64,
     },
-    /// No promise.
+    /// The request failed; it may have been processed.
     Failed,
-    /// A backend found the request itself wrong, in these words.
+    /// A backend rejected the request itself with this status.
     Rejected(StatusCode),
 }
 
-/// The one answer that is owed. Settling uses it up, so there is no second; dropping it fails the request.
-pub struct Owed(oneshot::Sender<Answer>);
+/// Sends the single answer to a request. Sending consumes the value, so no request is answered twice;
+/// dropping it unsent fails the request.
+pub struct ResponseSender(oneshot::Sender<Answer>);
 
-impl Owed {
-    fn settle(self, answer: Answer) {
-        // A client that has gone wants none.
+impl ResponseSender {
+    fn send(self, answer: Answer) {
+        // The receiver is gone if the client has disconnected.
         let _ = self.0.send(answer);
     }
 }
 
-/// The client's side of what is owed. Dropped before the answer came, it tells that the client left.
-pub struct Ticket {
+/// Receives the answer to a submitted request. Dropping it before the answer arrives reports that the
+/// client left.
+pub struct PendingResponse {
     driver: Rc<Driver>,
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
-    /// A long request, whose time runs from its last byte.
+    /// Set for a streamed request: its deadline is counted from its last byte.
     upload: Option<Rc<Upload>>,
     from: Instant,
     wait: Duration,
 }
 
-impl Ticket {
-    /// Waits for the answer; past the deadline that is a failure, whatever is still out.
-    pub async fn answer(mut self) -> Answer {
+impl PendingResponse {
+    /// Waits for the answer. Returns [`Answer::Failed`] once the deadline has passed, even if attempts are
+    /// still in flight.
+    pub async fn wait(mut self) -> Answer {
         let expired = async {
             let from = match &self.upload {
                 Some(upload) => upload.finished().await,
@@ -118,70 +122,70 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
-        self.driver.take(Input::Left(self.id));
+        self.driver.handle(Input::ClientLeft(self.id));
     }
 }
 
-/// All that can happen to a node.
+/// Everything that can happen to a node.
 pub enum Input {
-    /// The node is up.
+    /// The node has started.
     Start,
-    /// New settings.
+    /// New settings apply.
     Settings(Box<Settings>),
-    /// What the process before this one has learned.
+    /// State learned by the previous process of this node.
     Memory(Box<Memory>),
-    /// News of the list.
+    /// Entries of a backend list.
     List(ListKind, Vec<Target>),
-    /// A long whole list.
-    Whole(ListKind, Catalog),
-    /// These backends, and no others, are out by the operators' word.
-    Cordoned(BTreeMap<BackendId, String>),
-    /// A client's request.
-    Arrived(Request, Rc<Rules>, Rc<Call>, Owed),
-    /// The client is gone, or needs nothing any more.
-    Left(RequestId),
-    /// An attempt is over.
-    Ended {
+    /// A long full list of backends.
+    FullList(ListKind, Catalog),
+    /// The complete set of cordoned backends.
+    Cordons(BTreeMap<BackendId, String>),
+    /// A client's request arrived.
+    RequestArrived(Request, Rc<Rules>, Rc<Call>, ResponseSender),
+    /// The client disconnected or needs no answer any more.
+    ClientLeft(RequestId),
+    /// An attempt ended.
+    AttemptEnded {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// Index of the attempt within the request.
         attempt: u32,
-        /// At which backend.
+        /// Backend that the attempt was sent to.
         backend: BackendId,
-        /// How.
+        /// Result of the attempt.
         finish: Finish,
-        /// Time since the send.
+        /// Time since the attempt was sent, in milliseconds.
         elapsed_ms: f64,
     },
-    /// The first bytes of a long answer are there, or a long request was answered.
-    Started {
+    /// The first bytes of a streamed response arrived, or the response to a streamed request did.
+    ResponseStarted {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// Index of the attempt within the request.
         attempt: u32,
-        /// At which backend.
+        /// Backend that the attempt was sent to.
         backend: BackendId,
-        /// The answer to pass on; none where all of it comes with the end.
+        /// Response to forward; `None` if the complete response follows with the end of the attempt.
         reply: Option<Reply>,
-        /// Time that counts.
+        /// Response time that counts against the objective, in milliseconds.
         elapsed_ms: f64,
     },
-    /// A probe is over.
-    Probed(BackendId, Finish, f64),
-    /// A timer is due.
+    /// A probe ended: the backend, the result and the elapsed time in milliseconds.
+    ProbeEnded(BackendId, Finish, f64),
+    /// The timer with this token is due.
     Timer(u64),
-    /// News that the fleet shares.
-    Fleet(SharedUpdate),
-    /// New weights of zones.
-    Zones(Vec<f64>),
-    /// Another node's message.
-    Message(u32, Vec<u8>),
+    /// An update from the shared state of the fleet.
+    Shared(SharedUpdate),
+    /// New weights of all zones, by zone number.
+    ZoneWeights(Vec<f64>),
+    /// A message from the node with this number.
+    PeerMessage(u32, Vec<u8>),
 }
 
-/// How long times are kept in the figures.
-pub fn window(options: &Options) -> Duration {
+/// Returns the length of the statistics window.
+pub fn stats_window(options: &Options) -> Duration {
     Duration::from_secs(options.stats.window_s.into())
 }
 
@@ -189,32 +193,32 @@
     if settings.reporting == Reporting::None { "/alive" } else { "/metrics/load" }
 }
 
-struct Open {
-    /// Holds the number of the request's class.
+struct OpenRequest {
+    /// Settings by which the request's class number was assigned.
     rules: Rc<Rules>,
     class: usize,
-    owed: Option<Owed>,
+    response_sender: Option<ResponseSender>,
     call: Rc<Call>,
-    /// What calls each attempt off; none where it is over.
+    /// Cancellation handles of the attempts, by attempt index; `None` once an attempt has ended.
     attempts: Vec<Option<oneshot::Sender<()>>>,
-    taken: Instant,
-    /// Where each attempt that is over went, how it ended, and in how many milliseconds.
-    course: Vec<(BackendId, Outcome, f64)>,
+    received_at: Instant,
+    /// Backend, outcome and duration in milliseconds of each attempt that has ended.
+    finished_attempts: Vec<(BackendId, Outcome, f64)>,
     rejected: Option<StatusCode>,
 }
 
-impl Open {
-    fn over(&self) -> bool {
-        self.owed.is_none() && self.attempts.iter().all(Option::is_none)
+impl OpenRequest {
+    fn is_finished(&self) -> bool {
+        self.response_sender.is_none() && self.attempts.iter().all(Option::is_none)
     }
 
-    /// Tells how a request that was not served went, for whoever follows its id.
-    fn tell(&self, answer: &Answer) {
+    /// Logs the attempts of a request that was not served, sampled, for lookup by trace ID.
+    fn log_unserved(&self, answer: &Answer) {
         if !tracing::event_enabled!(target: "request", tracing::Level::INFO) || !log::admits(log::SAMPLES) {
             return;
         }
         let text = |name: &str| self.call.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("?");
-        let course: Vec<String> = (self.course.iter())
+        let course: Vec<String> = (self.finished_attempts.iter())
             .map(|(backend, outcome, ms)| format!("{:016x} {outcome:?} {ms:.1}", backend.0))
             .collect();
         tracing::info!(
@@ -222,25 +226,25 @@
             trace = text("x-trace-id"),
             class = text("x-qos"),
             ?answer,
-            after_ms = (self.taken.elapsed().as_secs_f64() * 1e4).round() / 10.0,
+            after_ms = (self.received_at.elapsed().as_secs_f64() * 1e4).round() / 10.0,
             course = course.join(", ").as_str(),
             out = self.attempts.iter().flatten().count(),
             "request.unserved"
         );
     }
 
-    /// How a request counts that is served now.
-    fn served(&self) -> End {
-        let total = self.taken.elapsed();
+    /// Returns the statistics result of this request if it is served now.
+    fn served_result(&self) -> End {
+        let total = self.received_at.elapsed();
         let late = total.as_secs_f64() * 1000.0 > self.rules.settings.aim_ms(self.class);
-        let away = self.course.iter().map(|(_, _, ms)| ms).sum::<f64>().clamp(0.0, 1e9);
+        let away = self.finished_attempts.iter().map(|(_, _, ms)| ms).sum::<f64>().clamp(0.0, 1e9);
         let through = total.saturating_sub(Duration::from_secs_f64(away / 1000.0));
         End::Served { late, times: self.call.upload.is_none().then_some((total, through)) }
     }
 }
 
-/// Says what the decisions have to tell, in an event's form.
-fn tell(core: &Core, note: &LogNote) {
+/// Writes a note of the balancer to the log.
+fn log_note(core: &Core, note: &LogNote) {
     let name = |id: &BackendId| {
         let listed = core.listed.get(id).map(|l| l.uid.to_string());
         listed.unwrap_or_else(|| format!("{:016x}", id.0))
@@ -253,8 +257,8 @@
         LogNote::Live { backend, failed_trials } => {
             log_event!(INFO, "backend", backend = name(backend), failed_trials, "backend.live");
         }
-        LogNote::Stopped(told) => {
-            let (counts, look) = (told.0.to_string(), told.1.to_string());
+        LogNote::Stopped(stop) => {
+            let (counts, look) = (stop.0.to_string(), stop.1.to_string());
             log_event!(
                 INFO,
                 "admission",
@@ -266,8 +270,8 @@
     }
 }
 
-/// Health in discovery's words.
-fn health_word(health: Health) -> &'static str {
+/// Returns the name of a health state as discovery spells it.
+fn health_name(health: Health) -> &'static str {
     match health {
         Health::Up => "up",
         Health::Draining => "draining",
@@ -275,133 +279,134 @@
     }
 }
 
-/// The second of the system's monotonic clock.
-fn rules_second() -> u64 {
+/// Returns the number of whole seconds since the first call, by the monotonic clock.
+fn monotonic_second() -> u64 {
     static FIRST: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
     FIRST.get_or_init(Instant::now).elapsed().as_secs()
 }
 
-/// Tells a backend's starts apart, in the few bytes that a datagram has for it.
-fn start_of(entry: &ListEntry) -> u32 {
-    // The low bits are what differs.
+/// Returns a 32-bit value that distinguishes the starts of a backend in shared datagrams.
+fn start_id(entry: &ListEntry) -> u32 {
+    // Two starts differ in the low bits of their start times.
     entry.ready_at_ms.max(0.0) as u64 as u32
 }
 
-/// Why a call that takes a backend out or puts it back is turned down.
+/// Error of a call that cordons or uncordons a backend.
 #[derive(Debug, Error)]
 pub enum CordonError {
-    /// Neither listed nor out.
+    /// The backend is neither listed nor cordoned.
     #[error("no backend {0:?} is known")]
     Unknown(String),
-    /// It would not outlive this process.
+    /// The change could not be stored, so it would not survive this process.
     #[error("nothing changed, it cannot be stored: {0}")]
     Unstored(#[from] std::io::Error),
 }
 
-struct Place {
+struct BackendAddress {
     address: SocketAddr,
-    up: bool,
+    is_up: bool,
     ready_at_ms: f64,
     uid: Arc<str>,
 }
 
-/// Names of backends that are told in one line of the log; of more the count is.
-const NAMED_IN_LOG: usize = 8;
+/// Maximum number of backends named in one log event; the event also carries the total count.
+const MAX_NAMES_PER_EVENT: usize = 8;
 
 struct Core {
     balancer: Balancer,
     stats: Stats,
-    open: HashMap<RequestId, Open>,
-    places: HashMap<BackendId, Place>,
-    /// The whole list, and which part of it this node works with.
+    open_requests: HashMap<RequestId, OpenRequest>,
+    addresses: HashMap<BackendId, BackendAddress>,
+    /// The full backend list and the part of it that this node uses.
     subset: Subset,
-    /// When backends started, on this node's clock.
-    starts: StartTimes,
-    /// What discovery lists of that part, whoever is out.
+    /// Start times of backends, on this node's clock.
+    start_times: StartTimes,
+    /// This node's part of the list as discovery reports it, including cordoned backends.
     listed: HashMap<BackendId, Target>,
-    /// Who is out by the operators' word, whatever is listed.
+    /// Backends cordoned by operators, listed or not.
     cordoned: BTreeMap<BackendId, String>,
-    /// How zones fare as a whole, where that is judged.
+    /// Zone health checks; `None` if they are disabled.
     zones: Option<Zones>,
-    /// Requests of this second and of the one before.
-    asked: (u64, [u32; 2]),
-    /// What follows from an event at once, before all others.
-    due: VecDeque<Input>,
+    /// Current second, and the number of requests in the previous second and in this one.
+    request_counts: (u64, [u32; 2]),
+    /// Inputs that follow from the event being handled; they precede all queued inputs.
+    follow_ups: VecDeque<Input>,
 }
 
-/// A warm backend is taken to serve so many times what it was lately seen to.
-const HEADROOM: f64 = 1.5;
+/// Factor by which a warm backend's assumed capacity exceeds the rate it was recently seen to serve.
+const WARM_HEADROOM: f64 = 1.5;
 
-/// Takes a finding with its backend's start.
-type Sharer = Box<dyn Fn(Observation, u32)>;
+/// Receives an observation and the start ID of its backend.
+type ObservationSink = Box<dyn Fn(Observation, u32)>;
 
-/// Events in, actions out.
+/// Runs the balancer: handles inputs and performs actions.
 pub struct Driver {
     core: RefCell<Core>,
-    inbox: RefCell<VecDeque<Input>>,
-    /// The clock of all events.
+    pending_inputs: RefCell<VecDeque<Input>>,
+    /// Clock of all events.
     pub clock: Clock,
     upstream: Rc<Upstream>,
     peers: Option<Rc<Peers>>,
     state: Rc<State>,
-    watch: mpsc::UnboundedSender<bool>,
+    watch_requests: mpsc::UnboundedSender<bool>,
     probe_path: Cell<&'static str>,
-    messages: Cell<bool>,
-    next: Cell<u64>,
-    heard: Cell<bool>,
-    version: Cell<Option<u64>>,
-    /// Lists that were too long to be read.
-    too_long: Cell<u64>,
-    /// Answers of discovery to calls that had been given up or replaced.
-    late_lists: Cell<u64>,
-    /// Where findings go that the fleet shares.
-    share: RefCell<Option<Sharer>>,
+    may_receive_messages: Cell<bool>,
+    next_request_id: Cell<u64>,
+    discovery_responded: Cell<bool>,
+    list_version: Cell<Option<u64>>,
+    /// Number of lists that exceeded the size limit.
+    oversized_lists: Cell<u64>,
+    /// Number of discovery responses to calls that had timed out or been replaced.
+    late_responses: Cell<u64>,
+    /// Receiver of the observations that the fleet shares.
+    observation_sink: RefCell<Option<ObservationSink>>,
 }
 
 impl Driver {
-    /// A driver that has heard nothing yet; the decisions' wish to watch the list goes out on `watch`.
+    /// Creates a driver without a backend list. The balancer's requests to watch the list are sent on
+    /// `watch_requests`.
     pub fn new(
         balancer: Balancer,
         rules: &Rules,
         upstream: Rc<Upstream>,
         peers: Option<Rc<Peers>>,
         state: Rc<State>,
-        watch: mpsc::UnboundedSender<bool>,
+        watch_requests: mpsc::UnboundedSender<bool>,
         options: &Options,
     ) -> Rc<Driver> {
         Rc::new(Driver {
             core: RefCell::new(Core {
                 balancer,
-                stats: Stats::new(window(options)),
-                open: HashMap::new(),
-                places: HashMap::new(),
+                stats: Stats::new(stats_window(options)),
+                open_requests: HashMap::new(),
+                addresses: HashMap::new(),
                 subset: Subset::new(options.list.subset as usize, &rules.settings),
-                starts: StartTimes::default(),
+                start_times: StartTimes::default(),
                 listed: HashMap::new(),
                 cordoned: state.cordoned(),
                 zones: None,
-                asked: (0, [0; 2]),
-                due: VecDeque::new(),
+                request_counts: (0, [0; 2]),
+                follow_ups: VecDeque::new(),
             }),
-            inbox: RefCell::default(),
+            pending_inputs: RefCell::default(),
             clock: Clock::new(),
             upstream,
             peers,
             state,
-            watch,
+            watch_requests,
             probe_path: Cell::new(probe_path(&rules.settings)),
-            messages: Cell::new(rules.settings.peer_messages),
-            next: Cell::new(0),
-            heard: Cell::new(false),
-            version: Cell::new(None),
-            too_long: Cell::new(0),
-            late_lists: Cell::new(0),
-            share: RefCell::default(),
+            may_receive_messages: Cell::new(rules.settings.peer_messages),
+            next_request_id: Cell::new(0),
+            discovery_responded: Cell::new(false),
+            list_version: Cell::new(None),
+            oversized_lists: Cell::new(0),
+            late_responses: Cell::new(0),
+            observation_sink: RefCell::default(),
         })
     }
 
-    /// Takes in a request that arrived at `from` and hands out the ticket for its answer. The decisions must
-    /// have ended it within `wait` less `margin`; after `wait` this node does so without them.
+    /// Submits a request that arrived at `from`. The balancer has to finish it within `wait` less `margin`;
+    /// after `wait` the returned future fails it regardless of the balancer.
     pub fn submit(
         self: &Rc<Self>,
         mut request: Request,
@@ -410,45 +415,46 @@
         from: Instant,
         wait: Duration,
         margin: Duration,
-    ) -> Ticket {
-        let id = RequestId(self.next.get());
-        self.next.set(id.0 + 1);
+    ) -> PendingResponse {
+        let id = RequestId(self.next_request_id.get());
+        self.next_request_id.set(id.0 + 1);
         request.id = id;
         request.deadline_ms = self.clock.at_ms(from + wait.saturating_sub(margin));
-        let (owed, answer) = oneshot::channel();
+        let (response_sender, answer) = oneshot::channel();
         let upload = call.upload.clone();
-        self.take(Input::Arrived(request, rules, Rc::new(call), Owed(owed)));
-        Ticket { driver: self.clone(), id, answer, upload, from, wait }
+        self.handle(Input::RequestArrived(request, rules, Rc::new(call), ResponseSender(response_sender)));
+        PendingResponse { driver: self.clone(), id, answer, upload, from, wait }
     }
 
-    /// Requests that are not over.
-    pub fn open(&self) -> usize {
-        self.core.borrow().open.len()
+    /// Returns the number of open requests.
+    pub fn open_requests(&self) -> usize {
+        self.core.borrow().open_requests.len()
     }
 
-    /// The list that is known has this version.
-    pub fn list_version(&self, version: Option<u64>) {
-        self.version.set(version);
+    /// Sets the version of the known list.
+    pub fn set_list_version(&self, version: Option<u64>) {
+        self.list_version.set(version);
     }
 
-    /// All of an answer of discovery was taken.
-    pub fn list_heard(&self) {
+    /// Records that a discovery response has been applied completely.
+    pub fn list_received(&self) {
         let core = &mut *self.core.borrow_mut();
-        core.starts.list_received(self.clock.now_ms());
-        core.starts.trim(|backend| core.subset.is_listed(backend));
+        core.start_times.list_received(self.clock.now_ms());
+        core.start_times.trim(|backend| core.subset.is_listed(backend));
     }
 
-    /// A list was too long to be read.
-    pub fn list_too_long(&self) {
-        self.too_long.set(self.too_long.get() + 1);
+    /// Counts a list that exceeded the size limit.
+    pub fn count_oversized_list(&self) {
+        self.oversized_lists.set(self.oversized_lists.get() + 1);
     }
 
-    /// A call to discovery was answered that had been given up or replaced.
-    pub fn answered_late(&self) {
-        self.late_lists.set(self.late_lists.get() + 1);
+    /// Counts a discovery response to a call that had timed out or been replaced.
+    pub fn count_late_response(&self) {
+        self.late_responses.set(self.late_responses.get() + 1);
     }
 
-    /// The lines of an answer by which backends leave; with `omissions` whoever a whole list leaves out leaves, too.
+    /// Returns the entries of a response that remove backends. With `omissions`, a full list also removes
+    /// the backends that it does not contain.
     pub fn departures(&self, lines: &Lines, omissions: bool) -> Vec<Target> {
         let core = self.core.borrow();
         match lines {
@@ -458,32 +464,33 @@
         }
     }
 
-    /// Some of these backends are not known to have left.
-    pub fn are_news(&self, departures: &[Target]) -> bool {
+    /// True if any of these backends is not yet known to have left.
+    pub fn any_may_be_up(&self, departures: &[Target]) -> bool {
         let core = self.core.borrow();
         departures.iter().any(|line| core.subset.may_be_up(line.entry.backend))
     }
 
-    /// Times in the figures are kept for `window` from here on.
-    pub fn retune_stats(&self, window: Duration) {
+    /// Sets the length of the statistics window.
+    pub fn set_stats_window(&self, window: Duration) {
         self.core.borrow_mut().stats.retune(window);
     }
 
-    /// A request of a class was refused before the decisions heard of it.
-    pub fn turned_away(&self, class: Option<&str>) {
-        self.core.borrow_mut().stats.turned_away(class);
+    /// Counts a request that was refused before it reached the balancer.
+    pub fn count_early_refusal(&self, class: Option<&str>) {
+        self.core.borrow_mut().stats.count_early_refusal(class);
     }
 
-    /// What of the figures is known here.
-    pub fn figures(&self, rules: &Rules) -> Value {
+    /// Returns the statistics that the driver and the balancer hold, as JSON.
+    pub fn stats_json(&self, rules: &Rules) -> Value {
         let now = self.clock.now_ms();
         let core = &mut *self.core.borrow_mut();
-        let figures = core.balancer.snapshot(now);
+        let snapshot = core.balancer.snapshot(now);
         let known: HashMap<BackendId, &BackendSnapshot> =
-            figures.backends.iter().map(|b| (b.backend, b)).collect();
+            snapshot.backends.iter().map(|b| (b.backend, b)).collect();
         let zone_name = |zone: u16| rules.names.zone_name(zone).unwrap_or("?").to_owned();
         let mut zones: BTreeMap<String, [u64; 7]> = BTreeMap::new();
-        // Whoever is listed, or is out by the operators' word: of one that drains the decisions know little.
+        // The balancer keeps little state for draining backends, so the listed and the cordoned ones are
+        // merged here.
         let mut names: BTreeMap<&str, BackendId> =
             core.listed.iter().map(|(id, target)| (&*target.uid, *id)).collect();
         names.extend(core.cordoned.iter().map(|(id, uid)| (uid.as_str(), *id)));
@@ -504,7 +511,7 @@
             let in_flight = b.map_or(0, |b| b.in_flight);
             let zone = listed.map_or_else(|| "?".to_owned(), |l| zone_name(l.entry.zone));
             let sums = zones.entry(zone.clone()).or_default();
-            let own = [
+            let counts = [
                 1,
                 u64::from(up),
                 u64::from(up && congested),
@@ -513,14 +520,14 @@
                 sent,
                 failed,
             ];
-            sums.iter_mut().zip(own).for_each(|(sum, n)| *sum += n);
+            sums.iter_mut().zip(counts).for_each(|(sum, n)| *sum += n);
             let hundredths = |v: f64| (v * 100.0).round() / 100.0;
             backends.push(json!({
                 "id": uid, "zone": zone, "state": state, "verdict": if congested { "congested" } else { "live" },
                 "trial_in_ms": trial_in_ms, "cap": b.map(|b| hundredths(b.cap)), "in_flight": in_flight,
                 "cold": cold, "pressure": b.map(|b| hundredths(b.pressure)), "sent": sent, "done": done,
                 "failed": failed, "ms_sum": hundredths(ms), "ms_squared_sum": hundredths(ms_squared),
-                "listed": listed.map(|l| health_word(l.entry.health)),
+                "listed": listed.map(|l| health_name(l.entry.health)),
                 "start_ms": listed.map(|l| l.entry.ready_at_ms.max(0.0).round() as u64),
             }));
         }
@@ -531,48 +538,48 @@
                        "congested": congested, "cold": cold, "in_flight": in_flight, "sent": sent, "failed": failed})
             })
             .collect();
-        let [level, room, no_backend] = figures.refusals.stopped;
-        let look = figures.load;
+        let [level, room, no_backend] = snapshot.refusals.stopped;
+        let load = snapshot.load;
         let mut json = core.stats.json();
-        json["open"] = core.open.len().into();
+        json["open"] = core.open_requests.len().into();
         json["refused"] = json!({"level": level, "room": room, "no_backend": no_backend,
-            "given_up": figures.refusals.given_up, "node_full": core.stats.away()});
-        json["admission"] = json!({"level": look.level, "strain": look.strain, "pressure": look.pressure});
+            "given_up": snapshot.refusals.given_up, "node_full": core.stats.early_refusals()});
+        json["admission"] = json!({"level": load.level, "strain": load.strain, "pressure": load.pressure});
         let subset = core.subset.stats();
-        json["list"] = json!({"version": self.version.get(), "backends": subset.listed, "up": subset.up,
-            "held": subset.held, "joined": subset.joined, "left_out": subset.left_out, "too_long": self.too_long.get(),
-            "late": self.late_lists.get(),
+        json["list"] = json!({"version": self.list_version.get(), "backends": subset.listed, "up": subset.up,
+            "held": subset.held, "joined": subset.joined, "left_out": subset.left_out, "too_long": self.oversized_lists.get(),
+            "late": self.late_responses.get(),
             "held_by": core.balancer.settings().nodes_per_backend()});
         json["backends"] = backends.into();
         json["zones"] = zones.into();
         json
     }
 
-    /// Fails all that is owed, for a node that has no more time.
-    pub fn end_all(self: &Rc<Self>) {
-        let ids: Vec<RequestId> = self.core.borrow().open.keys().copied().collect();
+    /// Fails all open requests because the process is about to end.
+    pub fn fail_all(self: &Rc<Self>) {
+        let ids: Vec<RequestId> = self.core.borrow().open_requests.keys().copied().collect();
         for id in ids {
-            self.take(Input::Left(id));
+            self.handle(Input::ClientLeft(id));
         }
     }
 
-    /// A request could be served.
-    pub fn ready(&self) -> bool {
-        self.core.borrow().places.values().any(|p| p.up)
+    /// True if at least one backend is up.
+    pub fn has_backend_up(&self) -> bool {
+        self.core.borrow().addresses.values().any(|p| p.is_up)
     }
 
-    /// A list of backends is known.
-    pub fn listed(&self) -> bool {
+    /// True if a backend list is known.
+    pub fn has_list(&self) -> bool {
         !self.core.borrow().listed.is_empty()
     }
 
-    /// Discovery has answered, if only to say that it cannot.
-    pub fn heard(&self) -> bool {
-        self.heard.get()
+    /// True if a call to discovery has completed, successfully or not.
+    pub fn has_discovery_responded(&self) -> bool {
+        self.discovery_responded.get()
     }
 
-    /// These backends are out, and no others, as another process of this node may have been told.
-    pub fn cordoned(self: &Rc<Self>, cordoned: BTreeMap<BackendId, String>) {
+    /// Replaces the set of cordoned backends with one that another process of this node may have stored.
+    pub fn set_cordons(self: &Rc<Self>, cordoned: BTreeMap<BackendId, String>) {
         let changes: Vec<String> = {
             let known = &self.core.borrow().cordoned;
             let out = cordoned
@@ -587,33 +594,34 @@
         };
         if !changes.is_empty() {
             log_event!(INFO, "upgrade", changes = changes.join(", ").as_str(), "upgrade.operators_word");
-            self.take(Input::Cordoned(cordoned));
+            self.handle(Input::Cordons(cordoned));
         }
     }
 
-    /// Findings that the fleet shares go there, each with its backend's start. It is called while an event is
-    /// handled, and must not come back here.
-    pub fn share(&self, share: impl Fn(Observation, u32) + 'static) {
-        self.share.replace(Some(Box::new(share)));
+    /// Sets the receiver of shared observations; each comes with the start ID of its backend. The receiver
+    /// is called while an event is handled and must not call back into the driver.
+    pub fn set_observation_sink(&self, sink: impl Fn(Observation, u32) + 'static) {
+        self.observation_sink.replace(Some(Box::new(sink)));
     }
 
-    /// Requests a second that tenants ask of this node, by their number.
-    pub fn asked(&self) -> Vec<f64> {
+    /// Returns the requests per second that each tenant sends to this node, by tenant number.
+    pub fn tenant_request_rates(&self) -> Vec<f64> {
         self.core.borrow().balancer.tenant_request_rates()
     }
 
-    /// The backend with that short id, if this start of it, or any, is listed.
-    pub fn listed_as(&self, short: u32, start: Option<u32>) -> Option<BackendId> {
+    /// Returns the listed backend with this short ID and, if given, this start ID.
+    pub fn find_listed(&self, short: u32, start: Option<u32>) -> Option<BackendId> {
         let core = self.core.borrow();
         let found = core
             .listed
             .iter()
-            .find(|(id, t)| id.short() == short && start.is_none_or(|start| start == start_of(&t.entry)));
+            .find(|(id, t)| id.short() == short && start.is_none_or(|start| start == start_id(&t.entry)));
         found.map(|(id, _)| *id)
     }
 
-    /// An operator's word to another node of the fleet: it holds here too, listed or not.
-    pub fn fleet_word(self: &Rc<Self>, uid: &str, out: bool) {
+    /// Applies a cordon or uncordon that an operator issued at another node, whether or not the backend is
+    /// listed.
+    pub fn apply_shared_cordon(self: &Rc<Self>, uid: &str, out: bool) {
         let stored = if out { self.state.cordon(uid) } else { self.state.uncordon(uid) };
         let stored = stored.err().map(|e| e.to_string());
         let mut cordoned = self.core.borrow().cordoned.clone();
@@ -624,24 +632,24 @@
             cordoned.remove(&id);
         }
         log_event!(INFO, "share", backend = uid, out, ?stored, "share.operators_word");
-        self.take(Input::Cordoned(cordoned));
+        self.handle(Input::Cordons(cordoned));
     }
 
-    /// Zones are judged as a whole from here on.
-    pub fn judge_zones(&self, own: Option<u16>, cold_ms: f64) {
-        self.core.borrow_mut().zones = Some(Zones::new(self.clock.now_ms(), own, cold_ms));
+    /// Enables zone health checks.
+    pub fn enable_zone_checks(&self, home_zone: Option<u16>, cold_ms: f64) {
+        self.core.borrow_mut().zones = Some(Zones::new(self.clock.now_ms(), home_zone, cold_ms));
     }
 
-    /// Looks at the zones, where they are judged: `words` says how many other nodes hold a zone for lost, and
-    /// `others` whether any can be heard. Hands back what changed.
-    pub fn look_at_zones(&self, others: bool, words: impl Fn(u16) -> usize) -> Vec<ZoneChange> {
+    /// Updates the zone health checks and returns the zones that changed. `words` returns how many other
+    /// nodes report a zone as lost; `others` is true if any other node is reachable.
+    pub fn update_zones(&self, others: bool, peer_reports: impl Fn(u16) -> usize) -> Vec<ZoneChange> {
         let core = &mut *self.core.borrow_mut();
         let Some(zones) = &mut core.zones else { return Vec::new() };
         let mut up = BTreeMap::new();
         for target in core.listed.values() {
-            let own =
+            let is_up =
                 target.entry.health == Health::Up && !core.cordoned.contains_key(&target.entry.backend);
-            *up.entry(target.entry.zone).or_insert(0_usize) += usize::from(own);
+            *up.entry(target.entry.zone).or_insert(0_usize) += usize::from(is_up);
         }
         let now = self.clock.now_ms();
         let mut tripped = BTreeMap::new();
@@ -649,41 +657,41 @@
             *tripped.entry(b.zone).or_insert(0_usize) += 1;
         }
         zones.set_servers(now, &up, &tripped);
-        up.keys().for_each(|zone| zones.set_peer_reports(*zone, words(*zone)));
+        up.keys().for_each(|zone| zones.set_peer_reports(*zone, peer_reports(*zone)));
         zones.tick(now, others)
     }
 
-    /// An operator's order on a zone, or that it is taken back. False: no such zone.
+    /// Applies or revokes an operator's order on a zone. Returns false if the zone is unknown.
     pub fn order_zone(&self, zone: u16, order: Option<ZoneOrder>) -> bool {
         let now = self.clock.now_ms();
         self.core.borrow_mut().zones.as_mut().is_some_and(|z| z.apply_order(now, zone, order))
     }
 
-    /// Where the zones stand; none where they are not judged.
-    pub fn zones(&self) -> Option<Vec<daleturn::control::zones::ZoneStats>> {
+    /// Returns the state of all zones, or `None` if zone health checks are disabled.
+    pub fn zone_states(&self) -> Option<Vec<daleturn::control::zones::ZoneStats>> {
         self.core.borrow().zones.as_ref().map(Zones::stats)
     }
 
-    /// This node alone is cut off, as far as it can tell.
-    pub fn blind(&self) -> bool {
+    /// True if this node, rather than the zones, appears to be cut off from the network.
+    pub fn is_isolated(&self) -> bool {
         self.core.borrow().zones.as_ref().is_some_and(Zones::is_isolated)
     }
 
-    /// Whether what is asked fits what is left without a zone.
+    /// Checks whether the remaining backends can serve the current load without a zone.
     ///
     /// # Errors
-    /// It does not, as far as is known; with the figures.
-    pub fn without_zone(&self, zone: u16) -> Result<(), String> {
+    /// Returns the figures as text if the known capacity of the remaining backends does not suffice.
+    pub fn check_without_zone(&self, zone: u16) -> Result<(), String> {
         let core = self.core.borrow();
-        let figures = core.balancer.snapshot(self.clock.now_ms());
+        let snapshot = core.balancer.snapshot(self.clock.now_ms());
         let left_out = |b: &BackendSnapshot| {
             let zones = core.zones.as_ref().map(Zones::stats).unwrap_or_default();
             b.zone == zone || zones.iter().any(|z| z.zone == b.zone && matches!(z.state, "out" | "held"))
         };
         let left =
-            figures.backends.iter().filter(|b| b.up && b.trial_at_ms.is_none() && !left_out(b)).count();
-        let asked = core.asked.1.iter().copied().max().unwrap_or(0);
-        let each = figures.warm_rate * HEADROOM;
+            snapshot.backends.iter().filter(|b| b.up && b.trial_at_ms.is_none() && !left_out(b)).count();
+        let asked = core.request_counts.1.iter().copied().max().unwrap_or(0);
+        let each = snapshot.warm_rate * WARM_HEADROOM;
         if left > 0 && f64::from(asked) <= each * left as f64 {
             return Ok(());
         }
@@ -694,147 +702,148 @@
         ))
     }
 
-    /// What was learned here.
+    /// Returns the state that the balancer has learned.
     pub fn memory(&self) -> Memory {
         self.core.borrow().balancer.memory()
     }
 
-    /// Goes on from what another process has learned.
-    pub fn remember(self: &Rc<Self>, memory: Memory) {
-        self.take(Input::Memory(Box::new(memory)));
+    /// Restores state that another process of this node has learned.
+    pub fn restore_memory(self: &Rc<Self>, memory: Memory) {
+        self.handle(Input::Memory(Box::new(memory)));
     }
 
-    /// Whether a word outlives this process.
-    pub fn lasts(&self) -> bool {
-        self.state.lasts()
+    /// True if a cordon survives this process.
+    pub fn can_store(&self) -> bool {
+        self.state.can_store()
     }
 
-    /// These are out, too, by words from before this start.
-    pub fn still_out<'a>(self: &Rc<Self>, uids: impl Iterator<Item = &'a String>) {
+    /// Adds cordons stored before this start.
+    pub fn restore_cordons<'a>(self: &Rc<Self>, uids: impl Iterator<Item = &'a String>) {
         let mut cordoned = self.core.borrow().cordoned.clone();
         cordoned.extend(uids.map(|uid| (BackendId(stable_hash(uid)), uid.clone())));
-        self.take(Input::Cordoned(cordoned));
+        self.handle(Input::Cordons(cordoned));
     }
 
-    /// Who is out by the operators' word.
-    pub fn out(&self) -> Vec<String> {
+    /// Returns the IDs of all cordoned backends.
+    pub fn cordoned_backends(&self) -> Vec<String> {
         self.core.borrow().cordoned.values().cloned().collect()
     }
 
-    /// Whether a backend is listed, or out.
+    /// Checks that a backend is listed or cordoned.
     ///
     /// # Errors
-    /// It is neither.
-    pub fn check(&self, uid: &str) -> Result<(), CordonError> {
-        self.known(uid).map(drop)
+    /// Returns [`CordonError::Unknown`] if it is neither.
+    pub fn check_known(&self, uid: &str) -> Result<(), CordonError> {
+        self.find_known(uid).map(drop)
     }
 
-    /// The list that is known, or this node's part of a long one, in discovery's form.
-    pub fn list_text(&self, rules: &Rules) -> String {
+    /// Returns the known list, or this node's part of a long one, as discovery's JSON.
+    pub fn list_json(&self, rules: &Rules) -> String {
         let core = self.core.borrow();
         let targets: Vec<Value> = (core.listed.values())
             .map(|t| {
                 let (e, endpoint) = (&t.entry, t.address.map(|a| a.to_string()));
                 json!({"uid": &*t.uid, "endpoint": endpoint, "az": rules.names.zone_name(e.zone),
-                       "pod_group": e.cell, "state": health_word(e.health), "capacity_hint": e.units,
+                       "pod_group": e.cell, "state": health_name(e.health), "capacity_hint": e.units,
                        "boot_ms": e.ready_at_ms})
             })
             .collect();
-        // A part of a list is none that changes could be asked of.
+        // A partial list must not be used as the base of incremental changes.
         let all = !core.subset.is_truncated();
-        json!({"rev": self.version.get().unwrap_or(0), "all": all, "targets": targets}).to_string()
+        json!({"rev": self.list_version.get().unwrap_or(0), "all": all, "targets": targets}).to_string()
     }
 
-    /// The version of the list that is known.
-    pub fn version(&self) -> Option<u64> {
-        self.version.get()
+    /// Returns the version of the known list.
+    pub fn list_version(&self) -> Option<u64> {
+        self.list_version.get()
     }
 
-    /// Takes a backend out: from here on it counts as draining, whatever is listed.
+    /// Cordons a backend: the balancer treats it as draining, whatever its listed state.
     pub fn cordon(self: &Rc<Self>, uid: &str) -> Result<String, CordonError> {
-        let id = self.known(uid)?;
+        let id = self.find_known(uid)?;
         self.state.cordon(uid)?;
         let mut cordoned = self.core.borrow().cordoned.clone();
         cordoned.insert(id, uid.to_owned());
-        self.take(Input::Cordoned(cordoned));
+        self.handle(Input::Cordons(cordoned));
         Ok(format!("{uid} is out"))
     }
 
-    /// Puts a backend back: from here on it is what discovery lists it as.
+    /// Uncordons a backend: its listed state applies again.
     pub fn uncordon(self: &Rc<Self>, uid: &str) -> Result<String, CordonError> {
-        let id = self.known(uid)?;
+        let id = self.find_known(uid)?;
         self.state.uncordon(uid)?;
         let mut cordoned = self.core.borrow().cordoned.clone();
         let was_out = cordoned.remove(&id).is_some();
-        self.take(Input::Cordoned(cordoned));
+        self.handle(Input::Cordons(cordoned));
         Ok(format!("{uid} {}", if was_out { "is back" } else { "was not out" }))
     }
 
-    fn known(&self, uid: &str) -> Result<BackendId, CordonError> {
+    fn find_known(&self, uid: &str) -> Result<BackendId, CordonError> {
         let id = BackendId(stable_hash(uid));
         let core = self.core.borrow();
         let known = core.subset.is_listed(id) || core.cordoned.contains_key(&id);
         if known { Ok(id) } else { Err(CordonError::Unknown(uid.to_owned())) }
     }
 
-    /// Takes new settings, for all that follows.
-    pub fn retune(self: &Rc<Self>, rules: &Rules) {
+    /// Applies new settings.
+    pub fn apply_settings(self: &Rc<Self>, rules: &Rules) {
         self.probe_path.set(probe_path(&rules.settings));
-        self.messages.set(rules.settings.peer_messages);
-        self.take(Input::Settings(Box::new(rules.settings.clone())));
+        self.may_receive_messages.set(rules.settings.peer_messages);
+        self.handle(Input::Settings(Box::new(rules.settings.clone())));
     }
 
-    /// The one way in. What comes up while an event is handled waits for its end.
-    pub fn take(self: &Rc<Self>, input: Input) {
-        self.heard
-            .set(self.heard.get() || matches!(&input, Input::List(kind, _) | Input::Whole(kind, _) if *kind != ListKind::Saved));
-        self.inbox.borrow_mut().push_back(input);
+    /// Handles an input. Inputs that arise while an event is being handled are queued until it is done.
+    pub fn handle(self: &Rc<Self>, input: Input) {
+        self.discovery_responded
+            .set(self.discovery_responded.get() || matches!(&input, Input::List(kind, _) | Input::FullList(kind, _) if *kind != ListKind::Saved));
+        self.pending_inputs.borrow_mut().push_back(input);
         let Ok(mut core) = self.core.try_borrow_mut() else { return };
         let mut actions = Vec::new();
         loop {
-            let next = core.due.pop_front().or_else(|| self.inbox.borrow_mut().pop_front());
+            let next = core.follow_ups.pop_front().or_else(|| self.pending_inputs.borrow_mut().pop_front());
             let Some(input) = next else { return };
             let now = self.clock.now_ms();
-            let Some(event) = core.event(now, input, &self.upstream) else { continue };
+            let Some(event) = core.record_input(now, input, &self.upstream) else { continue };
             core.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(&mut core, action);
+                self.perform(&mut core, action);
             }
         }
     }
 
-    /// Another node's message, where they are allowed.
-    pub fn message(self: &Rc<Self>, from: u32, bytes: Vec<u8>) {
-        if self.messages.get() {
-            self.take(Input::Message(from, bytes));
+    /// Handles a message from another node if the settings allow peer messages.
+    pub fn handle_peer_message(self: &Rc<Self>, from: u32, bytes: Vec<u8>) {
+        if self.may_receive_messages.get() {
+            self.handle(Input::PeerMessage(from, bytes));
         }
     }
 
-    fn later(&self, input: Input) {
-        self.inbox.borrow_mut().push_back(input);
+    fn enqueue(&self, input: Input) {
+        self.pending_inputs.borrow_mut().push_back(input);
     }
 
-    fn carry_out(self: &Rc<Self>, core: &mut Core, action: Action) {
+    fn perform(self: &Rc<Self>, core: &mut Core, action: Action) {
         match action {
             Action::Send { id, backend, timeout_ms } => self.send(core, id, backend, timeout_ms),
             Action::Cancel { id, attempt } => {
-                let off = core.open.get_mut(&id).and_then(|o| o.attempts.get_mut(attempt as usize));
-                // Dropping the handle is the call: the attempt closes its connection and reports.
-                drop(off.and_then(|a| a.as_mut()).map(|a| std::mem::replace(a, oneshot::channel().0)));
+                let handle =
+                    core.open_requests.get_mut(&id).and_then(|o| o.attempts.get_mut(attempt as usize));
+                // Dropping the sender cancels the attempt, which closes its connection and reports its end.
+                drop(handle.and_then(|a| a.as_mut()).map(|a| std::mem::replace(a, oneshot::channel().0)));
             }
             Action::Refuse { id, retry_after_ms } => {
-                core.settle(id, Answer::Refused { retry_after_ms }, false)
+                core.send_answer(id, Answer::Refused { retry_after_ms }, false)
             }
             Action::Fail(id) => {
-                let rejected = core.open.get(&id).and_then(|o| o.rejected);
-                core.settle(id, rejected.map_or(Answer::Failed, Answer::Rejected), false);
+                let rejected = core.open_requests.get(&id).and_then(|o| o.rejected);
+                core.send_answer(id, rejected.map_or(Answer::Failed, Answer::Rejected), false);
             }
             Action::Timer { token, at_ms } => {
                 let driver = self.clone();
                 let due = self.clock.instant(at_ms);
                 spawn_local(async move {
                     tokio::time::sleep_until(due.into()).await;
-                    driver.take(Input::Timer(token));
+                    driver.handle(Input::Timer(token));
                 });
             }
             Action::Probe(backend) => self.probe(core, backend),
@@ -844,150 +853,155 @@
                     peers.send(to, &bytes);
                 }
             }
-            // Discovery may have ended with the node.
             Action::ShareObservation(found) => {
                 let (Observation::Backend { backend, .. } | Observation::Key { backend, .. }) = found;
-                let start = core.listed.get(&backend).map_or(0, |t| start_of(&t.entry));
-                if let Some(share) = &*self.share.borrow() {
-                    share(found, start);
+                let start = core.listed.get(&backend).map_or(0, |t| start_id(&t.entry));
+                if let Some(sink) = &*self.observation_sink.borrow() {
+                    sink(found, start);
                 }
             }
-            Action::Watch(on) => drop(self.watch.send(on)),
-            Action::Log(note) => tell(core, &note),
+            Action::Watch(on) => drop(self.watch_requests.send(on)),
+            Action::Log(note) => log_note(core, &note),
         }
     }
 
     fn send(self: &Rc<Self>, core: &mut Core, id: RequestId, backend: BackendId, timeout_ms: f64) {
-        let Some(open) = core.open.get_mut(&id) else { return };
+        let Some(open) = core.open_requests.get_mut(&id) else { return };
         let attempt = u32::try_from(open.attempts.len()).unwrap_or(u32::MAX);
-        let (off, mut called_off) = oneshot::channel::<()>();
-        let mut report = Report {
+        let (cancel, mut cancelled) = oneshot::channel::<()>();
+        let mut report = AttemptReport {
             driver: self.clone(),
             id,
             attempt,
             backend,
-            begun: Instant::now(),
+            started_at: Instant::now(),
             finish: Some(Outcome::Reset.into()),
         };
-        open.attempts.push(Some(off));
-        let place = core.places.get(&backend);
-        let (Some(_), Some(place)) = (&open.owed, place) else {
-            let outcome = if place.is_some() { Outcome::Skipped } else { Outcome::NotConnected };
+        open.attempts.push(Some(cancel));
+        let known = core.addresses.get(&backend);
+        let (Some(_), Some(known)) = (&open.response_sender, known) else {
+            let outcome = if known.is_some() { Outcome::Skipped } else { Outcome::NotConnected };
             report.finish = Some(outcome.into());
             return;
         };
         if open.call.upload.as_ref().is_some_and(|u| u.spent()) {
-            // It went to an attempt that failed, and cannot be sent again.
+            // The body was consumed by a failed attempt and cannot be sent again.
             report.finish = Some(Outcome::Skipped.into());
             return;
         }
         core.stats.sent(backend);
         let timeout = Duration::from_secs_f64(timeout_ms.clamp(0.0, 1e9) / 1000.0);
-        let errand = Errand { backend, address: place.address, call: open.call.clone(), timeout };
+        let errand = Errand { backend, address: known.address, call: open.call.clone(), timeout };
         let driver = self.clone();
         spawn_local(async move {
             let bars = || driver.bars(&errand, id, attempt);
             let started = |reply, took: Duration| {
                 let elapsed_ms = took.as_secs_f64() * 1000.0;
-                driver.take(Input::Started { id, attempt, backend, reply: Some(reply), elapsed_ms });
+                driver.handle(Input::ResponseStarted {
+                    id,
+                    attempt,
+                    backend,
+                    reply: Some(reply),
+                    elapsed_ms,
+                });
             };
             let (finish, conn) = tokio::select! {
                 biased;
-                _ = &mut called_off => (Outcome::Cancelled.into(), None),
+                _ = &mut cancelled => (Outcome::Cancelled.into(), None),
                 end = driver.upstream.attempt(&errand, bars, started) => end,
             };
             if let (Some(took), Some(_)) = (finish.took, &finish.reply) {
                 let elapsed_ms = took.as_secs_f64() * 1000.0;
-                driver.take(Input::Started { id, attempt, backend, reply: None, elapsed_ms });
+                driver.handle(Input::ResponseStarted { id, attempt, backend, reply: None, elapsed_ms });
             }
             report.finish = Some(finish);
             drop(report);
-            driver.keep(errand.backend, errand.address, conn);
+            driver.keep_connection(errand.backend, errand.address, conn);
         });
     }
 
-    /// Keeps a connection unless its backend has drained, gone or moved meanwhile.
-    fn keep(&self, backend: BackendId, address: SocketAddr, conn: Option<Conn>) {
-        if let Some(conn) = conn.filter(|_| self.strays(backend, address).is_none()) {
-            self.upstream.keep(backend, conn);
+    /// Returns a connection to the pool unless its backend has meanwhile drained, left or moved.
+    fn keep_connection(&self, backend: BackendId, address: SocketAddr, conn: Option<Conn>) {
+        if let Some(conn) = conn.filter(|_| self.check_address(backend, address).is_none()) {
+            self.upstream.keep_connection(backend, conn);
         }
     }
 
-    /// The last look at an attempt: how it ends unsent, if it must not go.
+    /// Final check before an attempt is sent. Returns the outcome if it must not be sent.
     fn bars(&self, errand: &Errand, id: RequestId, attempt: u32) -> Option<Outcome> {
-        self.strays(errand.backend, errand.address)
+        self.check_address(errand.backend, errand.address)
             .or_else(|| self.core.borrow().balancer.check_before_send(self.clock.now_ms(), id, attempt))
     }
 
-    /// Whoever is connected there is not, or not any more, the backend that is meant.
-    fn strays(&self, backend: BackendId, address: SocketAddr) -> Option<Outcome> {
+    /// Returns `NotConnected` unless the backend is up at this address.
+    fn check_address(&self, backend: BackendId, address: SocketAddr) -> Option<Outcome> {
         let core = self.core.borrow();
-        let here = core.places.get(&backend).is_some_and(|p| p.up && p.address == address);
-        (!here).then_some(Outcome::NotConnected)
+        let is_current = core.addresses.get(&backend).is_some_and(|p| p.is_up && p.address == address);
+        (!is_current).then_some(Outcome::NotConnected)
     }
 
     fn probe(self: &Rc<Self>, core: &Core, backend: BackendId) {
-        let Some(address) = core.places.get(&backend).map(|p| p.address) else {
-            self.later(Input::Probed(backend, Outcome::NotConnected.into(), 0.0));
+        let Some(address) = core.addresses.get(&backend).map(|p| p.address) else {
+            self.enqueue(Input::ProbeEnded(backend, Outcome::NotConnected.into(), 0.0));
             return;
         };
         let driver = self.clone();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         spawn_local(async move {
-            let bars = || driver.strays(backend, address);
+            let bars = || driver.check_address(backend, address);
             let (finish, conn) =
                 driver.upstream.probe(backend, address, driver.probe_path.get(), bars).await;
-            driver.take(Input::Probed(backend, finish, begun.elapsed().as_secs_f64() * 1000.0));
-            driver.keep(backend, address, conn);
+            driver.handle(Input::ProbeEnded(backend, finish, started_at.elapsed().as_secs_f64() * 1000.0));
+            driver.keep_connection(backend, address, conn);
         });
     }
 }
 
-/// Reports the end of an attempt once, by being dropped: also when its task ends in a way nobody foresaw,
-/// which may have run.
-struct Report {
+/// Reports the end of an attempt exactly once, when dropped. If its task ends unexpectedly the attempt
+/// counts as `Reset`, because the backend may have processed it.
+struct AttemptReport {
     driver: Rc<Driver>,
     id: RequestId,
     attempt: u32,
     backend: BackendId,
-    begun: Instant,
+    started_at: Instant,
     finish: Option<Finish>,
 }
 
-impl Drop for Report {
+impl Drop for AttemptReport {
     fn drop(&mut self) {
         let finish = self.finish.take().unwrap_or_else(|| Outcome::Reset.into());
         let (id, attempt, backend) = (self.id, self.attempt, self.backend);
-        let elapsed_ms = finish.took.unwrap_or_else(|| self.begun.elapsed()).as_secs_f64() * 1000.0;
-        self.driver.take(Input::Ended { id, attempt, backend, finish, elapsed_ms });
+        let elapsed_ms = finish.took.unwrap_or_else(|| self.started_at.elapsed()).as_secs_f64() * 1000.0;
+        self.driver.handle(Input::AttemptEnded { id, attempt, backend, finish, elapsed_ms });
     }
 }
 
 impl Core {
-    /// Notes what happened and says it in the decisions' words; none where they need not hear of it.
-    fn event(&mut self, now: f64, input: Input, upstream: &Upstream) -> Option<Event> {
+    /// Records an input and converts it to an event; `None` if the balancer need not handle it.
+    fn record_input(&mut self, now: f64, input: Input, upstream: &Upstream) -> Option<Event> {
         Some(match input {
             Input::Start => Event::Start,
             Input::Settings(mut settings) => {
                 settings.held_by = self.subset.nodes_per_backend(settings.instances);
                 if self.subset.update_settings(&settings) {
-                    self.due.push_back(Input::List(ListKind::Changes, Vec::new()));
+                    self.follow_ups.push_back(Input::List(ListKind::Changes, Vec::new()));
                 }
                 Event::Settings(settings)
             }
             Input::Memory(memory) => Event::Memory(memory),
             Input::List(kind, targets) => {
                 for Target { entry, .. } in &targets {
-                    self.starts.record(now, entry.backend, entry.ready_at_ms);
+                    self.start_times.record(now, entry.backend, entry.ready_at_ms);
                 }
-                let news = self.subset.apply(kind, targets);
-                self.news(now, news, upstream)
+                let update = self.subset.apply(kind, targets);
+                self.apply_list_update(now, update, upstream)
             }
-            Input::Whole(kind, catalog) => {
-                let news = self.subset.apply_full_list(kind, catalog);
-                self.news(now, news, upstream)
+            Input::FullList(kind, catalog) => {
+                let update = self.subset.apply_full_list(kind, catalog);
+                self.apply_list_update(now, update, upstream)
             }
-            Input::Cordoned(cordoned) => {
+            Input::Cordons(cordoned) => {
                 let before = std::mem::replace(&mut self.cordoned, cordoned);
                 let moved = self.listed.values().filter(|t| {
                     let id = &t.entry.backend;
@@ -997,40 +1011,41 @@
                 if moved.is_empty() {
                     return None;
                 }
-                self.list(now, ListKind::Changes, moved, upstream)
+                self.list_event(now, ListKind::Changes, moved, upstream)
             }
-            Input::Arrived(request, rules, call, owed) => {
-                let (attempts, course) = (Vec::new(), Vec::new());
+            Input::RequestArrived(request, rules, call, response_sender) => {
+                let (attempts, finished_attempts) = (Vec::new(), Vec::new());
                 self.stats.asked(rules.names.class_name(request.class));
-                let second = rules_second();
-                if self.asked.0 != second {
-                    let before = if self.asked.0 + 1 == second { self.asked.1[1] } else { 0 };
-                    self.asked = (second, [before, 0]);
+                let second = monotonic_second();
+                if self.request_counts.0 != second {
+                    let before =
+                        if self.request_counts.0 + 1 == second { self.request_counts.1[1] } else { 0 };
+                    self.request_counts = (second, [before, 0]);
                 }
-                self.asked.1[1] += 1;
-                let open = Open {
+                self.request_counts.1[1] += 1;
+                let open = OpenRequest {
                     rules,
                     class: request.class,
-                    owed: Some(owed),
+                    response_sender: Some(response_sender),
                     call,
                     attempts,
-                    taken: Instant::now(),
-                    course,
+                    received_at: Instant::now(),
+                    finished_attempts,
                     rejected: None,
                 };
-                self.open.insert(request.id, open);
+                self.open_requests.insert(request.id, open);
                 Event::Request(request)
             }
-            Input::Left(id) => {
-                // After the answer this is no news.
-                self.open.get(&id)?.owed.as_ref()?;
-                self.settle(id, Answer::Failed, true);
+            Input::ClientLeft(id) => {
+                // A client that leaves after its answer changes nothing.
+                self.open_requests.get(&id)?.response_sender.as_ref()?;
+                self.send_answer(id, Answer::Failed, true);
                 Event::ClientLeft(id)
             }
-            Input::Ended { id, attempt, backend, finish, elapsed_ms } => {
-                let open = self.open.get_mut(&id)?;
+            Input::AttemptEnded { id, attempt, backend, finish, elapsed_ms } => {
+                let open = self.open_requests.get_mut(&id)?;
                 open.attempts.get_mut(attempt as usize)?.take()?;
-                open.course.push((backend, finish.outcome, elapsed_ms));
+                open.finished_attempts.push((backend, finish.outcome, elapsed_ms));
                 open.rejected = finish.rejected;
                 self.stats.attempt_ended(backend, finish.outcome, elapsed_ms);
                 let late = elapsed_ms > open.rules.settings.aim_ms(open.class);
@@ -1038,91 +1053,93 @@
                     zones.record_outcome(target.entry.zone, backend.short(), finish.outcome, late);
                 }
                 if let Some(reply) = finish.reply
-                    && let Some(owed) = open.owed.take()
+                    && let Some(response_sender) = open.response_sender.take()
                 {
-                    self.stats.ended(open.rules.names.class_name(open.class), open.served());
-                    owed.settle(Answer::Served(reply));
+                    self.stats.ended(open.rules.names.class_name(open.class), open.served_result());
+                    response_sender.send(Answer::Served(reply));
                 }
-                let (last, outcome, load) = (open.owed.is_none(), finish.outcome, finish.load);
-                if open.over() {
-                    self.open.remove(&id);
+                let (last, outcome, load) = (open.response_sender.is_none(), finish.outcome, finish.load);
+                if open.is_finished() {
+                    self.open_requests.remove(&id);
                 }
                 Event::AttemptEnded(AttemptEnded { id, attempt, backend, outcome, last, elapsed_ms, load })
             }
-            Input::Started { id, attempt, backend, reply, elapsed_ms } => {
-                let open = self.open.get_mut(&id)?;
-                // An answer that nobody waits for any more is dropped here, and its attempt ends by that.
+            Input::ResponseStarted { id, attempt, backend, reply, elapsed_ms } => {
+                let open = self.open_requests.get_mut(&id)?;
+                // A response that no client waits for is dropped here, which ends its attempt.
                 if let Some(reply) = reply
-                    && let Some(owed) = open.owed.take()
+                    && let Some(response_sender) = open.response_sender.take()
                 {
-                    open.course.push((backend, Outcome::Done, elapsed_ms));
-                    self.stats.ended(open.rules.names.class_name(open.class), open.served());
-                    owed.settle(Answer::Served(reply));
+                    open.finished_attempts.push((backend, Outcome::Done, elapsed_ms));
+                    self.stats.ended(open.rules.names.class_name(open.class), open.served_result());
+                    response_sender.send(Answer::Served(reply));
                 }
                 Event::ResponseStarted { id, attempt, backend, elapsed_ms }
             }
-            Input::Probed(backend, finish, elapsed_ms) => {
+            Input::ProbeEnded(backend, finish, elapsed_ms) => {
                 if let (Some(zones), Some(target)) = (&mut self.zones, self.listed.get(&backend)) {
                     zones.record_outcome(target.entry.zone, backend.short(), finish.outcome, false);
                 }
                 Event::ProbeEnded { backend, outcome: finish.outcome, elapsed_ms, load: finish.load }
             }
             Input::Timer(token) => Event::Timer(token),
-            Input::Fleet(news) => Event::Shared(news),
-            Input::Zones(weights) => Event::ZoneWeights(weights),
-            Input::Message(from, bytes) => Event::PeerMessage { from, bytes },
+            Input::Shared(update) => Event::Shared(update),
+            Input::ZoneWeights(weights) => Event::ZoneWeights(weights),
+            Input::PeerMessage(from, bytes) => Event::PeerMessage { from, bytes },
         })
     }
 
-    /// `left`: it ends with its client, not by the decisions.
-    fn settle(&mut self, id: RequestId, answer: Answer, left: bool) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        if let Some(owed) = open.owed.take() {
-            open.tell(&answer);
+    /// Sends the answer to a request and records the result. `left` is true if the client left, rather than
+    /// the balancer having failed the request.
+    fn send_answer(&mut self, id: RequestId, answer: Answer, client_left: bool) {
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        if let Some(response_sender) = open.response_sender.take() {
+            open.log_unserved(&answer);
             let end = match &answer {
                 Answer::Refused { .. } => End::Refused,
                 Answer::Rejected(_) => End::Rejected,
-                Answer::Failed if left => End::Left,
+                Answer::Failed if client_left => End::Left,
                 Answer::Failed | Answer::Served(_) => End::Failed,
             };
             self.stats.ended(open.rules.names.class_name(open.class), end);
-            owed.settle(answer);
+            response_sender.send(answer);
         }
-        if open.over() {
-            self.open.remove(&id);
+        if open.is_finished() {
+            self.open_requests.remove(&id);
         }
     }
 
-    /// Takes in news of the list, as far as this node works with it.
-    fn news(&mut self, now: f64, news: ListUpdate, upstream: &Upstream) -> Event {
-        let ListUpdate { kind, lines, previous: old } = news;
+    /// Applies a list update to the part of the list that this node uses.
+    fn apply_list_update(&mut self, now: f64, update: ListUpdate, upstream: &Upstream) -> Event {
+        let ListUpdate { kind, lines, previous: old } = update;
         if let Some(old) = old {
-            // Long to drop, and nobody waits for it.
+            // Dropping a long list takes time, so it happens on a blocking thread.
             drop(tokio::task::spawn_blocking(move || drop(old)));
         }
-        self.note_listed(kind, &lines);
-        self.share_out();
-        self.list(now, kind, lines, upstream)
+        self.update_listed(kind, &lines);
+        self.update_nodes_per_backend();
+        self.list_event(now, kind, lines, upstream)
     }
 
-    /// Sees to it that the decisions divide what a backend bears by the nodes that hold it. New settings for each
-    /// backend that comes or goes would be many: an eighth more or fewer nodes is the same.
-    fn share_out(&mut self) {
+    /// Updates the number of nodes per backend, by which the balancer divides each backend's capacity. A
+    /// change of at most an eighth is ignored, since new settings for every backend that comes or goes
+    /// would be too frequent.
+    fn update_nodes_per_backend(&mut self) {
         let settings = self.balancer.settings();
         let now = self.subset.nodes_per_backend(settings.instances);
         let same = match (now, settings.held_by) {
-            (Some(now), Some(told)) => now.abs_diff(told) * 8 <= told,
-            (now, told) => now == told,
+            (Some(now), Some(known)) => now.abs_diff(known) * 8 <= known,
+            (now, known) => now == known,
         };
         if !same {
-            let figures = self.subset.stats();
-            let (listed, held, held_by) = (figures.listed, figures.held, now.unwrap_or(settings.instances));
+            let stats = self.subset.stats();
+            let (listed, held, held_by) = (stats.listed, stats.held, now.unwrap_or(settings.instances));
             log_event!(INFO, "list", listed, held, held_by, "list.subset");
-            self.due.push_back(Input::Settings(Box::new(settings.clone())));
+            self.follow_ups.push_back(Input::Settings(Box::new(settings.clone())));
         }
     }
 
-    fn note_listed(&mut self, kind: ListKind, targets: &[Target]) {
+    fn update_listed(&mut self, kind: ListKind, targets: &[Target]) {
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             self.listed.clear();
         }
@@ -1134,66 +1151,84 @@
             }
         }
         let listed = &self.listed;
-        self.stats.keep(|id| listed.contains_key(&id));
+        self.stats.retain_listed(|id| listed.contains_key(&id));
     }
 
-    /// Takes in a list as the operators' word leaves it: who is out counts as draining.
-    fn list(&mut self, now: f64, kind: ListKind, mut targets: Vec<Target>, upstream: &Upstream) -> Event {
+    /// Converts list entries to an event. Cordoned backends are passed on as draining.
+    fn list_event(
+        &mut self,
+        now: f64,
+        kind: ListKind,
+        mut targets: Vec<Target>,
+        upstream: &Upstream,
+    ) -> Event {
         for Target { entry, .. } in &mut targets {
             if entry.health == Health::Up && self.cordoned.contains_key(&entry.backend) {
                 entry.health = Health::Draining;
             }
         }
-        self.place(kind, &targets, upstream);
+        self.update_addresses(kind, &targets, upstream);
         let entries = targets.into_iter().map(|target| {
             let entry = target.entry;
             ListEntry {
-                ready_at_ms: self.starts.local_start_ms(now, entry.backend, entry.ready_at_ms),
+                ready_at_ms: self.start_times.local_start_ms(now, entry.backend, entry.ready_at_ms),
                 ..entry
             }
         });
         Event::List { kind, entries: entries.collect() }
     }
 
-    fn place(&mut self, kind: ListKind, targets: &[Target], upstream: &Upstream) {
+    fn update_addresses(&mut self, kind: ListKind, targets: &[Target], upstream: &Upstream) {
         if matches!(kind, ListKind::Full | ListKind::Saved) {
-            // Whoever the whole list leaves out is gone.
-            for place in self.places.values_mut() {
-                place.up = false;
+            // Backends that a full list omits have departed.
+            for known in self.addresses.values_mut() {
+                known.is_up = false;
             }
         }
         for Target { entry, address, uid } in targets {
-            let up = entry.health == Health::Up;
-            match (self.places.get_mut(&entry.backend), address) {
-                (Some(place), address) => {
-                    let address = address.unwrap_or(place.address);
-                    if address != place.address || entry.ready_at_ms > place.ready_at_ms {
-                        // What was connected to the old process or place is of no use.
+            let is_up = entry.health == Health::Up;
+            match (self.addresses.get_mut(&entry.backend), address) {
+                (Some(known), address) => {
+                    let address = address.unwrap_or(known.address);
+                    if address != known.address || entry.ready_at_ms > known.ready_at_ms {
+                        // Connections to the old process or address are useless.
                         upstream.release(entry.backend);
                     }
-                    *place = Place { address, up, ready_at_ms: entry.ready_at_ms, uid: uid.clone() };
+                    *known =
+                        BackendAddress { address, is_up, ready_at_ms: entry.ready_at_ms, uid: uid.clone() };
                 }
-                // Of one that is not up nothing has to be known.
-                (None, Some(address)) if up => {
-                    let place =
-                        Place { address: *address, up, ready_at_ms: entry.ready_at_ms, uid: uid.clone() };
-                    self.places.insert(entry.backend, place);
+                // No address is needed for a backend that is not is_up.
+                (None, Some(address)) if is_up => {
+                    let known = BackendAddress {
+                        address: *address,
+                        is_up,
+                        ready_at_ms: entry.ready_at_ms,
+                        uid: uid.clone(),
+                    };
+                    self.addresses.insert(entry.backend, known);
                 }
                 (None, _) => {}
             }
         }
-        let mut left = Vec::new();
-        self.places.retain(|id, place| {
-            if !place.up {
+        let mut departed = Vec::new();
+        self.addresses.retain(|id, known| {
+            if !known.is_up {
                 upstream.release(*id);
-                left.push(place.uid.clone());
+                departed.push(known.uid.clone());
             }
-            place.up
+            known.is_up
         });
-        if !left.is_empty() {
-            left.sort();
-            let backends = left.iter().take(NAMED_IN_LOG).map(|uid| &**uid).collect::<Vec<_>>().join(",");
-            log_event!(INFO, "backend", count = left.len(), backends = backends.as_str(), "backend.left");
+        if !departed.is_empty() {
+            departed.sort();
+            let backends =
+                departed.iter().take(MAX_NAMES_PER_EVENT).map(|uid| &**uid).collect::<Vec<_>>().join(",");
+            log_event!(
+                INFO,
+                "backend",
+                count = departed.len(),
+                backends = backends.as_str(),
+                "backend.left"
+            );
         }
     }
 }
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -115,7 +115,8 @@
         let begun = Instant::now();
         loop {
             let waited = begun.elapsed();
-            let list = self.driver.listed() && (self.driver.heard() || waited > NEWS_TIME);
+            let list =
+                self.driver.has_list() && (self.driver.has_discovery_responded() || waited > NEWS_TIME);
             let room = self.claimed() <= self.pool.shared() * 3 / 4 || waited > ROOM_TIME;
             if (list || waited > LIST_TIME) && room {
                 return;
@@ -132,7 +133,7 @@
             && let Some(memory) = self.state.left(&self.rules.get().names)
         {
             log_event!(INFO, "upgrade", backends = memory.backends.len(), "upgrade.remembers");
-            self.driver.remember(memory);
+            self.driver.restore_memory(memory);
         }
         self.look();
     }
@@ -192,8 +193,8 @@
             self.state.leave(&self.driver.memory(), &self.rules.get().names);
         }
         // A call may have reached the other process.
-        if before + now > 0 && self.state.lasts() {
-            self.driver.cordoned(self.state.cordoned());
+        if before + now > 0 && self.state.can_store() {
+            self.driver.set_cordons(self.state.cordoned());
         }
         let record = self.state.record(self.stage.get(), limit.max(used));
         if self.told.replace(Some(record)) != Some(record) {
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -22,7 +22,7 @@
 mod zoning;
 
 use crate::discovery::Watch;
-use crate::driver::{Driver, Input, window};
+use crate::driver::{Driver, Input, stats_window};
 use crate::durable::{Durable, Kept};
 use crate::handover::Handover;
 use crate::log::{Log, log_event};
@@ -108,7 +108,7 @@
         let Reload { file, discovery, settings, names, digest, options } = read;
         let rules = self.rules.succeed(settings, names, digest);
         self.log.retune(&options.log);
-        self.driver.retune_stats(window(&options));
+        self.driver.set_stats_window(stats_window(&options));
         if let Some(sharing) = &self.sharing {
             sharing.retune(&options.share);
         }
@@ -116,7 +116,7 @@
             zoning.retune(&options.topology);
         }
         let settings = &rules.settings;
-        self.driver.retune(&rules);
+        self.driver.apply_settings(&rules);
         self.upstream.retune(settings.connect_timeout_ms, settings.conn_idle_ms);
         if let Some(peers) = &self.peers {
             peers.renumber(settings.slot);
@@ -131,12 +131,12 @@
 
 /// Stores what was learned, and who is out, once a second at most, each node at a moment of its own.
 async fn keep(durable: Rc<Durable>, driver: Rc<Driver>, rules: Rc<Current>) {
-    let mut out = driver.out();
+    let mut out = driver.cordoned_backends();
     let mut had = durable.condition().incarnation.is_some();
     for turn in 0_u64.. {
         tokio::time::sleep(KEEP.mul_f64(1.0 + 0.5 * fastrand::f64())).await;
         let has = durable.condition().incarnation.is_some();
-        let now = driver.out();
+        let now = driver.cordoned_backends();
         // A call may have reached another process of this node, or this one has just got the directory.
         if now != out || has != had {
             durable.cordons(now.clone());
@@ -145,7 +145,7 @@
         if turn % LEARN_EVERY == 0 {
             let rules = rules.get();
             let learned = memory_text(&driver.memory(), &rules.names);
-            durable.learned(driver.version(), turn, || driver.list_text(&rules), learned);
+            durable.learned(driver.list_version(), turn, || driver.list_json(&rules), learned);
         }
     }
 }
@@ -196,8 +196,8 @@
     let (wish, wishes) = mpsc::unbounded_channel();
     let driver =
         Driver::new(balancer, &rules.get(), upstream.clone(), peers.clone(), state.clone(), wish, &options);
-    driver.still_out(kept.cordons.keys());
-    driver.take(Input::Start);
+    driver.restore_cordons(kept.cordons.keys());
+    driver.handle(Input::Start);
     let names = &rules.get().names;
     let known = listing::listing(&config.known, names);
     let last = kept.list.as_deref().and_then(|text| serde_json::from_str(text).ok());
@@ -209,14 +209,14 @@
         (_, last) => last,
     };
     let version = known.as_ref().and_then(listing::Listing::complete);
-    driver.list_version(version);
+    driver.set_list_version(version);
     if let Some(known) = known {
         known.tell_skipped();
         discovery::hand_on(&driver, ListKind::Saved, known.lines).await;
     }
     if let Some(memory) = kept.learned.as_deref().and_then(|text| memory_from(text, names)) {
         log_event!(INFO, "state", backends = memory.backends.len(), "state.remembers");
-        driver.remember(memory);
+        driver.restore_memory(memory);
     }
     let sharing = match &peers {
         Some(peers) if options.share.on => {
@@ -259,7 +259,9 @@
         sharing.listen();
     } else if let Some(peers) = peers.clone() {
         let driver = driver.clone();
-        spawn_local(async move { peers.listen(|from, bytes| driver.message(from, bytes)).await });
+        spawn_local(
+            async move { peers.listen(|from, bytes| driver.handle_peer_message(from, bytes)).await },
+        );
     }
     let (sweeping, told) = (upstream.clone(), log.clone());
     spawn_local(async move {
@@ -272,7 +274,7 @@
         }
     });
     let server = Server::new(driver.clone(), upstream.clone(), rules.clone(), descriptors.clone());
-    for uid in driver.out() {
+    for uid in driver.cordoned_backends() {
         log_event!(INFO, "operator", backend = uid.as_str(), "operator.still_out");
     }
     if let Some(durable) = durable.clone() {
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -197,7 +197,7 @@
             | OperatorCall::FleetCordon(id)
             | OperatorCall::FleetUncordon(id)
             | OperatorCall::Leased { id, .. } => {
-                self.driver.check(id).map_err(|e| e.to_string())?;
+                self.driver.check_known(id).map_err(|e| e.to_string())?;
                 durable.cordon(id, cordon).await
             }
             OperatorCall::Lease { holder, number } if *number > self.lease.borrow().number => {
@@ -217,7 +217,7 @@
             OperatorCall::Cordon { reason, .. } => Some(Cordon::now(false, reason)),
             OperatorCall::FleetCordon(_) => Some(Cordon::now(false, "said for the whole fleet")),
             OperatorCall::Leased { cordon: true, id, .. } => {
-                let out = self.driver.out().contains(id);
+                let out = self.driver.cordoned_backends().contains(id);
                 Some(Cordon::of_release(self.cordons.borrow().get(id).filter(|_| out)))
             }
             _ => None,
@@ -314,7 +314,7 @@
             OperatorCall::Cordon { id, .. } => {
                 let said = self.driver.cordon(id).map_err(|e| e.to_string())?;
                 self.remember(id, cordon);
-                let lasts = self.durable.is_some() || self.driver.lasts();
+                let lasts = self.durable.is_some() || self.driver.can_store();
                 said + if lasts { "" } else { ", until this process ends" }
             }
             OperatorCall::ZoneLeave { zone, for_s, force } => {
@@ -345,7 +345,7 @@
     /// All figures, as one line of JSON.
     fn stats(&self) -> String {
         let rules = self.rules.get();
-        let mut json = self.driver.figures(&rules);
+        let mut json = self.driver.stats_json(&rules);
         let (sent, received) = self.peers.as_ref().map_or((0, 0), |p| p.counts());
         let (unwritten, over) = self.log.dropped();
         json["name"] = self.name.as_str().into();
@@ -364,7 +364,7 @@
         let lease = self.lease.borrow();
         json["lease"] = json!({"holder": lease.holder, "number": lease.number, "age_s": lease.age_s()});
         // Those that are out: one may have been put back by a word to another node.
-        let out = self.driver.out();
+        let out = self.driver.cordoned_backends();
         let cordons = self.cordons.borrow();
         let who = |uid: &String| {
             let said = cordons.get(uid);
@@ -381,7 +381,7 @@
 
     fn health(&self) -> Result<String, String> {
         let serving = self.server.health()?;
-        if !self.driver.listed() {
+        if !self.driver.has_list() {
             return Err("no list of backends yet".to_owned());
         }
         Ok(serving.to_owned())
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -360,7 +360,7 @@
     /// From now on nothing that comes is taken, and what is open has failed: better than lost.
     pub fn end(&self) {
         self.mode.set(Mode::Over);
-        self.driver.end_all();
+        self.driver.fail_all();
     }
 
     fn stopping(&self) -> Option<Instant> {
@@ -516,7 +516,7 @@
         } else if matches!(head.method, Method::GET | Method::HEAD) {
             // With a successor, a no would take both processes away from the front.
             let here = matches!(self.mode.get(), Mode::Serving | Mode::Succeeded);
-            let ready = here && self.driver.ready() && !self.driver.blind();
+            let ready = here && self.driver.has_backend_up() && !self.driver.is_isolated();
             plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
         } else {
             turn_away(&client, arrived, body, StatusCode::METHOD_NOT_ALLOWED, "").await
@@ -537,14 +537,14 @@
             Some(_) => busy.0.carries_long(),
             None => busy.0.whole.set(true),
         }
-        let full = self.driver.open() >= rules.settings.open_cap as usize;
+        let full = self.driver.open_requests() >= rules.settings.open_cap as usize;
         let answer = if full || self.mode.get() == Mode::Over {
-            self.driver.turned_away(rules.names.class_name(asked.class));
+            self.driver.count_early_refusal(rules.names.class_name(asked.class));
             Answer::Refused { retry_after_ms: FULL_RETRY_AFTER_MS }
         } else {
             let margin = MARGIN - LAST_MARGIN;
             let wait = wait.saturating_sub(LAST_MARGIN);
-            let ticket = self.driver.submit(asked, rules, call, arrived, wait, margin);
+            let pending = self.driver.submit(asked, rules, call, arrived, wait, margin);
             let sent = async {
                 if let Some(upload) = &upload {
                     upload.finished().await;
@@ -554,7 +554,7 @@
                 std::future::pending().await
             };
             tokio::select! {
-                answer = ticket.answer() => answer,
+                answer = pending.wait() => answer,
                 never = sent => never,
             }
         };
@@ -619,7 +619,7 @@
                     (first, Some(Upload::new(rest, length, place)))
                 }
                 None => {
-                    self.driver.turned_away(rules.names.class_name(class));
+                    self.driver.count_early_refusal(rules.names.class_name(class));
                     spawn_local(drain(rest, DRAIN_TIME));
                     return Err(whole(Answer::Refused { retry_after_ms: FULL_RETRY_AFTER_MS }));
                 }
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -117,7 +117,7 @@
             zoning: RefCell::new(Weak::new()),
         });
         let own = Rc::downgrade(&sharing);
-        driver.share(move |found, start| {
+        driver.set_observation_sink(move |found, start| {
             if let Some(sharing) = own.upgrade() {
                 sharing.found(found, start);
             }
@@ -180,7 +180,7 @@
     fn heard(&self, from: u32, bytes: Vec<u8>) {
         match NodeId::try_from(from) {
             Ok(from) if Sharing::is_own(&bytes) => self.act(Event::Datagram(from, &bytes)),
-            _ => self.driver.message(from, bytes),
+            _ => self.driver.handle_peer_message(from, bytes),
         }
     }
 
@@ -206,16 +206,16 @@
                 Action::Verdict { server, start, node: who, failing: bad, age } => {
                     self.uses.borrow_mut().verdicts.note(age);
                     let until_ms = clock + f64::from(self.verdicts_ms.get()) - age as f64;
-                    if let Some(backend) = self.driver.listed_as(server, Some(start)) {
+                    if let Some(backend) = self.driver.find_listed(server, Some(start)) {
                         let news = SharedUpdate::Verdict { backend, node: who, failing: bad, until_ms };
-                        self.driver.take(Input::Fleet(news));
+                        self.driver.handle(Input::Shared(news));
                     }
                 }
                 Action::KeyLocation { key, server, age } => {
                     self.uses.borrow_mut().affinity.note(age);
                     let until_ms = clock + f64::from(self.affinity_ms.get()) - age as f64;
-                    if let Some(backend) = self.driver.listed_as(server, None) {
-                        self.driver.take(Input::Fleet(SharedUpdate::KeyLocation {
+                    if let Some(backend) = self.driver.find_listed(server, None) {
+                        self.driver.handle(Input::Shared(SharedUpdate::KeyLocation {
                             key,
                             backend,
                             until_ms,
@@ -230,7 +230,9 @@
     }
 
     fn word(&self, about: &str, out: bool, for_s: u32, age: Ms) {
-        let Some(zone) = about.strip_prefix(PREFIX) else { return self.driver.fleet_word(about, out) };
+        let Some(zone) = about.strip_prefix(PREFIX) else {
+            return self.driver.apply_shared_cordon(about, out);
+        };
         let all = Duration::from_secs(for_s.into());
         let left = all.saturating_sub(Duration::from_millis(age));
         if let Some(zoning) =
@@ -261,7 +263,7 @@
     fn tell(&self) {
         let rules = self.rules.get();
         let name = |t: usize| rules.names.tenant_name(t).map(short);
-        let asked = self.driver.asked();
+        let asked = self.driver.tenant_request_rates();
         let rates: Vec<(u32, f32)> =
             (0..asked.len()).filter_map(|t| Some((name(t)?, asked[t] as f32))).collect();
         self.act(Event::TenantRates(&rates));
@@ -285,7 +287,7 @@
                 None => uses.alone += 1,
             }
         }
-        self.driver.take(Input::Fleet(SharedUpdate::TenantShares(parts)));
+        self.driver.handle(Input::Shared(SharedUpdate::TenantShares(parts)));
     }
 
     /// An operator's word for the whole fleet, which holds at this node already.
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -147,7 +147,7 @@
     }
 
     /// Whether anything can be stored.
-    pub fn lasts(&self) -> bool {
+    pub fn can_store(&self) -> bool {
         self.dir.is_some()
     }
 
@@ -403,7 +403,7 @@
     #[test]
     fn without_a_place_nothing_lasts_and_nothing_fails() {
         let state = State::open_in(Path::new("/proc/no-such-place"), ([127, 0, 0, 1], 80).into(), 1);
-        assert!(!state.lasts());
+        assert!(!state.can_store());
         state.cordon("s-1").unwrap();
         state.uncordon("s-1").unwrap();
         assert!(state.cordoned().is_empty());
--- a/src/node/stats.rs
+++ b/src/node/stats.rs
@@ -113,7 +113,7 @@
     answer: Times,
     through: Times,
     /// Refused before the decisions heard of them.
-    turned_away: u64,
+    early_refusals: u64,
 }
 
 /// Name of an outcome in the figures.
@@ -142,7 +142,7 @@
             backends: HashMap::new(),
             answer: Times::default(),
             through: Times::default(),
-            turned_away: 0,
+            early_refusals: 0,
         }
     }
 
@@ -187,10 +187,10 @@
     }
 
     /// One was refused before the decisions heard of it.
-    pub fn turned_away(&mut self, class: Option<&str>) {
+    pub fn count_early_refusal(&mut self, class: Option<&str>) {
         self.asked(class);
         self.ended(class, End::Refused);
-        self.turned_away += 1;
+        self.early_refusals += 1;
     }
 
     /// A request is over.
@@ -239,7 +239,7 @@
     }
 
     /// Forgets backends that are not listed any more.
-    pub fn keep(&mut self, listed: impl Fn(BackendId) -> bool) {
+    pub fn retain_listed(&mut self, listed: impl Fn(BackendId) -> bool) {
         self.backends.retain(|id, _| listed(*id));
     }
 
@@ -256,8 +256,8 @@
     }
 
     /// Refused before the decisions heard of them.
-    pub fn away(&self) -> u64 {
-        self.turned_away
+    pub fn early_refusals(&self) -> u64 {
+        self.early_refusals
     }
 
     /// Classes, attempts and times.
@@ -329,7 +329,7 @@
         stats.attempt_ended(a, Outcome::Done, 5.0);
         stats.attempt_ended(b, Outcome::Reset, 5.0);
         assert_eq!((stats.of_backend(a), stats.of_backend(b)), ((1, 1, 0), (1, 0, 1)));
-        stats.keep(|id| id == a);
+        stats.retain_listed(|id| id == a);
         assert_eq!(stats.of_backend(b), (0, 0, 0));
         // One that ends later brings it back no more.
         stats.attempt_ended(b, Outcome::Done, 5.0);
--- a/src/node/upstream.rs
+++ b/src/node/upstream.rs
@@ -328,7 +328,7 @@
     }
 
     /// Keeps a connection whose exchange is over, if it can carry another.
-    pub fn keep(&self, backend: BackendId, conn: Conn) {
+    pub fn keep_connection(&self, backend: BackendId, conn: Conn) {
         if conn.alive() && conn.sender.is_ready() {
             let kept = Idle { conn, since: Instant::now() };
             self.idle.borrow_mut().entry(backend).or_default().push(kept);
--- a/src/node/zoning.rs
+++ b/src/node/zoning.rs
@@ -42,7 +42,7 @@
         durable: Option<Rc<Durable>>,
     ) -> Rc<Zoning> {
         let settings = rules.get().settings.clone();
-        driver.judge_zones(settings.zone, settings.cold_ms);
+        driver.enable_zone_checks(settings.zone, settings.cold_ms);
         let (topology, parts) = (RefCell::new(topology.clone()), RefCell::default());
         Rc::new(Zoning { driver, rules, sharing, durable, topology, parts })
     }
@@ -74,7 +74,7 @@
             (Some(sharing), Some(name)) => sharing.against(&format!("{PREFIX}{name}")),
             _ => 0,
         };
-        let changes = self.driver.look_at_zones(others, words);
+        let changes = self.driver.update_zones(others, words);
         if changes.is_empty() {
             return;
         }
@@ -111,7 +111,7 @@
             part if home(zone) || !any_home => part,
             part => (part * far).max(MIN_ACTIVE_WEIGHT),
         };
-        self.driver.take(Input::Zones((0..count).map(weight).collect()));
+        self.driver.handle(Input::ZoneWeights((0..count).map(weight).collect()));
     }
 
     fn order(&self, zone: &str, out: bool, left: Option<Duration>) -> Result<(), String> {
@@ -136,7 +136,7 @@
         let number =
             self.rules.get().names.zone_number(zone).ok_or_else(|| format!("no zone {zone:?} is known"))?;
         if out && !force {
-            self.driver.without_zone(number)?;
+            self.driver.check_without_zone(number)?;
         }
         let left = for_s.map(|s| Duration::from_secs(s.into()));
         if let Some(durable) = &self.durable {
@@ -168,7 +168,7 @@
     /// # Errors
     /// They are not judged.
     pub fn figures(driver: &Driver, rules: &Current) -> Result<Value, String> {
-        let zones = driver.zones().ok_or(OFF)?;
+        let zones = driver.zone_states().ok_or(OFF)?;
         let (now, rules) = (driver.clock.now_ms(), rules.get());
         let each = zones.iter().map(|z| {
             json!({"zone": rules.names.zone_name(z.zone).unwrap_or("?"), "stand": z.state,
