--- a/src/node/discovery_calls.rs
+++ b/src/node/discovery_calls.rs
@@ -9,7 +9,7 @@
 use crate::listing::{Listing, Seen, read};
 use crate::rules;
 use crate::socket::{Descriptors, Socket};
-use crate::upstream::Conn;
+use crate::upstream::HttpConnection;
 use bytes::Bytes;
 use daleturn::control::list_sync::{LATE_ANSWER_MS, ListCall, ListRequest};
 use http_body_util::LengthLimitError;
@@ -58,7 +58,7 @@
     /// What came of it.
     pub answer: Result<Listing, Box<dyn Error>>,
     at: SocketAddr,
-    conn: Option<Conn>,
+    conn: Option<HttpConnection>,
 }
 
 /// How much a call is wanted.
@@ -97,7 +97,7 @@
     replaced: VecDeque<Outstanding>,
     /// Calls that were made beside the current one.
     tries: u32,
-    conn: Option<Conn>,
+    conn: Option<HttpConnection>,
     progress: mpsc::UnboundedSender<Progress>,
 }
 
@@ -136,7 +136,7 @@
         self.tries += 1;
     }
 
-    fn make(&self, call: ListCall, conn: Option<Conn>) -> Outstanding {
+    fn make(&self, call: ListCall, conn: Option<HttpConnection>) -> Outstanding {
         let (stage, staged) = watch::channel(Stage::Wanted);
         let made = make(self.at, call, conn, self.resources.clone(), staged, self.progress.clone());
         spawn_local(made);
@@ -213,7 +213,7 @@
 async fn make(
     at: SocketAddr,
     call: ListCall,
-    mut conn: Option<Conn>,
+    mut conn: Option<HttpConnection>,
     resources: Rc<Resources>,
     stage: watch::Receiver<Stage>,
     progress: mpsc::UnboundedSender<Progress>,
@@ -244,7 +244,7 @@
     at: SocketAddr,
     call: &ListCall,
     resources: &Resources,
-    conn: &mut Option<Conn>,
+    conn: &mut Option<HttpConnection>,
     mut stage: watch::Receiver<Stage>,
     given_up: impl FnOnce(),
 ) -> (Result<Bytes, Box<dyn Error>>, bool) {
@@ -284,7 +284,7 @@
     at: SocketAddr,
     call: &ListCall,
     descriptors: &Rc<Descriptors>,
-    kept: &mut Option<Conn>,
+    kept: &mut Option<HttpConnection>,
     socket: &RefCell<Option<Socket>>,
 ) -> Result<Bytes, Box<dyn Error>> {
     let path = match call.request {
@@ -294,9 +294,9 @@
         }
     };
     let request = Request::get(path).header(HOST, at.to_string()).body(Outgoing::whole(Bytes::new()))?;
-    let mut conn = match kept.take().filter(Conn::alive) {
+    let mut conn = match kept.take().filter(HttpConnection::is_reusable) {
         Some(conn) => conn,
-        None => Conn::open(at, descriptors.take().await).await?,
+        None => HttpConnection::open(at, descriptors.take().await).await?,
     };
     socket.replace(Some(conn.socket()));
     let answer = conn.exchange(request, LIST_LIMIT).await.map_err(|e| -> Box<dyn Error> {
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -10,7 +10,9 @@
 use crate::rules::Rules;
 use crate::state::State;
 use crate::stats::{End, Stats};
-use crate::upstream::{Call, Conn, Errand, Finish, Reply, Upstream};
+use crate::upstream::{
+    AttemptResult, AttemptSpec, BackendResponse, ForwardedRequest, HttpConnection, Upstream,
+};
 use daleturn::Balancer;
 use daleturn::control::start_times::StartTimes;
 use daleturn::control::subset::{Catalog, ListUpdate, Subset, Target};
@@ -68,7 +70,7 @@
 #[derive(Debug)]
 pub enum Answer {
     /// Response of a backend.
-    Served(Reply),
+    Served(BackendResponse),
     /// The request was not processed, so the client may safely retry.
     Refused {
         /// Recommended delay before the retry, in milliseconds.
@@ -143,7 +145,7 @@
     /// The complete set of cordoned backends.
     Cordons(BTreeMap<BackendId, String>),
     /// A client's request arrived.
-    RequestArrived(Request, Rc<Rules>, Rc<Call>, ResponseSender),
+    RequestArrived(Request, Rc<Rules>, Rc<ForwardedRequest>, ResponseSender),
     /// The client disconnected or needs no answer any more.
     ClientLeft(RequestId),
     /// An attempt ended.
@@ -155,7 +157,7 @@
         /// Backend that the attempt was sent to.
         backend: BackendId,
         /// Result of the attempt.
-        finish: Finish,
+        result: AttemptResult,
         /// Time since the attempt was sent, in milliseconds.
         elapsed_ms: f64,
     },
@@ -168,12 +170,12 @@
         /// Backend that the attempt was sent to.
         backend: BackendId,
         /// Response to forward; `None` if the complete response follows with the end of the attempt.
-        reply: Option<Reply>,
+        response: Option<BackendResponse>,
         /// Response time that counts against the objective, in milliseconds.
         elapsed_ms: f64,
     },
     /// A probe ended: the backend, the result and the elapsed time in milliseconds.
-    ProbeEnded(BackendId, Finish, f64),
+    ProbeEnded(BackendId, AttemptResult, f64),
     /// The timer with this token is due.
     Timer(u64),
     /// An update from the shared state of the fleet.
@@ -198,7 +200,7 @@
     rules: Rc<Rules>,
     class: usize,
     response_sender: Option<ResponseSender>,
-    call: Rc<Call>,
+    forwarded: Rc<ForwardedRequest>,
     /// Cancellation handles of the attempts, by attempt index; `None` once an attempt has ended.
     attempts: Vec<Option<oneshot::Sender<()>>>,
     received_at: Instant,
@@ -217,7 +219,8 @@
         if !tracing::event_enabled!(target: "request", tracing::Level::INFO) || !log::admits(log::SAMPLES) {
             return;
         }
-        let text = |name: &str| self.call.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("?");
+        let text =
+            |name: &str| self.forwarded.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("?");
         let course: Vec<String> = (self.finished_attempts.iter())
             .map(|(backend, outcome, ms)| format!("{:016x} {outcome:?} {ms:.1}", backend.0))
             .collect();
@@ -239,7 +242,7 @@
         let late = total.as_secs_f64() * 1000.0 > self.rules.settings.aim_ms(self.class);
         let away = self.finished_attempts.iter().map(|(_, _, ms)| ms).sum::<f64>().clamp(0.0, 1e9);
         let through = total.saturating_sub(Duration::from_secs_f64(away / 1000.0));
-        End::Served { late, times: self.call.upload.is_none().then_some((total, through)) }
+        End::Served { late, times: self.forwarded.upload.is_none().then_some((total, through)) }
     }
 }
 
@@ -411,7 +414,7 @@
         self: &Rc<Self>,
         mut request: Request,
         rules: Rc<Rules>,
-        call: Call,
+        forwarded: ForwardedRequest,
         from: Instant,
         wait: Duration,
         margin: Duration,
@@ -421,8 +424,13 @@
         request.id = id;
         request.deadline_ms = self.clock.at_ms(from + wait.saturating_sub(margin));
         let (response_sender, answer) = oneshot::channel();
-        let upload = call.upload.clone();
-        self.handle(Input::RequestArrived(request, rules, Rc::new(call), ResponseSender(response_sender)));
+        let upload = forwarded.upload.clone();
+        self.handle(Input::RequestArrived(
+            request,
+            rules,
+            Rc::new(forwarded),
+            ResponseSender(response_sender),
+        ));
         PendingResponse { driver: self.clone(), id, answer, upload, from, wait }
     }
 
@@ -847,7 +855,7 @@
                 });
             }
             Action::Probe(backend) => self.probe(core, backend),
-            Action::CloseIdleConnections(backend) => self.upstream.release(backend),
+            Action::CloseIdleConnections(backend) => self.upstream.close_idle(backend),
             Action::SendPeerMessage { to, bytes } => {
                 if let Some(peers) = &self.peers {
                     peers.send(to, &bytes);
@@ -875,61 +883,62 @@
             attempt,
             backend,
             started_at: Instant::now(),
-            finish: Some(Outcome::Reset.into()),
+            result: Some(Outcome::Reset.into()),
         };
         open.attempts.push(Some(cancel));
         let known = core.addresses.get(&backend);
         let (Some(_), Some(known)) = (&open.response_sender, known) else {
             let outcome = if known.is_some() { Outcome::Skipped } else { Outcome::NotConnected };
-            report.finish = Some(outcome.into());
+            report.result = Some(outcome.into());
             return;
         };
-        if open.call.upload.as_ref().is_some_and(|u| u.spent()) {
+        if open.forwarded.upload.as_ref().is_some_and(|u| u.spent()) {
             // The body was consumed by a failed attempt and cannot be sent again.
-            report.finish = Some(Outcome::Skipped.into());
+            report.result = Some(Outcome::Skipped.into());
             return;
         }
         core.stats.sent(backend);
         let timeout = Duration::from_secs_f64(timeout_ms.clamp(0.0, 1e9) / 1000.0);
-        let errand = Errand { backend, address: known.address, call: open.call.clone(), timeout };
+        let spec =
+            AttemptSpec { backend, address: known.address, forwarded: open.forwarded.clone(), timeout };
         let driver = self.clone();
         spawn_local(async move {
-            let bars = || driver.bars(&errand, id, attempt);
-            let started = |reply, took: Duration| {
+            let bars = || driver.bars(&spec, id, attempt);
+            let started = |response, took: Duration| {
                 let elapsed_ms = took.as_secs_f64() * 1000.0;
                 driver.handle(Input::ResponseStarted {
                     id,
                     attempt,
                     backend,
-                    reply: Some(reply),
+                    response: Some(response),
                     elapsed_ms,
                 });
             };
-            let (finish, conn) = tokio::select! {
+            let (result, conn) = tokio::select! {
                 biased;
                 _ = &mut cancelled => (Outcome::Cancelled.into(), None),
-                end = driver.upstream.attempt(&errand, bars, started) => end,
+                end = driver.upstream.attempt(&spec, bars, started) => end,
             };
-            if let (Some(took), Some(_)) = (finish.took, &finish.reply) {
+            if let (Some(took), Some(_)) = (result.took, &result.response) {
                 let elapsed_ms = took.as_secs_f64() * 1000.0;
-                driver.handle(Input::ResponseStarted { id, attempt, backend, reply: None, elapsed_ms });
+                driver.handle(Input::ResponseStarted { id, attempt, backend, response: None, elapsed_ms });
             }
-            report.finish = Some(finish);
+            report.result = Some(result);
             drop(report);
-            driver.keep_connection(errand.backend, errand.address, conn);
+            driver.keep_connection(spec.backend, spec.address, conn);
         });
     }
 
     /// Returns a connection to the pool unless its backend has meanwhile drained, left or moved.
-    fn keep_connection(&self, backend: BackendId, address: SocketAddr, conn: Option<Conn>) {
+    fn keep_connection(&self, backend: BackendId, address: SocketAddr, conn: Option<HttpConnection>) {
         if let Some(conn) = conn.filter(|_| self.check_address(backend, address).is_none()) {
             self.upstream.keep_connection(backend, conn);
         }
     }
 
     /// Final check before an attempt is sent. Returns the outcome if it must not be sent.
-    fn bars(&self, errand: &Errand, id: RequestId, attempt: u32) -> Option<Outcome> {
-        self.check_address(errand.backend, errand.address)
+    fn bars(&self, spec: &AttemptSpec, id: RequestId, attempt: u32) -> Option<Outcome> {
+        self.check_address(spec.backend, spec.address)
             .or_else(|| self.core.borrow().balancer.check_before_send(self.clock.now_ms(), id, attempt))
     }
 
@@ -949,9 +958,9 @@
         let started_at = Instant::now();
         spawn_local(async move {
             let bars = || driver.check_address(backend, address);
-            let (finish, conn) =
+            let (result, conn) =
                 driver.upstream.probe(backend, address, driver.probe_path.get(), bars).await;
-            driver.handle(Input::ProbeEnded(backend, finish, started_at.elapsed().as_secs_f64() * 1000.0));
+            driver.handle(Input::ProbeEnded(backend, result, started_at.elapsed().as_secs_f64() * 1000.0));
             driver.keep_connection(backend, address, conn);
         });
     }
@@ -965,15 +974,15 @@
     attempt: u32,
     backend: BackendId,
     started_at: Instant,
-    finish: Option<Finish>,
+    result: Option<AttemptResult>,
 }
 
 impl Drop for AttemptReport {
     fn drop(&mut self) {
-        let finish = self.finish.take().unwrap_or_else(|| Outcome::Reset.into());
+        let result = self.result.take().unwrap_or_else(|| Outcome::Reset.into());
         let (id, attempt, backend) = (self.id, self.attempt, self.backend);
-        let elapsed_ms = finish.took.unwrap_or_else(|| self.started_at.elapsed()).as_secs_f64() * 1000.0;
-        self.driver.handle(Input::AttemptEnded { id, attempt, backend, finish, elapsed_ms });
+        let elapsed_ms = result.took.unwrap_or_else(|| self.started_at.elapsed()).as_secs_f64() * 1000.0;
+        self.driver.handle(Input::AttemptEnded { id, attempt, backend, result, elapsed_ms });
     }
 }
 
@@ -1013,7 +1022,7 @@
                 }
                 self.list_event(now, ListKind::Changes, moved, upstream)
             }
-            Input::RequestArrived(request, rules, call, response_sender) => {
+            Input::RequestArrived(request, rules, forwarded, response_sender) => {
                 let (attempts, finished_attempts) = (Vec::new(), Vec::new());
                 self.stats.asked(rules.names.class_name(request.class));
                 let second = monotonic_second();
@@ -1027,7 +1036,7 @@
                     rules,
                     class: request.class,
                     response_sender: Some(response_sender),
-                    call,
+                    forwarded,
                     attempts,
                     received_at: Instant::now(),
                     finished_attempts,
@@ -1042,45 +1051,45 @@
                 self.send_answer(id, Answer::Failed, true);
                 Event::ClientLeft(id)
             }
-            Input::AttemptEnded { id, attempt, backend, finish, elapsed_ms } => {
+            Input::AttemptEnded { id, attempt, backend, result, elapsed_ms } => {
                 let open = self.open_requests.get_mut(&id)?;
                 open.attempts.get_mut(attempt as usize)?.take()?;
-                open.finished_attempts.push((backend, finish.outcome, elapsed_ms));
-                open.rejected = finish.rejected;
-                self.stats.attempt_ended(backend, finish.outcome, elapsed_ms);
+                open.finished_attempts.push((backend, result.outcome, elapsed_ms));
+                open.rejected = result.rejected;
+                self.stats.attempt_ended(backend, result.outcome, elapsed_ms);
                 let late = elapsed_ms > open.rules.settings.aim_ms(open.class);
                 if let (Some(zones), Some(target)) = (&mut self.zones, self.listed.get(&backend)) {
-                    zones.record_outcome(target.entry.zone, backend.short(), finish.outcome, late);
+                    zones.record_outcome(target.entry.zone, backend.short(), result.outcome, late);
                 }
-                if let Some(reply) = finish.reply
+                if let Some(response) = result.response
                     && let Some(response_sender) = open.response_sender.take()
                 {
                     self.stats.ended(open.rules.names.class_name(open.class), open.served_result());
-                    response_sender.send(Answer::Served(reply));
+                    response_sender.send(Answer::Served(response));
                 }
-                let (last, outcome, load) = (open.response_sender.is_none(), finish.outcome, finish.load);
+                let (last, outcome, load) = (open.response_sender.is_none(), result.outcome, result.load);
                 if open.is_finished() {
                     self.open_requests.remove(&id);
                 }
                 Event::AttemptEnded(AttemptEnded { id, attempt, backend, outcome, last, elapsed_ms, load })
             }
-            Input::ResponseStarted { id, attempt, backend, reply, elapsed_ms } => {
+            Input::ResponseStarted { id, attempt, backend, response, elapsed_ms } => {
                 let open = self.open_requests.get_mut(&id)?;
                 // A response that no client waits for is dropped here, which ends its attempt.
-                if let Some(reply) = reply
+                if let Some(response) = response
                     && let Some(response_sender) = open.response_sender.take()
                 {
                     open.finished_attempts.push((backend, Outcome::Done, elapsed_ms));
                     self.stats.ended(open.rules.names.class_name(open.class), open.served_result());
-                    response_sender.send(Answer::Served(reply));
+                    response_sender.send(Answer::Served(response));
                 }
                 Event::ResponseStarted { id, attempt, backend, elapsed_ms }
             }
-            Input::ProbeEnded(backend, finish, elapsed_ms) => {
+            Input::ProbeEnded(backend, result, elapsed_ms) => {
                 if let (Some(zones), Some(target)) = (&mut self.zones, self.listed.get(&backend)) {
-                    zones.record_outcome(target.entry.zone, backend.short(), finish.outcome, false);
+                    zones.record_outcome(target.entry.zone, backend.short(), result.outcome, false);
                 }
-                Event::ProbeEnded { backend, outcome: finish.outcome, elapsed_ms, load: finish.load }
+                Event::ProbeEnded { backend, outcome: result.outcome, elapsed_ms, load: result.load }
             }
             Input::Timer(token) => Event::Timer(token),
             Input::Shared(update) => Event::Shared(update),
@@ -1192,7 +1201,7 @@
                     let address = address.unwrap_or(known.address);
                     if address != known.address || entry.ready_at_ms > known.ready_at_ms {
                         // Connections to the old process or address are useless.
-                        upstream.release(entry.backend);
+                        upstream.close_idle(entry.backend);
                     }
                     *known =
                         BackendAddress { address, is_up, ready_at_ms: entry.ready_at_ms, uid: uid.clone() };
@@ -1213,7 +1222,7 @@
         let mut departed = Vec::new();
         self.addresses.retain(|id, known| {
             if !known.is_up {
-                upstream.release(*id);
+                upstream.close_idle(*id);
                 departed.push(known.uid.clone());
             }
             known.is_up
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -117,7 +117,7 @@
         }
         let settings = &rules.settings;
         self.driver.apply_settings(&rules);
-        self.upstream.retune(settings.connect_timeout_ms, settings.conn_idle_ms);
+        self.upstream.apply_timeouts(settings.connect_timeout_ms, settings.conn_idle_ms);
         if let Some(peers) = &self.peers {
             peers.renumber(settings.slot);
         }
@@ -269,7 +269,7 @@
         turn.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             turn.tick().await;
-            sweeping.sweep();
+            sweeping.close_expired();
             told.tell_dropped();
         }
     });
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -5,7 +5,10 @@
 use crate::log::log_event;
 use crate::rules::{Current, Rules};
 use crate::socket::{Descriptors, Slot, Socket};
-use crate::upstream::{BODY_LIMIT, BUFFER, Call, EXPIRES, Reply, ReplyBody, Upstream};
+use crate::upstream::{
+    BackendBody, BackendResponse, EXPIRES_HEADER, ForwardedRequest, MAX_BUFFER_BYTES,
+    MAX_BUFFERED_BODY_BYTES, Upstream,
+};
 use bytes::{Bytes, BytesMut};
 use daleturn::interface::{Effect, Request as Asked, RequestId};
 use daleturn::wire::stable_hash;
@@ -456,7 +459,7 @@
             http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEAD_LIMIT)
-                .max_buf_size(BUFFER)
+                .max_buf_size(MAX_BUFFER_BYTES)
                 .serve_connection(TokioIo::new(socket), service)
         );
         let mut resting = false;
@@ -530,9 +533,9 @@
     async fn ask(
         &self,
         busy: Busy,
-        Reading { asked, rules, call, arrived, wait }: Reading,
+        Reading { asked, rules, forwarded, arrived, wait }: Reading,
     ) -> Response<Sent> {
-        let upload = call.upload.clone();
+        let upload = forwarded.upload.clone();
         match upload {
             Some(_) => busy.0.carries_long(),
             None => busy.0.whole.set(true),
@@ -544,7 +547,7 @@
         } else {
             let margin = MARGIN - LAST_MARGIN;
             let wait = wait.saturating_sub(LAST_MARGIN);
-            let pending = self.driver.submit(asked, rules, call, arrived, wait, margin);
+            let pending = self.driver.submit(asked, rules, forwarded, arrived, wait, margin);
             let sent = async {
                 if let Some(upload) = &upload {
                     upload.finished().await;
@@ -563,7 +566,10 @@
             spawn_local(drain(rest, DRAIN_TIME));
         }
         match answer {
-            Answer::Served(Reply { body: ReplyBody::Long { length, pieces }, content_type }) => {
+            Answer::Served(BackendResponse {
+                body: BackendBody::Streamed { length, pieces },
+                content_type,
+            }) => {
                 busy.0.carries_long();
                 busy.0.socket.limit_send_buffer(SEND_BUFFER);
                 let client = busy.0.clone();
@@ -607,7 +613,7 @@
         let shortest =
             || rules.settings.classes.iter().map(|c| c.deadline_ms).fold(f64::INFINITY, f64::min);
         let class_wait = known.map_or_else(shortest, |c| c.deadline_ms);
-        let wait = header(EXPIRES)
+        let wait = header(EXPIRES_HEADER)
             .and_then(|v| v.trim().parse::<u64>().ok())
             .map_or(Duration::from_secs_f64(class_wait.clamp(0.0, 6e5) / 1000.0), Duration::from_millis)
             .min(LONGEST_WAIT);
@@ -647,8 +653,9 @@
         };
         let target =
             head.uri.path_and_query().map_or_else(|| Uri::from_static("/"), |p| Uri::from(p.clone()));
-        let call = Call { method: head.method, target, headers: onward(head.headers), body, upload };
-        Ok(Reading { asked, rules, call, arrived, wait })
+        let forwarded =
+            ForwardedRequest { method: head.method, target, headers: onward(head.headers), body, upload };
+        Ok(Reading { asked, rules, forwarded, arrived, wait })
     }
 }
 
@@ -656,7 +663,7 @@
     asked: Asked,
     /// Those that its class is from.
     rules: Rc<Rules>,
-    call: Call,
+    forwarded: ForwardedRequest,
     arrived: Instant,
     wait: Duration,
 }
@@ -693,7 +700,7 @@
         if let Ok(data) = frame.into_data() {
             kept.extend_from_slice(&data);
         }
-        if kept.len() > BODY_LIMIT {
+        if kept.len() > MAX_BUFFERED_BODY_BYTES {
             return Collected::Long(kept.freeze(), body);
         }
     }
@@ -749,7 +756,7 @@
 /// An answer that is here whole, as the client sees it.
 fn whole(answer: Answer) -> Response<Sent> {
     match answer {
-        Answer::Served(Reply { body: ReplyBody::Whole(body), content_type }) => {
+        Answer::Served(BackendResponse { body: BackendBody::Complete(body), content_type }) => {
             typed(Response::new(Either::Left(Full::new(body))), content_type)
         }
         Answer::Refused { retry_after_ms } => {
--- a/src/node/upstream.rs
+++ b/src/node/upstream.rs
@@ -1,7 +1,9 @@
-//! Connections to backends, and the attempts and probes on them. One request at a time on each.
+//! Connections to backends, and the attempts and probes sent on them. Each connection carries one request
+//! at a time.
 //!
-//! Bodies up to [`BODY_LIMIT`] are whole on both ways. Longer ones are passed on as they come: nothing is read
-//! from one side before the other has room, and each takes one of the node's places for them.
+//! Bodies of up to [`MAX_BUFFERED_BODY_BYTES`] bytes are buffered completely in both directions. Longer ones are
+//! streamed with backpressure: nothing is read from one side before the other side has space, and each
+//! streamed body occupies a transfer slot.
 
 use crate::body::{Outgoing, Piece, Upload};
 use crate::places::Places;
@@ -28,107 +30,112 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Bodies up to this are whole, either way; longer ones are passed on in pieces.
-pub const BODY_LIMIT: usize = 64 * 1024;
-/// What a connection's buffer may grow to: with many long transfers, buffers are what fills the memory.
-pub const BUFFER: usize = 32 * 1024;
-/// An answer of unknown length is passed on after this, or half of its attempt's time, even if it may yet prove
-/// short: of a long one the first bytes are timed, and a short one that takes longer is late in any case.
-const HOLD: Duration = Duration::from_millis(250);
-/// A backend that has begun a long answer and says nothing for so long has broken off.
-const SILENCE: Duration = Duration::from_secs(10);
-/// How long this node will wait, as a backend is told.
-pub const EXPIRES: &str = "x-expires-in-ms";
-const NEVER_RAN: &str = "x-never-ran";
-const LOAD: &str = "endpoint-load-metrics";
-/// An idle connection is dropped after this part of the time at which the backend drops it: a request that
-/// crosses the backend's close may have run, and an unsafe one is then lost.
-const IDLE_PART: f64 = 0.7;
-/// A second answer that nobody asked for may come some milliseconds late. A connection that has rested so long shows it;
-/// on one that is used at once it would be taken for the next request's.
-const REST: Duration = Duration::from_millis(20);
-/// A probe that takes longer has failed.
-const PROBE_LIMIT: Duration = Duration::from_millis(250);
-
-/// What a client asked, to be sent on unchanged.
-pub struct Call {
-    /// Its method.
+/// Maximum size of a body that is buffered completely; longer ones are streamed.
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
+/// Maximum size of a connection's buffer. With many streamed transfers, these buffers dominate memory use.
+pub const MAX_BUFFER_BYTES: usize = 32 * 1024;
+/// Maximum time to buffer a response of unknown length before it is streamed; half of the attempt's timeout
+/// if that is shorter. The first bytes of a long response are timed, and a short one that takes longer than
+/// this is late anyway.
+const MAX_BUFFERING: Duration = Duration::from_millis(250);
+/// Time without data after which a streamed response counts as broken off.
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Header that tells a backend how long this node will wait, in milliseconds.
+pub const EXPIRES_HEADER: &str = "x-expires-in-ms";
+const NEVER_RAN_HEADER: &str = "x-never-ran";
+const LOAD_HEADER: &str = "endpoint-load-metrics";
+/// Fraction of the backend's idle timeout after which this node closes an idle connection. A request that
+/// crosses the backend's close may have been processed, so a non-idempotent request would be lost.
+const IDLE_FRACTION: f64 = 0.7;
+/// Time that a connection should be idle before reuse. A duplicate response may arrive some milliseconds
+/// late: on an idle connection it is noticed, on one that is reused at once it would be taken for the
+/// response to the next request.
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
+/// Timeout of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// A client's request, to be forwarded unchanged.
+pub struct ForwardedRequest {
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: Uri,
-    /// The headers that go on.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// Its body, or the first part of a long one.
+    /// Complete body, or the first part of a streamed one.
     pub body: Bytes,
-    /// The rest of a long one.
+    /// Remainder of a streamed body.
     pub upload: Option<Rc<Upload>>,
 }
 
-/// The body of a backend's answer.
+/// Body of a backend's response.
 #[derive(Debug)]
-pub enum ReplyBody {
-    /// Whole.
-    Whole(Bytes),
-    /// A long one, piece by piece. Without [`Piece::End`] at its end it was cut.
-    Long {
-        /// Its length, if told.
+pub enum BackendBody {
+    /// Complete body.
+    Complete(Bytes),
+    /// Streamed body. It was truncated unless the last piece is [`Piece::End`].
+    Streamed {
+        /// Announced length in bytes, if any.
         length: Option<u64>,
-        /// What comes of it.
+        /// Pieces of the body as they arrive.
         pieces: mpsc::Receiver<Piece>,
     },
 }
 
-/// An answer of a backend.
+/// Response of a backend with status 200.
 #[derive(Debug)]
-pub struct Reply {
-    /// Its body.
-    pub body: ReplyBody,
-    /// What kind of body that is, if told.
+pub struct BackendResponse {
+    /// Response body.
+    pub body: BackendBody,
+    /// Value of the `Content-Type` header, if any.
     pub content_type: Option<HeaderValue>,
 }
 
-/// How an attempt or a probe ended.
-pub struct Finish {
-    /// How.
+/// Result of an attempt or a probe.
+pub struct AttemptResult {
+    /// Outcome for the balancer.
     pub outcome: Outcome,
-    /// What a served attempt brought.
-    pub reply: Option<Reply>,
-    /// The load report, if there was one.
+    /// Response of a successful attempt.
+    pub response: Option<BackendResponse>,
+    /// Load report from the response; empty if there was none.
     pub load: Load,
-    /// How a backend put it that the request itself is wrong.
+    /// Status with which a backend rejected the request itself.
     pub rejected: Option<StatusCode>,
-    /// Time that counts for a long body: from the request's last byte to the answer's first ones.
+    /// For a streamed body, time from the last byte of the request to the first bytes of the response.
     pub took: Option<Duration>,
 }
 
-impl From<Outcome> for Finish {
-    fn from(outcome: Outcome) -> Finish {
-        Finish { outcome, reply: None, load: Load::default(), rejected: None, took: None }
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, response: None, load: Load::default(), rejected: None, took: None }
     }
 }
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
-type Driven = Pin<Box<Connection<TokioIo<Socket>, Outgoing>>>;
+type PolledConnection = Pin<Box<Connection<TokioIo<Socket>, Outgoing>>>;
 
-/// A connection whose reading and writing happen only while somebody exchanges on it: nothing is left
-/// running behind an idle one, and dropping it closes the socket at once.
-pub struct Conn {
+/// HTTP/1 connection that is polled only during an exchange: no task runs for an idle connection, and
+/// dropping it closes the socket at once.
+pub struct HttpConnection {
     sender: SendRequest<Outgoing>,
-    connection: Option<Driven>,
+    connection: Option<PolledConnection>,
     socket: Socket,
 }
 
-impl Conn {
-    /// Connects; the caller bounds the time.
-    pub async fn open(address: SocketAddr, slot: Slot) -> Result<Conn, Box<dyn std::error::Error>> {
+impl HttpConnection {
+    /// Opens a connection. The caller limits the time.
+    pub async fn open(
+        address: SocketAddr,
+        slot: Slot,
+    ) -> Result<HttpConnection, Box<dyn std::error::Error>> {
         let socket = Socket::new(TcpStream::connect(address).await?, slot);
-        let builder = http1::Builder::new().max_buf_size(BUFFER).to_owned();
+        let builder = http1::Builder::new().max_buf_size(MAX_BUFFER_BYTES).to_owned();
         let (sender, connection) = builder.handshake(TokioIo::new(socket.clone())).await?;
-        Ok(Conn { sender, connection: Some(Box::pin(connection)), socket })
+        Ok(HttpConnection { sender, connection: Some(Box::pin(connection)), socket })
     }
 
-    /// Runs `wanted` together with the connection's own reading and writing.
-    async fn drive<F: Future>(connection: &mut Option<Driven>, wanted: F) -> F::Output {
+    /// Polls `wanted` together with the connection's own I/O.
+    async fn drive<F: Future>(connection: &mut Option<PolledConnection>, wanted: F) -> F::Output {
         let mut wanted = pin!(wanted);
         poll_fn(|cx| {
             if let Poll::Ready(value) = wanted.as_mut().poll(cx) {
@@ -142,47 +149,52 @@
         .await
     }
 
-    /// One request and the head of its answer.
-    async fn begin(&mut self, request: Request<Outgoing>) -> Result<Response<Incoming>, hyper::Error> {
+    /// Sends a request and reads the head of the response.
+    async fn send_request(
+        &mut self,
+        request: Request<Outgoing>,
+    ) -> Result<Response<Incoming>, hyper::Error> {
         let sent = self.sender.send_request(request);
-        Conn::drive(&mut self.connection, sent).await
+        HttpConnection::drive(&mut self.connection, sent).await
     }
 
-    /// The rest of an answer, whole.
-    async fn whole(&mut self, body: Incoming, limit: usize) -> Result<Bytes, BoxError> {
-        let body = Conn::drive(&mut self.connection, Limited::<Incoming>::new(body, limit).collect());
+    /// Reads the rest of a response body, up to `limit` bytes.
+    async fn read_body(&mut self, body: Incoming, limit: usize) -> Result<Bytes, BoxError> {
+        let body =
+            HttpConnection::drive(&mut self.connection, Limited::<Incoming>::new(body, limit).collect());
         let body = body.await?.to_bytes();
-        self.settle().await;
+        self.poll_to_idle().await;
         Ok(body)
     }
 
-    /// The next piece of an answer; none at its end.
-    async fn piece(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, hyper::Error> {
+    /// Reads the next piece of a response body; `None` at its end.
+    async fn next_chunk(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, hyper::Error> {
         loop {
-            let Some(frame) = Conn::drive(&mut self.connection, body.frame()).await else {
-                self.settle().await;
+            let Some(frame) = HttpConnection::drive(&mut self.connection, body.frame()).await else {
+                self.poll_to_idle().await;
                 return Ok(None);
             };
-            // What is no data is a trailer, which is free to be left out.
+            // Frames without data are trailers, which may be dropped.
             if let Ok(data) = frame?.into_data() {
                 return Ok(Some(data));
             }
         }
     }
 
-    /// One request and its whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn exchange(
         &mut self,
         request: Request<Outgoing>,
         limit: usize,
     ) -> Result<Response<Bytes>, BoxError> {
-        let (head, body) = self.begin(request).await?.into_parts();
-        let body = self.whole(body, limit).await?;
+        let (head, body) = self.send_request(request).await?.into_parts();
+        let body = self.read_body(body, limit).await?;
         Ok(Response::from_parts(head, body))
     }
 
-    async fn settle(&mut self) {
-        // One more turn: the connection sees that the answer is over and is ready for the next.
+    async fn poll_to_idle(&mut self) {
+        // One more poll lets the connection notice the end of the response and get ready for the next
+        // request.
         poll_fn(|cx| {
             if self.connection.as_mut().is_some_and(|c| c.as_mut().poll(cx).is_ready()) {
                 self.connection = None;
@@ -192,71 +204,72 @@
         .await;
     }
 
-    /// What it goes through.
+    /// Returns the socket of this connection.
     pub fn socket(&self) -> Socket {
         self.socket.clone()
     }
 
-    /// Open at both ends and with nothing unread, which would be a farewell.
-    pub fn alive(&self) -> bool {
+    /// True if both ends are open and no unread data is pending; unread data would be an unsolicited
+    /// response or the close.
+    pub fn is_reusable(&self) -> bool {
         self.connection.is_some() && !self.sender.is_closed() && self.socket.quiet()
     }
 }
 
 struct Idle {
-    conn: Conn,
+    conn: HttpConnection,
     since: Instant,
 }
 
-/// One attempt: what is sent, where, and for how long it is waited for.
-pub struct Errand {
-    /// Which backend.
+/// An attempt to send: the request, its destination and its timeout.
+pub struct AttemptSpec {
+    /// Backend to send to.
     pub backend: BackendId,
-    /// Where that is.
+    /// Address of the backend.
     pub address: SocketAddr,
-    /// What to send.
-    pub call: Rc<Call>,
-    /// How long to wait: from now or, where the request is long, from its last byte.
+    /// Request to send.
+    pub forwarded: Rc<ForwardedRequest>,
+    /// Timeout of the attempt, from its start or, for a streamed request, from its last byte.
     pub timeout: Duration,
 }
 
-impl Errand {
-    /// When to stop waiting for a connection.
-    fn connect_until(&self, begun: Instant) -> Instant {
-        begun + self.timeout
+impl AttemptSpec {
+    /// Returns the instant at which connecting has to be given up.
+    fn connect_deadline(&self, started_at: Instant) -> Instant {
+        started_at + self.timeout
     }
 
-    /// Ends when the wait for the answer is over.
-    async fn overdue(&self, begun: Instant) {
-        let from = match &self.call.upload {
+    /// Completes when the timeout for the response expires.
+    async fn response_timeout(&self, started_at: Instant) {
+        let from = match &self.forwarded.upload {
             Some(upload) => upload.finished().await,
-            None => begun,
+            None => started_at,
         };
         tokio::time::sleep_until((from + self.timeout).into()).await;
     }
 }
 
-/// The connections to backends.
+/// Pool of connections to backends.
 pub struct Upstream {
     idle: RefCell<HashMap<BackendId, Vec<Idle>>>,
     descriptors: Rc<Descriptors>,
     connect_limit: Cell<Duration>,
     idle_limit: Cell<Duration>,
-    /// Places for long transfers.
+    /// Slots for streamed transfers.
     pub places: Rc<Places>,
 }
 
-/// The process or the whole machine has no descriptor left (EMFILE, ENFILE).
+/// True if the process or the system is out of file descriptors (EMFILE, ENFILE).
 fn out_of_descriptors(e: &io::Error) -> bool {
     matches!(e.raw_os_error(), Some(23 | 24))
 }
 
-fn millis(ms: f64) -> Duration {
+fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64((ms.clamp(0.0, 86_400_000.0)) / 1000.0)
 }
 
 impl Upstream {
-    /// No connections yet.
+    /// Creates an empty pool.
     pub fn new(
         descriptors: Rc<Descriptors>,
         memory: usize,
@@ -266,99 +279,102 @@
         let upstream = Rc::new(Upstream {
             idle: RefCell::default(),
             descriptors: descriptors.clone(),
-            connect_limit: Cell::new(millis(connect_timeout_ms)),
-            idle_limit: Cell::new(millis(conn_idle_ms * IDLE_PART)),
+            connect_limit: Cell::new(duration_from_ms(connect_timeout_ms)),
+            idle_limit: Cell::new(duration_from_ms(conn_idle_ms * IDLE_FRACTION)),
             places: Places::new(memory),
         });
         let weak = Rc::downgrade(&upstream);
-        descriptors.on_pressure(Box::new(move || weak.upgrade().is_some_and(|u| u.drop_oldest())));
+        descriptors.on_pressure(Box::new(move || weak.upgrade().is_some_and(|u| u.close_oldest_idle())));
         upstream
     }
 
-    /// Takes the settings' times, for all that follows.
-    pub fn retune(&self, connect_timeout_ms: f64, conn_idle_ms: f64) {
-        self.connect_limit.set(millis(connect_timeout_ms));
-        self.idle_limit.set(millis(conn_idle_ms * IDLE_PART));
+    /// Applies the timeouts of new settings.
+    pub fn apply_timeouts(&self, connect_timeout_ms: f64, conn_idle_ms: f64) {
+        self.connect_limit.set(duration_from_ms(connect_timeout_ms));
+        self.idle_limit.set(duration_from_ms(conn_idle_ms * IDLE_FRACTION));
     }
 
-    /// Closes the connections to a backend that carry nothing.
+    /// Closes the idle connections to a backend.
     ///
-    /// Not only for the decisions: a backend that broke a connection, or does not answer a probe, may have
-    /// been away. What was open to it before is reset as soon as something is sent on it, and an unsafe
-    /// request would be lost.
-    pub fn release(&self, backend: BackendId) {
+    /// Besides on the balancer's request, this is done when a backend breaks a connection or does not
+    /// answer a probe: the backend may have been unreachable, in which case its old connections are reset
+    /// as soon as something is sent on them, and a non-idempotent request would be lost.
+    pub fn close_idle(&self, backend: BackendId) {
         let closed = self.idle.borrow_mut().remove(&backend);
         drop(closed);
     }
 
-    /// Connections to backends that carry nothing.
-    pub fn idle(&self) -> usize {
+    /// Returns the number of idle connections.
+    pub fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    fn drop_oldest(&self) -> bool {
+    fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.values_mut().filter(|v| !v.is_empty()).min_by_key(|v| v.first().map(|i| i.since));
         let closed = oldest.map(|v| v.remove(0));
         closed.is_some()
     }
 
-    /// Closes what has been idle for long and what the backend has closed.
-    pub fn sweep(&self) {
+    /// Closes connections that have been idle for too long or that the backend has closed.
+    pub fn close_expired(&self) {
         for list in self.idle.borrow_mut().values_mut() {
-            list.retain(|i| i.since.elapsed() < self.idle_limit.get() && i.conn.alive());
+            list.retain(|i| i.since.elapsed() < self.idle_limit.get() && i.conn.is_reusable());
         }
     }
 
-    fn take_idle(&self, backend: BackendId) -> Option<Conn> {
+    fn take_idle(&self, backend: BackendId) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&backend)?;
         loop {
-            // The last that has rested, so that the others turn old and are closed; else the one that rests longest.
-            let rested = list.iter().rposition(|i| i.since.elapsed() >= REST).unwrap_or(0);
+            // Take the most recent connection that was idle for long enough, so that the others age and are
+            // closed; otherwise the one that has been idle longest.
+            let rested = list.iter().rposition(|i| i.since.elapsed() >= MIN_IDLE_BEFORE_REUSE).unwrap_or(0);
             if list.is_empty() {
                 return None;
             }
             let Idle { conn, since } = list.remove(rested);
-            // Looked at once more here: the sweep may be late, and the backend may have closed it since.
-            if since.elapsed() < self.idle_limit.get() && conn.alive() {
+            // Check again: the periodic check may be late, and the backend may have closed the connection
+            // since.
+            if since.elapsed() < self.idle_limit.get() && conn.is_reusable() {
                 return Some(conn);
             }
         }
     }
 
-    /// Keeps a connection whose exchange is over, if it can carry another.
-    pub fn keep_connection(&self, backend: BackendId, conn: Conn) {
-        if conn.alive() && conn.sender.is_ready() {
-            let kept = Idle { conn, since: Instant::now() };
-            self.idle.borrow_mut().entry(backend).or_default().push(kept);
+    /// Returns a connection to the pool after an exchange if it can carry another one.
+    pub fn keep_connection(&self, backend: BackendId, conn: HttpConnection) {
+        if conn.is_reusable() && conn.sender.is_ready() {
+            let idle = Idle { conn, since: Instant::now() };
+            self.idle.borrow_mut().entry(backend).or_default().push(idle);
         }
     }
 
-    /// A connection to the backend, by `until` at the latest, on which a request may go out at once: `bars` is asked
-    /// here and nowhere else, after every wait. Nothing is sent on a connection that does not come from here.
+    /// Returns a connection on which a request can be sent immediately, or the outcome of an attempt that
+    /// cannot be sent. Waits until `until` at most. `before_send` is called here only, after every wait; all
+    /// requests are sent on connections from this function.
     ///
-    /// Where this node itself has no descriptor for one, the attempt is not made: `NotConnected` would
-    /// blame the backends, and all of them would be held for dead.
-    async fn connection(
+    /// If this node itself is out of descriptors the outcome is `Skipped`. `NotConnected` would count
+    /// against the backends and mark all of them as dead.
+    async fn acquire(
         &self,
         backend: BackendId,
         address: SocketAddr,
         until: Instant,
-        bars: impl Fn() -> Option<Outcome>,
-    ) -> Result<Conn, Outcome> {
+        before_send: impl Fn() -> Option<Outcome>,
+    ) -> Result<HttpConnection, Outcome> {
         let conn = match self.take_idle(backend) {
             Some(conn) => conn,
             None => self.connect(address, until).await?,
         };
-        bars().map_or(Ok(conn), Err)
+        before_send().map_or(Ok(conn), Err)
     }
 
-    async fn connect(&self, address: SocketAddr, until: Instant) -> Result<Conn, Outcome> {
+    async fn connect(&self, address: SocketAddr, until: Instant) -> Result<HttpConnection, Outcome> {
         let limit = || self.connect_limit.get().min(until.saturating_duration_since(Instant::now()));
         let slot = tokio::time::timeout(limit(), self.descriptors.take()).await;
         let slot = slot.map_err(|_| Outcome::Skipped)?;
-        match tokio::time::timeout(limit(), Conn::open(address, slot)).await {
+        match tokio::time::timeout(limit(), HttpConnection::open(address, slot)).await {
             Ok(Ok(conn)) => Ok(conn),
             Ok(Err(e)) if e.downcast_ref::<io::Error>().is_some_and(out_of_descriptors) => {
                 Err(Outcome::Skipped)
@@ -367,147 +383,148 @@
         }
     }
 
-    /// Sends one attempt and waits for its end. `bars` says, right before the first byte, whether and how it ends
-    /// unsent. A long answer is handed to `started` with its first bytes and passed on from there. A connection
-    /// that may be kept comes back.
+    /// Sends one attempt and waits for its end. `before_send` is called right before the first byte is sent and
+    /// returns the outcome if the attempt must not be sent. A long response is passed to `started` with its
+    /// first bytes and streamed from there. Returns the result, and the connection if it can be reused.
     pub async fn attempt(
         self: &Rc<Self>,
-        errand: &Errand,
-        bars: impl Fn() -> Option<Outcome>,
-        started: impl FnOnce(Reply, Duration),
-    ) -> (Finish, Option<Conn>) {
-        let begun = Instant::now();
-        let until = errand.connect_until(begun);
-        let mut conn = match self.connection(errand.backend, errand.address, until, bars).await {
+        spec: &AttemptSpec,
+        before_send: impl Fn() -> Option<Outcome>,
+        started: impl FnOnce(BackendResponse, Duration),
+    ) -> (AttemptResult, Option<HttpConnection>) {
+        let started_at = Instant::now();
+        let until = spec.connect_deadline(started_at);
+        let mut conn = match self.acquire(spec.backend, spec.address, until, before_send).await {
             Ok(conn) => conn,
             Err(outcome) => return (outcome.into(), None),
         };
         let written = conn.socket.written();
-        let left = until.saturating_duration_since(Instant::now());
-        let request = errand.call.request(errand.address, left);
-        // Before the request's last byte for a long one, after its first for all: when nothing can have run.
-        let never_ran = |conn: &Conn| match &errand.call.upload {
+        let remaining = until.saturating_duration_since(Instant::now());
+        let request = spec.forwarded.to_http(spec.address, remaining);
+        // The backend cannot have processed the request before its last byte, if streamed, or before its
+        // first byte otherwise.
+        let never_ran = |conn: &HttpConnection| match &spec.forwarded.upload {
             Some(upload) => upload.finished_at().is_none(),
             None => conn.socket.written() == written,
         };
-        let mut overdue = pin!(errand.overdue(begun));
+        let mut timeout = pin!(spec.response_timeout(started_at));
         let exchange = async {
-            let (head, mut body) = conn.begin(request).await?.into_parts();
+            let (head, mut body) = conn.send_request(request).await?.into_parts();
             if head.headers.contains_key(TRANSFER_ENCODING) && head.headers.contains_key(CONTENT_LENGTH) {
                 return Err("the answer is framed twice".into());
             }
             if head.status != StatusCode::OK {
-                let body = conn.whole(body, BODY_LIMIT).await?;
-                return Ok::<_, BoxError>((head, First::Whole(body)));
+                let body = conn.read_body(body, MAX_BUFFERED_BODY_BYTES).await?;
+                return Ok::<_, BoxError>((head, ResponseStart::Complete(body)));
             }
-            let from = errand.call.upload.as_ref().and_then(|u| u.finished_at()).unwrap_or(begun);
-            let first = conn.first(&mut body, from + (errand.timeout / 2).min(HOLD)).await?;
+            let from = spec.forwarded.upload.as_ref().and_then(|u| u.finished_at()).unwrap_or(started_at);
+            let first = conn.read_start(&mut body, from + (spec.timeout / 2).min(MAX_BUFFERING)).await?;
             Ok((head, first.with(body)))
         };
-        let answer = tokio::select! {
+        let http_response = tokio::select! {
             biased;
-            answer = exchange => answer,
-            () = overdue.as_mut() => {
+            http_response = exchange => http_response,
+            () = timeout.as_mut() => {
                 let outcome = if never_ran(&conn) { Outcome::NotConnected } else { Outcome::TimedOut };
                 return (outcome.into(), None);
             }
         };
-        let took = errand.call.upload.as_ref().and_then(|u| u.finished_at()).map(|at| at.elapsed());
-        let (head, first) = match answer {
-            Ok(answer) => answer,
-            Err(e) => return (self.broken(errand, never_ran(&conn), &e), None),
+        let took = spec.forwarded.upload.as_ref().and_then(|u| u.finished_at()).map(|at| at.elapsed());
+        let (head, first) = match http_response {
+            Ok(http_response) => http_response,
+            Err(e) => return (self.failure_result(spec, never_ran(&conn), &e), None),
         };
         match first {
-            First::Whole(body) => {
-                let finish = finish(Response::from_parts(head, body));
-                (Finish { took, ..finish }, Some(conn))
+            ResponseStart::Complete(body) => {
+                let result = parse_response(Response::from_parts(head, body));
+                (AttemptResult { took, ..result }, Some(conn))
             }
-            First::Long { first, rest } => {
-                // The wait for a place ends like any other wait.
-                let place = match &errand.call.upload {
+            ResponseStart::Streamed { first, rest } => {
+                // The attempt's timeout also limits the wait for a transfer slot.
+                let place = match &spec.forwarded.upload {
                     Some(_) => None,
                     None => tokio::select! {
-                        place = self.places.take(errand.timeout) => place,
-                        () = overdue.as_mut() => None,
+                        place = self.places.take(spec.timeout) => place,
+                        () = timeout.as_mut() => None,
                     },
                 };
-                if place.is_none() && errand.call.upload.is_none() {
-                    // This node's own want, and nothing against the backend.
+                if place.is_none() && spec.forwarded.upload.is_none() {
+                    // No slot is free: a limit of this node, which does not count against the backend.
                     return (Outcome::Cancelled.into(), None);
                 }
-                let took = took.unwrap_or_else(|| begun.elapsed());
+                let took = took.unwrap_or_else(|| started_at.elapsed());
                 let (pieces, receiver) = mpsc::channel(1);
                 let length = rest.size_hint().exact().map(|left| left + first.len() as u64);
-                let body = ReplyBody::Long { length, pieces: receiver };
+                let body = BackendBody::Streamed { length, pieces: receiver };
                 let content_type = head.headers.get(CONTENT_TYPE).cloned();
-                // The channel is new and empty.
+                // Cannot fail: the channel is new and empty.
                 let _ = pieces.try_send(Piece::Data(first));
-                started(Reply { body, content_type }, took);
-                let outcome = conn.pass_on(rest, pieces).await;
+                started(BackendResponse { body, content_type }, took);
+                let outcome = conn.forward_body(rest, pieces).await;
                 drop(place);
                 let whole = outcome == Outcome::Done;
                 let load = load_of(&head);
-                (Finish { took: Some(took), load, ..outcome.into() }, whole.then_some(conn))
+                (AttemptResult { took: Some(took), load, ..outcome.into() }, whole.then_some(conn))
             }
         }
     }
 
-    /// What it means that an attempt broke.
-    fn broken(&self, errand: &Errand, never_ran: bool, e: &BoxError) -> Finish {
-        match &errand.call.upload {
+    /// Returns the result of an attempt that failed with an error.
+    fn failure_result(&self, spec: &AttemptSpec, never_ran: bool, e: &BoxError) -> AttemptResult {
+        match &spec.forwarded.upload {
             Some(upload) if upload.too_long() => {
                 let rejected = Some(StatusCode::PAYLOAD_TOO_LARGE);
-                return Finish { rejected, ..Outcome::Rejected.into() };
+                return AttemptResult { rejected, ..Outcome::Rejected.into() };
             }
-            // The client's doing, and nothing against the backend.
+            // The client aborted the upload, which does not count against the backend.
             Some(upload) if upload.cut() => return Outcome::Cancelled.into(),
             _ => {}
         }
         if never_ran {
             return Outcome::NotConnected.into();
         }
-        // Served in part or past the limit is no answer; what was written may have run.
+        // A partial or oversized response cannot be used, but the request may have been processed.
         if e.is::<LengthLimitError>() {
             return Outcome::Error.into();
         }
-        self.release(errand.backend);
+        self.close_idle(spec.backend);
         Outcome::Reset.into()
     }
 
-    /// Asks a backend whether it is there.
+    /// Sends a health probe to a backend.
     pub async fn probe(
         &self,
         backend: BackendId,
         address: SocketAddr,
         path: &'static str,
-        bars: impl Fn() -> Option<Outcome>,
-    ) -> (Finish, Option<Conn>) {
-        let until = Instant::now() + PROBE_LIMIT;
-        let mut conn = match self.connection(backend, address, until, bars).await {
+        before_send: impl Fn() -> Option<Outcome>,
+    ) -> (AttemptResult, Option<HttpConnection>) {
+        let until = Instant::now() + PROBE_TIMEOUT;
+        let mut conn = match self.acquire(backend, address, until, before_send).await {
             Ok(conn) => conn,
             Err(outcome) => return (outcome.into(), None),
         };
-        let call = Call {
+        let forwarded = ForwardedRequest {
             method: Method::GET,
             target: Uri::from_static(path),
             headers: HeaderMap::new(),
             body: Bytes::new(),
             upload: None,
         };
-        let left = until.saturating_duration_since(Instant::now());
-        let request = call.request(address, left);
-        match tokio::time::timeout(left, conn.exchange(request, BODY_LIMIT)).await {
+        let remaining = until.saturating_duration_since(Instant::now());
+        let request = forwarded.to_http(address, remaining);
+        match tokio::time::timeout(remaining, conn.exchange(request, MAX_BUFFERED_BODY_BYTES)).await {
             Err(_) => {
-                self.release(backend);
+                self.close_idle(backend);
                 (Outcome::TimedOut.into(), None)
             }
             Ok(Err(_)) => {
-                self.release(backend);
+                self.close_idle(backend);
                 (Outcome::Reset.into(), None)
             }
-            Ok(Ok(answer)) => {
-                let text = String::from_utf8_lossy(answer.body()).into_owned();
-                let mut end = finish(answer);
+            Ok(Ok(http_response)) => {
+                let text = String::from_utf8_lossy(http_response.body()).into_owned();
+                let mut end = parse_response(http_response);
                 end.load = wire::load_report(&text);
                 (end, Some(conn))
             }
@@ -515,56 +532,56 @@
     }
 }
 
-/// The beginning of an answer: all of it, or enough to know that there is more.
-enum First<B = ()> {
-    Whole(Bytes),
-    Long { first: Bytes, rest: B },
+/// Start of a response body: either all of it, or enough to know that it is long.
+enum ResponseStart<B = ()> {
+    Complete(Bytes),
+    Streamed { first: Bytes, rest: B },
 }
 
-impl First {
-    fn with(self, rest: Incoming) -> First<Incoming> {
+impl ResponseStart {
+    fn with(self, rest: Incoming) -> ResponseStart<Incoming> {
         match self {
-            First::Whole(body) => First::Whole(body),
-            First::Long { first, rest: () } => First::Long { first, rest },
+            ResponseStart::Complete(body) => ResponseStart::Complete(body),
+            ResponseStart::Streamed { first, rest: () } => ResponseStart::Streamed { first, rest },
         }
     }
 }
 
-impl Conn {
-    /// Reads until the answer is over or known to be long.
-    /// One of unknown length is held until `until` for that.
-    async fn first(&mut self, body: &mut Incoming, until: Instant) -> Result<First, BoxError> {
-        let announced = body.size_hint().lower() > BODY_LIMIT as u64;
-        let told = body.size_hint().exact().is_some();
+impl HttpConnection {
+    /// Reads until the body is complete or known to be long. A body of unknown length counts as long after
+    /// `until`.
+    async fn read_start(&mut self, body: &mut Incoming, until: Instant) -> Result<ResponseStart, BoxError> {
+        let announced = body.size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64;
+        let is_length_known = body.size_hint().exact().is_some();
         let mut first = BytesMut::new();
         loop {
-            let piece = if told || first.is_empty() {
-                self.piece(body).await?
+            let chunk = if is_length_known || first.is_empty() {
+                self.next_chunk(body).await?
             } else {
-                match tokio::time::timeout_at(until.into(), self.piece(body)).await {
-                    Ok(piece) => piece?,
-                    Err(_) => return Ok(First::Long { first: first.freeze(), rest: () }),
+                match tokio::time::timeout_at(until.into(), self.next_chunk(body)).await {
+                    Ok(chunk) => chunk?,
+                    Err(_) => return Ok(ResponseStart::Streamed { first: first.freeze(), rest: () }),
                 }
             };
-            match piece {
-                None => return Ok(First::Whole(first.freeze())),
-                Some(piece) if announced => return Ok(First::Long { first: piece, rest: () }),
-                Some(piece) => first.extend_from_slice(&piece),
+            match chunk {
+                None => return Ok(ResponseStart::Complete(first.freeze())),
+                Some(chunk) if announced => return Ok(ResponseStart::Streamed { first: chunk, rest: () }),
+                Some(chunk) => first.extend_from_slice(&chunk),
             }
-            if first.len() > BODY_LIMIT {
-                return Ok(First::Long { first: first.freeze(), rest: () });
+            if first.len() > MAX_BUFFERED_BODY_BYTES {
+                return Ok(ResponseStart::Streamed { first: first.freeze(), rest: () });
             }
         }
     }
 
-    /// Passes the rest of an answer on, each piece once the one before was taken.
-    async fn pass_on(&mut self, mut body: Incoming, pieces: mpsc::Sender<Piece>) -> Outcome {
+    /// Forwards the rest of a response, each piece after the previous one was taken.
+    async fn forward_body(&mut self, mut body: Incoming, pieces: mpsc::Sender<Piece>) -> Outcome {
         loop {
-            let piece = tokio::select! {
-                piece = tokio::time::timeout(SILENCE, self.piece(&mut body)) => piece,
+            let chunk = tokio::select! {
+                chunk = tokio::time::timeout(BODY_IDLE_TIMEOUT, self.next_chunk(&mut body)) => chunk,
                 () = pieces.closed() => return Outcome::Cancelled,
             };
-            let (next, outcome) = match piece {
+            let (next, outcome) = match chunk {
                 Err(_) => return Outcome::TimedOut,
                 Ok(Err(_)) => return Outcome::Reset,
                 Ok(Ok(Some(data))) => (Piece::Data(data), None),
@@ -579,8 +596,8 @@
     }
 }
 
-impl Call {
-    fn request(&self, address: SocketAddr, left: Duration) -> Request<Outgoing> {
+impl ForwardedRequest {
+    fn to_http(&self, address: SocketAddr, remaining: Duration) -> Request<Outgoing> {
         let mut request = Request::new(match &self.upload {
             None => Outgoing::whole(self.body.clone()),
             Some(upload) => Outgoing::long(self.body.clone(), upload.clone()),
@@ -594,39 +611,41 @@
         {
             headers.insert(HOST, host);
         }
-        let left = u64::try_from(left.as_micros().div_ceil(1000)).unwrap_or(u64::MAX);
-        headers.insert(EXPIRES, HeaderValue::from(left));
+        let remaining = u64::try_from(remaining.as_micros().div_ceil(1000)).unwrap_or(u64::MAX);
+        headers.insert(EXPIRES_HEADER, HeaderValue::from(remaining));
         request
     }
 }
 
 fn load_of(head: &Parts) -> Load {
-    let report = head.headers.get(LOAD).and_then(|v| v.to_str().ok());
+    let report = head.headers.get(LOAD_HEADER).and_then(|v| v.to_str().ok());
     report.map(wire::load_report).unwrap_or_default()
 }
 
-/// What a backend's whole answer says.
-fn finish(answer: Response<Bytes>) -> Finish {
-    let (head, body) = answer.into_parts();
+/// Converts a complete backend response to a result.
+fn parse_response(http_response: Response<Bytes>) -> AttemptResult {
+    let (head, body) = http_response.into_parts();
     let header = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
     let load = load_of(&head);
-    let unseen = header(NEVER_RAN) == Some("1");
+    let never_ran = header(NEVER_RAN_HEADER) == Some("1");
     let outcome = match head.status {
         StatusCode::OK => Outcome::Done,
-        // Of the request alone, whichever backend is asked. Other 4xx may be this backend's own view (404), or
-        // of this moment (408, 429).
+        // These statuses concern the request alone, whichever backend receives it. Other 4xx statuses may
+        // be specific to this backend (404) or to this moment (408, 429).
         StatusCode::BAD_REQUEST
         | StatusCode::PAYLOAD_TOO_LARGE
         | StatusCode::URI_TOO_LONG
         | StatusCode::UNSUPPORTED_MEDIA_TYPE
         | StatusCode::UNPROCESSABLE_ENTITY
         | StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE => Outcome::Rejected,
-        // The only proof that a backend gives; any other status may have run.
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::Full,
+        // Only this header proves that the request was not processed; with any other status it may have
+        // been.
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Full,
         _ => Outcome::Error,
     };
     let content_type = head.headers.get(CONTENT_TYPE).cloned();
-    let reply = (outcome == Outcome::Done).then_some(Reply { body: ReplyBody::Whole(body), content_type });
+    let response = (outcome == Outcome::Done)
+        .then_some(BackendResponse { body: BackendBody::Complete(body), content_type });
     let rejected = (outcome == Outcome::Rejected).then_some(head.status);
-    Finish { outcome, reply, load, rejected, took: None }
+    AttemptResult { outcome, response, load, rejected, took: None }
 }
