--- a/src/node/body.rs
+++ b/src/node/body.rs
@@ -1,6 +1,6 @@
 //! Bodies that are passed on while they come, and the pieces they come in.
 
-use crate::places::Place;
+use crate::transfer_slots::TransferSlot;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -46,12 +46,12 @@
     too_long: Cell<bool>,
     finished: Cell<Option<Instant>>,
     told: Notify,
-    _place: Place,
+    _slot: TransferSlot,
 }
 
 impl Upload {
     /// The rest of a body of which `first` bytes are there.
-    pub fn new(rest: Incoming, first: usize, place: Place) -> Rc<Upload> {
+    pub fn new(rest: Incoming, first: usize, slot: TransferSlot) -> Rc<Upload> {
         let length = rest.size_hint().exact().map(|left| left + first as u64);
         Rc::new(Upload {
             rest: RefCell::new(Some(rest)),
@@ -61,7 +61,7 @@
             too_long: Cell::new(false),
             finished: Cell::new(None),
             told: Notify::new(),
-            _place: place,
+            _slot: slot,
         })
     }
 
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -179,7 +179,7 @@
         let stopping = self.stage.get() == Stage::Stopping;
         let limit = self.pool.limit(role, stopping, limit, used);
         self.descriptors.set_limit(limit);
-        self.upstream.places.halve(role != Role::Alone);
+        self.upstream.transfer_slots.set_halved(role != Role::Alone);
         if before != now {
             let role = match role {
                 Role::Alone => "alone",
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -11,13 +11,13 @@
 mod log;
 mod operator;
 mod peers;
-mod places;
 mod rules;
 mod server;
 mod sharing;
 mod socket;
 mod state;
 mod stats;
+mod transfer_slots;
 mod upstream;
 mod zoning;
 
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -619,7 +619,7 @@
             .min(LONGEST_WAIT);
         let (body, upload) = match collect(client, arrived, body).await {
             Collected::Whole(body) => (body, None),
-            Collected::Long(first, rest) => match self.upstream.places.take(PLACE_WAIT).await {
+            Collected::Long(first, rest) => match self.upstream.transfer_slots.take(PLACE_WAIT).await {
                 Some(place) => {
                     let length = first.len();
                     (first, Some(Upload::new(rest, length, place)))
--- a/src/node/upstream.rs
+++ b/src/node/upstream.rs
@@ -6,8 +6,8 @@
 //! streamed body occupies a transfer slot.
 
 use crate::body::{Outgoing, Piece, Upload};
-use crate::places::Places;
 use crate::socket::{Descriptors, Slot, Socket};
+use crate::transfer_slots::TransferSlots;
 use bytes::{Bytes, BytesMut};
 use daleturn::interface::{BackendId, Load, Outcome};
 use daleturn::wire;
@@ -256,7 +256,7 @@
     connect_limit: Cell<Duration>,
     idle_limit: Cell<Duration>,
     /// Slots for streamed transfers.
-    pub places: Rc<Places>,
+    pub transfer_slots: Rc<TransferSlots>,
 }
 
 /// True if the process or the system is out of file descriptors (EMFILE, ENFILE).
@@ -281,7 +281,7 @@
             descriptors: descriptors.clone(),
             connect_limit: Cell::new(duration_from_ms(connect_timeout_ms)),
             idle_limit: Cell::new(duration_from_ms(conn_idle_ms * IDLE_FRACTION)),
-            places: Places::new(memory),
+            transfer_slots: TransferSlots::new(memory),
         });
         let weak = Rc::downgrade(&upstream);
         descriptors.on_pressure(Box::new(move || weak.upgrade().is_some_and(|u| u.close_oldest_idle())));
@@ -441,14 +441,14 @@
             }
             ResponseStart::Streamed { first, rest } => {
                 // The attempt's timeout also limits the wait for a transfer slot.
-                let place = match &spec.forwarded.upload {
+                let slot = match &spec.forwarded.upload {
                     Some(_) => None,
                     None => tokio::select! {
-                        place = self.places.take(spec.timeout) => place,
+                        slot = self.transfer_slots.take(spec.timeout) => slot,
                         () = timeout.as_mut() => None,
                     },
                 };
-                if place.is_none() && spec.forwarded.upload.is_none() {
+                if slot.is_none() && spec.forwarded.upload.is_none() {
                     // No slot is free: a limit of this node, which does not count against the backend.
                     return (Outcome::Cancelled.into(), None);
                 }
@@ -461,7 +461,7 @@
                 let _ = pieces.try_send(Piece::Data(first));
                 started(BackendResponse { body, content_type }, took);
                 let outcome = conn.forward_body(rest, pieces).await;
-                drop(place);
+                drop(slot);
                 let whole = outcome == Outcome::Done;
                 let load = load_of(&head);
                 (AttemptResult { took: Some(took), load, ..outcome.into() }, whole.then_some(conn))
