--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -354,9 +354,9 @@
     if tokio::time::timeout_at(end.into(), &mut accepting).await.is_err() {
         accepting.abort();
     }
-    server.wind_down(end).await;
-    server.end();
-    server.wind_down(Instant::now() + FAREWELL).await;
+    server.close_clients(end).await;
+    server.fail_remaining();
+    server.close_clients(Instant::now() + FAREWELL).await;
     if let Some(durable) = durable {
         durable.close();
     }
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -356,7 +356,7 @@
         json["mode"] = self.server.mode().into();
         json["settings"] = json!({"taken": rules.taken, "digest": format!("{:016x}", rules.digest)});
         json["descriptors"] = json!({"used": self.descriptors.used(), "limit": self.descriptors.limit(),
-            "clients": self.server.clients(), "idle_upstream": self.upstream.idle_count()});
+            "clients": self.server.client_count(), "idle_upstream": self.upstream.idle_count()});
         json["memory"] = json!({"used_kb": resident_kb(), "limit_kb": self.memory / 1024});
         let state = self.durable.as_ref().map(|d| d.condition());
         json["state"] = json!({"kept": state.is_some(), "incarnation": state.and_then(|s| s.incarnation),
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -1,4 +1,4 @@
-//! The client side: connections, what they ask, and the answers they get.
+//! Client side of the node: connections, requests and responses.
 
 use crate::body::{Download, LONGEST_BODY, Upload, drain};
 use crate::driver::{Answer, Driver};
@@ -10,7 +10,7 @@
     MAX_BUFFERED_BODY_BYTES, Upstream,
 };
 use bytes::{Bytes, BytesMut};
-use daleturn::interface::{Effect, Request as Asked, RequestId};
+use daleturn::interface::{Effect, Request as BalancerRequest, RequestId};
 use daleturn::wire::stable_hash;
 use http_body_util::{BodyExt, Either, Full};
 use hyper::body::{Body, Incoming};
@@ -33,59 +33,60 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// The client counts from its send, this node from the arrival: time for the way here, the answer's way
-/// back, and this loop. The decisions end a request so long before the client gives up.
-const MARGIN: Duration = Duration::from_millis(4);
-/// And so long before, the node ends what the decisions have not.
-const LAST_MARGIN: Duration = Duration::from_millis(1);
-/// When to come back to a node that holds as many requests as it may.
+/// Safety margin between the balancer's deadline and the client's. The client counts from its send and this
+/// node from the arrival, so the margin covers both network directions and this event loop.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(4);
+/// Part of the margin within which the node itself fails a request that the balancer has not finished.
+const FINAL_MARGIN: Duration = Duration::from_millis(1);
+/// Retry delay sent to clients when the node has reached its limit of open requests or transfer slots.
 const FULL_RETRY_AFTER_MS: f64 = 1000.0;
-/// A client's wait beyond this is not believed.
-const LONGEST_WAIT: Duration = Duration::from_secs(600);
-/// A connection whose next head takes longer is closed, idle or not.
-const HEAD_LIMIT: Duration = Duration::from_secs(60);
-/// Time for a connection's first head to be read, from when it came: a peer that says nothing, or not enough, is
-/// closed or told so within three seconds.
-const FIRST_HEAD: Duration = Duration::from_millis(2500);
-/// How often a connection is looked at for that, and while a request is open on it.
-const LOOK: Duration = Duration::from_millis(250);
-const LOOK_BUSY: Duration = Duration::from_millis(100);
-/// Time after the last answer of a connection for its client to read it and to end the connection, too.
-const LINGER: Duration = Duration::from_millis(500);
-/// Time for a body of which nothing comes, from the head or, on a connection's first request, from when it came.
-const BODY_TIME: Duration = Duration::from_millis(2800);
-/// And the time that each byte of it is good for besides: half the pace that clients are allowed.
-const BODY_PACE: u64 = 32_000;
-/// Time for a long body that nobody wants to be read to its end, so that its client is there for the answer.
-const DRAIN_TIME: Duration = Duration::from_millis(4500);
-/// How long a long body waits for a place before it is refused.
-const PLACE_WAIT: Duration = Duration::from_millis(1000);
-/// A long transfer that moves no more than this in so long has stalled for good.
-const STALL: Duration = Duration::from_secs(15);
+/// Upper limit for the wait that a client may announce.
+const MAX_CLIENT_WAIT: Duration = Duration::from_secs(600);
+/// Time after which a connection is closed if the next request header is not complete, idle or not.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time from the accept until a connection's first request header must be complete. A silent or slow client
+/// is closed or answered within three seconds.
+const FIRST_HEADER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Interval of the checks for overdue clients, without and with an open request.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+const BUSY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after a connection's last response for the client to read it and to close its end.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Base timeout for reading a body, from its header or, for a connection's first request, from the accept.
+const BODY_BASE_TIMEOUT: Duration = Duration::from_millis(2800);
+/// Each byte received extends the timeout at this rate: half of the minimum rate required of clients.
+const BODY_BYTES_PER_S: u64 = 32_000;
+/// Time for discarding the rest of an unwanted long body, so that its client gets to read the response.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(4500);
+/// Time that a long body waits for a transfer slot before its request is refused.
+const SLOT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// A streamed transfer has stalled if it moves less than `STALL_BYTES` in this time.
+const STALL_WINDOW: Duration = Duration::from_secs(15);
 const STALL_BYTES: u64 = 16 * 1024;
-/// What the system may hold of a long answer: with more, a slow client would look like one that stalls.
-const SEND_BUFFER: usize = 256 * 1024;
-/// A connection this young has its first request under way.
-const FRESH: Duration = Duration::from_millis(500);
-/// Under pressure, a client that has not gone on with a request for so long is in the others' way.
-const STUCK: Duration = Duration::from_millis(1000);
-/// How often a node that sends clients away looks for idle ones.
-const CLOSE_EVERY: Duration = Duration::from_millis(20);
-/// After the notice to stop: new connections come for up to 0.4 s, and a margin; then until none has come
-/// for a moment.
-const ACCEPT_ON: Duration = Duration::from_millis(700);
-const QUIET: Duration = Duration::from_millis(150);
-/// But so long at most: SIGKILL would find unanswered what is taken later.
-const ACCEPT_END: Duration = Duration::from_millis(1500);
-
-/// Time to take who has connected already when another process takes over, should the system be out of
+/// Send buffer of the operating system for a streamed response. With a larger one, a slow client would look
+/// like a stalled one.
+const SEND_BUFFER_BYTES: usize = 256 * 1024;
+/// A connection younger than this is assumed to have its first request in transit.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(500);
+/// Under descriptor pressure, a client that has paused within a request for this long may be closed.
+const STUCK_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Interval at which a node that is quiescing or stopping closes idle connections.
+const CLOSE_IDLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Minimum accept time after the stop signal. New connections arrive for up to 0.4 s after it; after this
+/// time, accepting ends when none has arrived for `ACCEPT_QUIET_TIME`.
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(700);
+const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(150);
+/// Maximum accept time after the stop signal. Requests accepted later would still be unanswered at SIGKILL.
+const MAX_ACCEPT_TIME: Duration = Duration::from_millis(1500);
+
+/// Maximum time for accepting the connections in the backlog during a handover while the system is out of
 /// descriptors.
-const LEAVE_TIME: Duration = Duration::from_millis(1000);
+const BACKLOG_TIMEOUT: Duration = Duration::from_millis(1000);
 const STARTING: &str = "this process is starting";
 const STOPPING: &str = "this process is stopping";
 
-/// Headers that concern one connection only, or that are made anew.
-const OWN_HEADERS: [HeaderName; 8] = [
+/// Hop-by-hop headers, and headers that this node generates itself.
+const UNFORWARDED_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -96,35 +97,39 @@
     UPGRADE,
 ];
 
-/// One client connection.
-struct Client {
+/// State of a client connection.
+struct ClientConnection {
     socket: Socket,
-    since: Instant,
-    /// Has had a request answered.
-    asked: Cell<bool>,
-    busy: Cell<bool>,
-    /// The request that is open on it was read to its end.
-    whole: Cell<bool>,
+    accepted_at: Instant,
+    /// True once a request on this connection has been answered.
+    has_responded: Cell<bool>,
+    is_busy: Cell<bool>,
+    /// True if the open request has been read completely.
+    is_request_complete: Cell<bool>,
     idle_since: Cell<Instant>,
-    /// Bytes read when it last turned idle.
-    read: Cell<u64>,
-    /// When it was first looked at with a request begun and not read whole.
+    /// Number of bytes read when the connection last became idle.
+    read_at_idle: Cell<u64>,
+    /// When the connection was first seen with a partially read request header.
     stuck_since: Cell<Option<Instant>>,
-    /// Carries a long body, which had moved so far at that time.
-    moved: Cell<Option<(u64, Instant)>>,
+    /// During a streamed transfer: the bytes moved at the last progress check, and when that was.
+    transfer_progress: Cell<Option<(u64, Instant)>>,
     close: Notify,
 }
 
-impl Client {
-    /// Nothing asked, nothing being read, nothing waiting to be read. Who has just connected is about to ask.
-    fn idle(&self) -> bool {
-        let fresh = self.socket.read() == 0 && self.idle_since.get().elapsed() < FRESH;
-        !fresh && !self.busy.get() && self.socket.read() == self.read.get() && self.socket.quiet()
+impl ClientConnection {
+    /// True if no request is open or being read and no data is pending. A new connection is not idle, since
+    /// its first request is expected.
+    fn is_idle(&self) -> bool {
+        let fresh = self.socket.read() == 0 && self.idle_since.get().elapsed() < NEW_CONNECTION_GRACE;
+        !fresh
+            && !self.is_busy.get()
+            && self.socket.read() == self.read_at_idle.get()
+            && self.socket.quiet()
     }
 
-    /// Has begun a request so long ago and not gone on with it.
-    fn stuck(&self, limit: Duration) -> bool {
-        if self.busy.get() || self.socket.read() == self.read.get() {
+    /// True if a partial request header was first noticed longer than `limit` ago. The first call notices it.
+    fn is_stuck(&self, limit: Duration) -> bool {
+        if self.is_busy.get() || self.socket.read() == self.read_at_idle.get() {
             return false;
         }
         let seen = self.stuck_since.get().unwrap_or_else(Instant::now);
@@ -132,72 +137,78 @@
         seen.elapsed() > limit
     }
 
-    /// Whoever has gone is not there for the answer, whatever of theirs is still to be read.
-    fn left(&self) -> bool {
-        if self.whole.get() {
+    /// True if the client has disconnected while its request was open. Data behind the request is read
+    /// ahead, since the end of the stream is only visible behind it.
+    fn has_left(&self) -> bool {
+        if self.is_request_complete.get() {
             self.socket.read_ahead();
         }
-        self.busy.get() && self.socket.left()
+        self.is_busy.get() && self.socket.left()
     }
 
-    /// Owes a request, or the rest of one, for longer than anybody waits for it.
-    fn overdue(&self) -> bool {
-        let silent = !self.asked.get() && !self.busy.get() && self.since.elapsed() > FIRST_HEAD;
-        silent || self.stuck(FIRST_HEAD) || self.stalled()
+    /// True if the client has not sent a request, the rest of one, or transfer progress within its time
+    /// limit.
+    fn is_overdue(&self) -> bool {
+        let silent = !self.has_responded.get()
+            && !self.is_busy.get()
+            && self.accepted_at.elapsed() > FIRST_HEADER_TIMEOUT;
+        silent || self.is_stuck(FIRST_HEADER_TIMEOUT) || self.is_stalled()
     }
 
-    /// Carries a long body that does not move any more.
-    fn stalled(&self) -> bool {
-        let Some((before, at)) = self.moved.get() else { return false };
+    /// True if a streamed transfer makes no progress.
+    fn is_stalled(&self) -> bool {
+        let Some((before, at)) = self.transfer_progress.get() else { return false };
         let now = self.socket.read() + self.socket.written();
         if now >= before + STALL_BYTES {
-            self.moved.set(Some((now, Instant::now())));
+            self.transfer_progress.set(Some((now, Instant::now())));
             return false;
         }
-        at.elapsed() > STALL
+        at.elapsed() > STALL_WINDOW
     }
 
-    /// From here on it carries a long body.
-    fn carries_long(&self) {
-        self.moved.set(Some((0, Instant::now())));
+    /// Marks the start of a streamed transfer.
+    fn start_transfer(&self) {
+        self.transfer_progress.set(Some((0, Instant::now())));
     }
 
-    /// When the body of a request whose head came at `arrived` must be there, if so much of it is.
-    fn body_until(&self, arrived: Instant, read: u64) -> Instant {
-        let from = if self.asked.get() { arrived } else { self.since };
-        from + BODY_TIME + Duration::from_millis(read * 1000 / BODY_PACE)
+    /// Returns the deadline for the rest of a body of which `read` bytes have arrived, for a header that
+    /// arrived at `arrived`.
+    fn body_deadline(&self, arrived: Instant, read: u64) -> Instant {
+        let from = if self.has_responded.get() { arrived } else { self.accepted_at };
+        from + BODY_BASE_TIMEOUT + Duration::from_millis(read * 1000 / BODY_BYTES_PER_S)
     }
 }
 
-/// Marks a connection as busy for as long as a request is on it.
-struct Busy(Rc<Client>);
+/// Marks a connection as busy while a request is open on it.
+struct BusyGuard(Rc<ClientConnection>);
 
-impl Busy {
-    fn new(client: Rc<Client>) -> Busy {
-        client.busy.set(true);
+impl BusyGuard {
+    fn new(client: Rc<ClientConnection>) -> BusyGuard {
+        client.is_busy.set(true);
         client.stuck_since.set(None);
-        Busy(client)
+        BusyGuard(client)
     }
 }
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
-        self.0.busy.set(false);
-        self.0.whole.set(false);
-        self.0.moved.set(None);
-        self.0.asked.set(true);
+        self.0.is_busy.set(false);
+        self.0.is_request_complete.set(false);
+        self.0.transfer_progress.set(None);
+        self.0.has_responded.set(true);
         self.0.idle_since.set(Instant::now());
-        self.0.read.set(self.0.socket.read());
+        self.0.read_at_idle.set(self.0.socket.read());
     }
 }
 
-/// A client's place among those connected: given up however its task ends, or its descriptor would stay.
-struct Listed {
+/// Registration of a client connection. Dropping it removes the connection however its task ends; otherwise
+/// its descriptor would leak.
+struct ClientRegistration {
     server: Rc<Server>,
     number: u64,
 }
 
-impl Drop for Listed {
+impl Drop for ClientRegistration {
     fn drop(&mut self) {
         let client = self.server.clients.borrow_mut().remove(&self.number);
         drop(client);
@@ -205,37 +216,37 @@
     }
 }
 
-/// What the node is about.
+/// Operating mode of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    /// Takes no clients yet.
+    /// Does not accept clients yet.
     Starting,
     Serving,
-    /// Sends clients away, until told otherwise.
+    /// Sends clients away until resumed.
     Quiesced,
-    /// Since then, for good.
+    /// Stopping for good since this instant.
     Stopping(Instant),
-    /// The same, where another process of this node takes the clients.
-    Succeeded,
-    /// Out of time: what still comes is refused at once, or it would be lost with the process.
-    Over,
+    /// Stopping for good while another process of this node serves the clients.
+    HandedOver,
+    /// Out of time: new requests are refused at once, because they would be lost with the process.
+    Ended,
 }
 
-/// The client side of the node.
+/// Serves the clients of the node.
 pub struct Server {
     driver: Rc<Driver>,
     upstream: Rc<Upstream>,
     rules: Rc<Current>,
     descriptors: Rc<Descriptors>,
-    clients: RefCell<BTreeMap<u64, Rc<Client>>>,
-    next: Cell<u64>,
+    clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    next_client_number: Cell<u64>,
     mode: Cell<Mode>,
     stop: Notify,
     closed: Notify,
 }
 
 impl Server {
-    /// A server with no clients yet.
+    /// Creates a server without clients.
     pub fn new(
         driver: Rc<Driver>,
         upstream: Rc<Upstream>,
@@ -248,7 +259,7 @@
             rules,
             descriptors: descriptors.clone(),
             clients: RefCell::default(),
-            next: Cell::new(0),
+            next_client_number: Cell::new(0),
             mode: Cell::new(Mode::Starting),
             stop: Notify::new(),
             closed: Notify::new(),
@@ -258,40 +269,42 @@
             if let Some(server) = weak.upgrade() {
                 server.close_longest_idle();
             }
-            // It closes when its task has its turn, not at once.
+            // The connection's task closes it later, so no descriptor is free yet.
             false
         }));
         server
     }
 
-    /// Makes room: of what may be closed, the one that has asked for nothing the longest.
+    /// Frees a descriptor: closes the connection that has gone longest without a request, among those that
+    /// may be closed.
     fn close_longest_idle(&self) {
         let clients = self.clients.borrow();
-        let mut order: Vec<&Rc<Client>> = clients.values().filter(|c| !c.busy.get()).collect();
+        let mut order: Vec<&Rc<ClientConnection>> = clients.values().filter(|c| !c.is_busy.get()).collect();
         order.sort_by_key(|c| c.idle_since.get());
-        if let Some(client) = order.into_iter().find(|c| c.idle() || c.stuck(STUCK)) {
+        if let Some(client) = order.into_iter().find(|c| c.is_idle() || c.is_stuck(STUCK_TIMEOUT)) {
             client.close.notify_one();
         }
     }
 
     fn close_idle(&self) {
-        for client in self.clients.borrow().values().filter(|c| c.idle()) {
+        for client in self.clients.borrow().values().filter(|c| c.is_idle()) {
             client.close.notify_one();
         }
     }
 
-    /// Takes connections until told to stop, and then for as long as they still come.
+    /// Accepts connections until told to stop, and then for as long as new ones keep arriving.
     pub async fn accept(self: &Rc<Self>, listener: TcpListener) {
         let mut last = Instant::now();
         if self.mode.get() == Mode::Starting {
             self.mode.set(Mode::Serving);
         }
         loop {
-            if self.mode.get() == Mode::Succeeded {
-                return self.leave(listener).await;
+            if self.mode.get() == Mode::HandedOver {
+                return self.drain_backlog(listener).await;
             }
-            let quiet_at =
-                self.stopping().map(|at| (at + ACCEPT_ON).max(last + QUIET).min(at + ACCEPT_END));
+            let quiet_at = self
+                .stopping()
+                .map(|at| (at + MIN_ACCEPT_TIME).max(last + ACCEPT_QUIET_TIME).min(at + MAX_ACCEPT_TIME));
             let quiet = async {
                 match quiet_at {
                     Some(at) => tokio::time::sleep_until(at.into()).await,
@@ -306,13 +319,14 @@
             match accepted {
                 Ok((stream, _)) => {
                     last = Instant::now();
-                    // Under pressure this waits for a place: others wait in the backlog and are taken then.
+                    // Under descriptor pressure this waits for a free slot; new connections wait in the
+                    // backlog meanwhile.
                     let slot = self.descriptors.take_for_client().await;
-                    self.serve(stream, slot);
+                    self.add_client(stream, slot);
                 }
                 Err(e) => {
-                    // Out of descriptors, or a client that has gone already: neither may end the node or
-                    // keep it busy.
+                    // Out of descriptors, or the client has already disconnected. Neither may end the
+                    // accept loop or make it spin.
                     log_event!(WARN, "clients", reason = e.to_string().as_str(), "clients.accept_failed");
                     self.descriptors.relieve();
                     tokio::time::sleep(Duration::from_millis(5)).await;
@@ -321,17 +335,19 @@
         }
     }
 
-    /// Takes who has connected already and gives the address up: who connects next meets the other process.
-    async fn leave(self: &Rc<Self>, listener: TcpListener) {
+    /// Accepts the connections that are already in the backlog and closes the listener. New connections go
+    /// to the other process.
+    async fn drain_backlog(self: &Rc<Self>, listener: TcpListener) {
         let Ok(listener) = listener.into_std() else { return };
-        let end = Instant::now() + LEAVE_TIME;
+        let end = Instant::now() + BACKLOG_TIMEOUT;
         loop {
-            // Closed as soon as nobody waits, with no pause between: who comes in between is reset.
+            // Close the listener as soon as the backlog is empty, without an await in between: connections
+            // that arrive in between are reset.
             match listener.accept().and_then(|(s, _)| s.set_nonblocking(true).map(|()| s)) {
                 Ok(stream) => {
                     let slot = self.descriptors.take_for_client().await;
                     if let Ok(stream) = TcpStream::from_std(stream) {
-                        self.serve(stream, slot);
+                        self.add_client(stream, slot);
                     }
                 }
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return,
@@ -344,65 +360,66 @@
         }
     }
 
-    /// Answers what is there with a farewell and closes what carries nothing; returns when no client is
-    /// left, or at `end`.
-    pub async fn wind_down(self: &Rc<Self>, end: Instant) {
+    /// Answers the open requests with `Connection: close` and closes idle connections. Returns when no
+    /// client is left, or at `end`.
+    pub async fn close_clients(self: &Rc<Self>, end: Instant) {
         while Instant::now() < end && !self.clients.borrow().is_empty() {
             self.close_idle();
-            let _ = tokio::time::timeout(CLOSE_EVERY, self.closed.notified()).await;
+            let _ = tokio::time::timeout(CLOSE_IDLE_INTERVAL, self.closed.notified()).await;
         }
     }
 
-    /// From now on every answer closes its connection, until the process ends. With a successor, another
-    /// process of this node, the front must not hear of it.
+    /// Stops serving: from now on every response closes its connection. With `successor`, another process
+    /// of this node keeps serving, so `/up` must stay positive for the front.
     pub fn stop(&self, successor: bool) {
-        self.mode.set(if successor { Mode::Succeeded } else { Mode::Stopping(Instant::now()) });
+        self.mode.set(if successor { Mode::HandedOver } else { Mode::Stopping(Instant::now()) });
         self.stop.notify_one();
     }
 
-    /// From now on nothing that comes is taken, and what is open has failed: better than lost.
-    pub fn end(&self) {
-        self.mode.set(Mode::Over);
+    /// Refuses all new requests and fails the open ones; unanswered, they would be lost.
+    pub fn fail_remaining(&self) {
+        self.mode.set(Mode::Ended);
         self.driver.fail_all();
     }
 
     fn stopping(&self) -> Option<Instant> {
         match self.mode.get() {
             Mode::Stopping(since) => Some(since),
-            Mode::Starting | Mode::Serving | Mode::Quiesced | Mode::Succeeded | Mode::Over => None,
+            Mode::Starting | Mode::Serving | Mode::Quiesced | Mode::HandedOver | Mode::Ended => None,
         }
     }
 
-    /// Clients that are connected.
-    pub fn clients(&self) -> usize {
+    /// Returns the number of connected clients.
+    pub fn client_count(&self) -> usize {
         self.clients.borrow().len()
     }
 
-    /// What it is about, in a word.
+    /// Returns the name of the operating mode.
     pub fn mode(&self) -> &'static str {
         match self.mode.get() {
             Mode::Starting => "starting",
             Mode::Serving => "serving",
             Mode::Quiesced => "quiesced",
-            Mode::Stopping(_) | Mode::Succeeded | Mode::Over => "stopping",
+            Mode::Stopping(_) | Mode::HandedOver | Mode::Ended => "stopping",
         }
     }
 
-    /// Whether clients are taken, in words.
+    /// Returns whether clients are served, as text for operators.
     pub fn health(&self) -> Result<&'static str, &'static str> {
         match self.mode.get() {
             Mode::Serving => Ok("serving"),
             Mode::Quiesced => Ok("quiesced, serves who still comes"),
             Mode::Starting => Err(STARTING),
-            Mode::Stopping(_) | Mode::Succeeded | Mode::Over => Err(STOPPING),
+            Mode::Stopping(_) | Mode::HandedOver | Mode::Ended => Err(STOPPING),
         }
     }
 
-    /// Sends clients away: `/up` says no, every answer closes its connection, idle ones are closed.
+    /// Sends clients away: `/up` turns negative, every response closes its connection, and idle connections
+    /// are closed.
     pub fn quiesce(self: &Rc<Self>) -> Result<String, &'static str> {
         match self.mode.get() {
             Mode::Starting => return Err(STARTING),
-            Mode::Stopping(_) | Mode::Succeeded | Mode::Over => return Err(STOPPING),
+            Mode::Stopping(_) | Mode::HandedOver | Mode::Ended => return Err(STOPPING),
             Mode::Quiesced => {}
             Mode::Serving => {
                 self.mode.set(Mode::Quiesced);
@@ -410,7 +427,7 @@
                 spawn_local(async move {
                     while server.mode.get() == Mode::Quiesced {
                         server.close_idle();
-                        tokio::time::sleep(CLOSE_EVERY).await;
+                        tokio::time::sleep(CLOSE_IDLE_INTERVAL).await;
                     }
                 });
             }
@@ -418,75 +435,75 @@
         Ok(format!("quiesced, {} connections of clients are open", self.clients.borrow().len()))
     }
 
-    /// Ends that: `/up` says yes again.
+    /// Ends quiescing: `/up` turns positive again.
     pub fn resume(&self) -> Result<String, &'static str> {
         match self.mode.get() {
             Mode::Starting => return Err(STARTING),
-            Mode::Stopping(_) | Mode::Succeeded | Mode::Over => return Err(STOPPING),
+            Mode::Stopping(_) | Mode::HandedOver | Mode::Ended => return Err(STOPPING),
             Mode::Quiesced => self.mode.set(Mode::Serving),
             Mode::Serving => {}
         }
         Ok("serving".to_owned())
     }
 
-    fn serve(self: &Rc<Self>, stream: TcpStream, slot: Slot) {
+    fn add_client(self: &Rc<Self>, stream: TcpStream, slot: Slot) {
         let socket = Socket::of_client(stream, slot);
-        let client = Rc::new(Client {
+        let client = Rc::new(ClientConnection {
             socket: socket.clone(),
-            since: Instant::now(),
-            asked: Cell::new(false),
-            busy: Cell::new(false),
-            whole: Cell::new(false),
+            accepted_at: Instant::now(),
+            has_responded: Cell::new(false),
+            is_busy: Cell::new(false),
+            is_request_complete: Cell::new(false),
             idle_since: Cell::new(Instant::now()),
-            read: Cell::new(0),
+            read_at_idle: Cell::new(0),
             stuck_since: Cell::new(None),
-            moved: Cell::new(None),
+            transfer_progress: Cell::new(None),
             close: Notify::new(),
         });
-        let number = self.next.get();
-        self.next.set(number + 1);
+        let number = self.next_client_number.get();
+        self.next_client_number.set(number + 1);
         self.clients.borrow_mut().insert(number, client.clone());
-        let listed = Listed { server: self.clone(), number };
-        spawn_local(async move { listed.server.converse(&client, socket).await });
+        let registration = ClientRegistration { server: self.clone(), number };
+        spawn_local(async move { registration.server.serve_connection(&client, socket).await });
     }
 
-    async fn converse(self: &Rc<Self>, client: &Rc<Client>, socket: Socket) {
+    async fn serve_connection(self: &Rc<Self>, client: &Rc<ClientConnection>, socket: Socket) {
         let service = service_fn(|request| {
-            let busy = Busy::new(client.clone());
+            let busy = BusyGuard::new(client.clone());
             async move { Ok::<_, Infallible>(self.respond(busy, request).await) }
         });
         let mut connection = pin!(
             http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD_LIMIT)
+                .header_read_timeout(HEADER_TIMEOUT)
                 .max_buf_size(MAX_BUFFER_BYTES)
                 .serve_connection(TokioIo::new(socket), service)
         );
-        let mut resting = false;
+        let mut was_idle = false;
         loop {
-            let look = if client.busy.get() { LOOK_BUSY } else { LOOK };
+            let interval = if client.is_busy.get() { BUSY_CHECK_INTERVAL } else { CHECK_INTERVAL };
             tokio::select! {
-                // Errors are the client's: gone, or not speaking the protocol and told so.
+                // An error means that the client disconnected, or violated the protocol and was told so.
                 _ = connection.as_mut() => break,
-                () = tokio::time::sleep(look) => {
-                    if client.overdue() || client.left() {
+                () = tokio::time::sleep(interval) => {
+                    if client.is_overdue() || client.has_left() {
                         return;
                     }
                 }
                 () = client.close.notified() => {
-                    // Looked at again: a request may have come since.
-                    if client.stuck(STUCK) || client.idle() && client.socket.read() == 0 {
+                    // Check again: a request may have arrived since.
+                    if client.is_stuck(STUCK_TIMEOUT) || client.is_idle() && client.socket.read() == 0 {
                         return;
                     }
-                    if client.idle() {
-                        resting = true;
+                    if client.is_idle() {
+                        was_idle = true;
                         connection.as_mut().graceful_shutdown();
                     }
                 }
             }
         }
-        // No answer is under way on one that rested, and its client asks again elsewhere.
-        if !resting {
+        // A connection that was idle has no response in transit, and its client will retry elsewhere.
+        if !was_idle {
             let wanted = async {
                 client.close.notified().await;
                 while !client.socket.quiet() {
@@ -494,35 +511,36 @@
                 }
             };
             tokio::select! {
-                _ = tokio::time::timeout(LINGER, client.socket.farewell()) => {}
-                // Its place is wanted, and nothing is unread.
+                _ = tokio::time::timeout(LINGER_TIMEOUT, client.socket.farewell()) => {}
+                // Close early: the descriptor is needed and no data is unread.
                 () = wanted => {}
             }
         }
     }
 
-    async fn respond(&self, busy: Busy, request: Request<Incoming>) -> Response<Sent> {
+    async fn respond(&self, busy: BusyGuard, request: Request<Incoming>) -> Response<ClientBody> {
         let client = busy.0.clone();
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
         let path = head.uri.path();
         let mut response = if client.socket.conflict() {
-            // Whoever stands before this node may read another request out of it: what follows is read by nobody.
-            farewell(StatusCode::BAD_REQUEST, "the body is framed twice\n")
+            // A proxy in front of this node may frame this request differently (request smuggling), so
+            // nothing after it is read.
+            closing_response(StatusCode::BAD_REQUEST, "the body is framed twice\n")
         } else if path == "/api" || path.starts_with("/api/") {
-            match self.read(&client, arrived, head, body).await {
-                Ok(reading) => self.ask(busy, reading).await,
+            match self.read_request(&client, arrived, head, body).await {
+                Ok(parsed) => self.dispatch(busy, parsed).await,
                 Err(refused) => refused,
             }
         } else if path != "/up" {
-            turn_away(&client, arrived, body, StatusCode::NOT_FOUND, "no such path\n").await
+            reject(&client, arrived, body, StatusCode::NOT_FOUND, "no such path\n").await
         } else if matches!(head.method, Method::GET | Method::HEAD) {
-            // With a successor, a no would take both processes away from the front.
-            let here = matches!(self.mode.get(), Mode::Serving | Mode::Succeeded);
-            let ready = here && self.driver.has_backend_up() && !self.driver.is_isolated();
-            plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
+            // With a successor, a negative answer would take both processes out of service.
+            let accepts_clients = matches!(self.mode.get(), Mode::Serving | Mode::HandedOver);
+            let ready = accepts_clients && self.driver.has_backend_up() && !self.driver.is_isolated();
+            text_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
         } else {
-            turn_away(&client, arrived, body, StatusCode::METHOD_NOT_ALLOWED, "").await
+            reject(&client, arrived, body, StatusCode::METHOD_NOT_ALLOWED, "").await
         };
         if self.mode.get() != Mode::Serving || client.socket.flooded() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -530,29 +548,30 @@
         response
     }
 
-    async fn ask(
+    async fn dispatch(
         &self,
-        busy: Busy,
-        Reading { asked, rules, forwarded, arrived, wait }: Reading,
-    ) -> Response<Sent> {
+        busy: BusyGuard,
+        ParsedRequest { request, rules, forwarded, arrived, wait }: ParsedRequest,
+    ) -> Response<ClientBody> {
         let upload = forwarded.upload.clone();
         match upload {
-            Some(_) => busy.0.carries_long(),
-            None => busy.0.whole.set(true),
+            Some(_) => busy.0.start_transfer(),
+            None => busy.0.is_request_complete.set(true),
         }
         let full = self.driver.open_requests() >= rules.settings.open_cap as usize;
-        let answer = if full || self.mode.get() == Mode::Over {
-            self.driver.count_early_refusal(rules.names.class_name(asked.class));
+        let answer = if full || self.mode.get() == Mode::Ended {
+            self.driver.count_early_refusal(rules.names.class_name(request.class));
             Answer::Refused { retry_after_ms: FULL_RETRY_AFTER_MS }
         } else {
-            let margin = MARGIN - LAST_MARGIN;
-            let wait = wait.saturating_sub(LAST_MARGIN);
-            let pending = self.driver.submit(asked, rules, forwarded, arrived, wait, margin);
+            let margin = DEADLINE_MARGIN - FINAL_MARGIN;
+            let wait = wait.saturating_sub(FINAL_MARGIN);
+            let pending = self.driver.submit(request, rules, forwarded, arrived, wait, margin);
             let sent = async {
                 if let Some(upload) = &upload {
                     upload.finished().await;
-                    // From here on the backend is waited for, and nothing moves.
-                    busy.0.moved.set(None);
+                    // The client has sent everything and waits for the backend, so there is no progress to
+                    // check.
+                    busy.0.transfer_progress.set(None);
                 }
                 std::future::pending().await
             };
@@ -561,45 +580,45 @@
                 never = sent => never,
             }
         };
-        // What is still to come of a request that is over must be read, or its client may not see the answer.
+        // The rest of a finished request's body must be read, or its client may not see the response.
         if let Some(rest) = upload.and_then(|u| u.take_rest()) {
-            spawn_local(drain(rest, DRAIN_TIME));
+            spawn_local(drain(rest, DRAIN_TIMEOUT));
         }
         match answer {
             Answer::Served(BackendResponse {
                 body: BackendBody::Streamed { length, pieces },
                 content_type,
             }) => {
-                busy.0.carries_long();
-                busy.0.socket.limit_send_buffer(SEND_BUFFER);
+                busy.0.start_transfer();
+                busy.0.socket.limit_send_buffer(SEND_BUFFER_BYTES);
                 let client = busy.0.clone();
                 let on_cut = Box::new(move || client.socket.reset_on_close());
                 let body = Download::new(length, pieces, on_cut, busy);
-                typed(Response::new(Either::Right(body)), content_type)
+                with_content_type(Response::new(Either::Right(body)), content_type)
             }
-            answer => whole(answer),
+            answer => buffered_response(answer),
         }
     }
 
-    /// Reads and checks a request. What is wrong with it is answered here; no backend hears of it.
-    async fn read(
+    /// Reads and validates a request. Invalid requests are answered here and reach no backend.
+    async fn read_request(
         &self,
-        client: &Client,
+        client: &ClientConnection,
         arrived: Instant,
         head: Parts,
         body: Incoming,
-    ) -> Result<Reading, Response<Sent>> {
+    ) -> Result<ParsedRequest, Response<ClientBody>> {
         let header = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
         if header("x-trace-id").is_none_or(str::is_empty) {
             let text = "X-Trace-Id is missing\n";
-            return Err(turn_away(client, arrived, body, StatusCode::BAD_REQUEST, text).await);
+            return Err(reject(client, arrived, body, StatusCode::BAD_REQUEST, text).await);
         }
         let rules = self.rules.get();
         let class = rules.names.class(header("x-qos").unwrap_or_default());
         let known = rules.settings.classes.get(class);
         let keyed = head.headers.contains_key("idempotency-key");
-        // The class tells how often the request may run; a method that says otherwise is a mistake, and
-        // taking it for either could run something twice.
+        // The class determines how often the request may run. If the method contradicts it, either
+        // interpretation could run a request twice.
         let agrees = match known.map(|c| c.effect) {
             Some(Effect::Safe) => head.method == Method::GET,
             Some(Effect::Keyed(_)) => head.method == Method::POST && keyed,
@@ -608,7 +627,7 @@
         };
         if !agrees {
             let text = "method and Idempotency-Key do not agree with the class\n";
-            return Err(turn_away(client, arrived, body, StatusCode::BAD_REQUEST, text).await);
+            return Err(reject(client, arrived, body, StatusCode::BAD_REQUEST, text).await);
         }
         let shortest =
             || rules.settings.classes.iter().map(|c| c.deadline_ms).fold(f64::INFINITY, f64::min);
@@ -616,33 +635,38 @@
         let wait = header(EXPIRES_HEADER)
             .and_then(|v| v.trim().parse::<u64>().ok())
             .map_or(Duration::from_secs_f64(class_wait.clamp(0.0, 6e5) / 1000.0), Duration::from_millis)
-            .min(LONGEST_WAIT);
-        let (body, upload) = match collect(client, arrived, body).await {
-            Collected::Whole(body) => (body, None),
-            Collected::Long(first, rest) => match self.upstream.transfer_slots.take(PLACE_WAIT).await {
+            .min(MAX_CLIENT_WAIT);
+        let (body, upload) = match read_body(client, arrived, body).await {
+            BodyRead::Complete(body) => (body, None),
+            BodyRead::Long(first, rest) => match self.upstream.transfer_slots.take(SLOT_TIMEOUT).await {
                 Some(place) => {
                     let length = first.len();
                     (first, Some(Upload::new(rest, length, place)))
                 }
                 None => {
                     self.driver.count_early_refusal(rules.names.class_name(class));
-                    spawn_local(drain(rest, DRAIN_TIME));
-                    return Err(whole(Answer::Refused { retry_after_ms: FULL_RETRY_AFTER_MS }));
+                    spawn_local(drain(rest, DRAIN_TIMEOUT));
+                    return Err(buffered_response(Answer::Refused { retry_after_ms: FULL_RETRY_AFTER_MS }));
                 }
             },
-            Collected::TooLong(rest) => {
-                spawn_local(drain(rest, DRAIN_TIME));
-                return Err(farewell(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MB\n"));
+            BodyRead::TooLong(rest) => {
+                spawn_local(drain(rest, DRAIN_TIMEOUT));
+                return Err(closing_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MB\n"));
             }
-            Collected::Cut => return Err(farewell(StatusCode::BAD_REQUEST, "the body cannot be read\n")),
-            Collected::Late => {
-                return Err(farewell(StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n"));
+            BodyRead::Aborted => {
+                return Err(closing_response(StatusCode::BAD_REQUEST, "the body cannot be read\n"));
+            }
+            BodyRead::TooSlow => {
+                return Err(closing_response(
+                    StatusCode::REQUEST_TIMEOUT,
+                    "the body did not come in time\n",
+                ));
             }
         };
-        // Its time runs from its last byte; that of a long one is yet to come.
+        // The deadline counts from the last byte of the request; a streamed one has not ended yet.
         let arrived = Instant::now();
         let effort = header("x-size-hint").and_then(|v| v.trim().parse::<f64>().ok());
-        let asked = Asked {
+        let request = BalancerRequest {
             id: RequestId(0),
             class,
             tenant: header("x-customer").and_then(|t| rules.names.tenant(t)),
@@ -653,114 +677,123 @@
         };
         let target =
             head.uri.path_and_query().map_or_else(|| Uri::from_static("/"), |p| Uri::from(p.clone()));
-        let forwarded =
-            ForwardedRequest { method: head.method, target, headers: onward(head.headers), body, upload };
-        Ok(Reading { asked, rules, forwarded, arrived, wait })
+        let forwarded = ForwardedRequest {
+            method: head.method,
+            target,
+            headers: forwarded_headers(head.headers),
+            body,
+            upload,
+        };
+        Ok(ParsedRequest { request, rules, forwarded, arrived, wait })
     }
 }
 
-struct Reading {
-    asked: Asked,
-    /// Those that its class is from.
+struct ParsedRequest {
+    request: BalancerRequest,
+    /// Settings by which the request's class number was assigned.
     rules: Rc<Rules>,
     forwarded: ForwardedRequest,
     arrived: Instant,
     wait: Duration,
 }
 
-/// The body of an answer to a client.
-type Sent = Either<Full<Bytes>, Download<Busy>>;
+/// Body of a response to a client.
+type ClientBody = Either<Full<Bytes>, Download<BusyGuard>>;
 
-/// A request's body as far as it is needed before the request is decided on.
-enum Collected {
-    Whole(Bytes),
-    /// Its first part, which is more than is kept whole, and the rest.
+/// Result of reading a request body, as far as needed before the request is submitted.
+enum BodyRead {
+    Complete(Bytes),
+    /// First part of a long body, more than is buffered completely, and the rest of it.
     Long(Bytes, Incoming),
-    /// Announced to be over the limit.
+    /// The announced length exceeds the limit.
     TooLong(Incoming),
-    /// The client broke off.
-    Cut,
-    /// It did not keep pace.
-    Late,
+    /// The client aborted the body.
+    Aborted,
+    /// The client sent the body too slowly.
+    TooSlow,
 }
 
-async fn collect(client: &Client, arrived: Instant, mut body: Incoming) -> Collected {
+async fn read_body(client: &ClientConnection, arrived: Instant, mut body: Incoming) -> BodyRead {
     if body.size_hint().lower() > LONGEST_BODY {
-        return Collected::TooLong(body);
+        return BodyRead::TooLong(body);
     }
-    let mut kept = BytesMut::new();
+    let mut received = BytesMut::new();
     loop {
-        let until = client.body_until(arrived, kept.len() as u64);
+        let until = client.body_deadline(arrived, received.len() as u64);
         let frame = match tokio::time::timeout_at(until.into(), body.frame()).await {
-            Err(_) => return Collected::Late,
-            Ok(None) => return Collected::Whole(kept.freeze()),
-            Ok(Some(Err(_))) => return Collected::Cut,
+            Err(_) => return BodyRead::TooSlow,
+            Ok(None) => return BodyRead::Complete(received.freeze()),
+            Ok(Some(Err(_))) => return BodyRead::Aborted,
             Ok(Some(Ok(frame))) => frame,
         };
         if let Ok(data) = frame.into_data() {
-            kept.extend_from_slice(&data);
+            received.extend_from_slice(&data);
         }
-        if kept.len() > MAX_BUFFERED_BODY_BYTES {
-            return Collected::Long(kept.freeze(), body);
+        if received.len() > MAX_BUFFERED_BODY_BYTES {
+            return BodyRead::Long(received.freeze(), body);
         }
     }
 }
 
-/// Answers a request that is wrong, once its body is read: a socket closed with unread bytes resets, and the
-/// answer under way would be lost.
-async fn turn_away(
-    client: &Client,
+/// Rejects an invalid request after reading its body. Closing a socket with unread data resets the
+/// connection, and the response in transit would be lost.
+async fn reject(
+    client: &ClientConnection,
     arrived: Instant,
     body: Incoming,
     status: StatusCode,
     text: &'static str,
-) -> Response<Sent> {
-    match collect(client, arrived, body).await {
-        Collected::Whole(_) => plain(status, text),
-        Collected::Long(_, rest) | Collected::TooLong(rest) => {
-            spawn_local(drain(rest, DRAIN_TIME));
-            farewell(status, text)
+) -> Response<ClientBody> {
+    match read_body(client, arrived, body).await {
+        BodyRead::Complete(_) => text_response(status, text),
+        BodyRead::Long(_, rest) | BodyRead::TooLong(rest) => {
+            spawn_local(drain(rest, DRAIN_TIMEOUT));
+            closing_response(status, text)
         }
-        Collected::Cut | Collected::Late => farewell(StatusCode::BAD_REQUEST, text),
+        BodyRead::Aborted | BodyRead::TooSlow => closing_response(StatusCode::BAD_REQUEST, text),
     }
 }
 
-/// The headers that go on to a backend.
-fn onward(mut headers: HeaderMap) -> HeaderMap {
-    for name in OWN_HEADERS {
+/// Returns the headers to forward to a backend.
+fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
+    for name in UNFORWARDED_HEADERS {
         headers.remove(name);
     }
     headers
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Sent> {
+fn text_response(status: StatusCode, text: &'static str) -> Response<ClientBody> {
     let mut response = Response::new(Either::Left(Full::new(Bytes::from_static(text.as_bytes()))));
     *response.status_mut() = status;
     response
 }
 
-/// An answer after which the rest of what the client sends cannot be made sense of, or is not wanted.
-fn farewell(status: StatusCode, text: &'static str) -> Response<Sent> {
-    let mut response = plain(status, text);
+/// Returns a response that closes the connection, because the rest of the client's data cannot be parsed or
+/// is unwanted.
+fn closing_response(status: StatusCode, text: &'static str) -> Response<ClientBody> {
+    let mut response = text_response(status, text);
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-fn typed(mut response: Response<Sent>, content_type: Option<HeaderValue>) -> Response<Sent> {
+fn with_content_type(
+    mut response: Response<ClientBody>,
+    content_type: Option<HeaderValue>,
+) -> Response<ClientBody> {
     if let Some(content_type) = content_type {
         response.headers_mut().insert(CONTENT_TYPE, content_type);
     }
     response
 }
 
-/// An answer that is here whole, as the client sees it.
-fn whole(answer: Answer) -> Response<Sent> {
+/// Converts an answer with a complete body to a response for the client.
+fn buffered_response(answer: Answer) -> Response<ClientBody> {
     match answer {
         Answer::Served(BackendResponse { body: BackendBody::Complete(body), content_type }) => {
-            typed(Response::new(Either::Left(Full::new(body))), content_type)
+            with_content_type(Response::new(Either::Left(Full::new(body))), content_type)
         }
         Answer::Refused { retry_after_ms } => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "try again later\n");
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "try again later\n");
             if retry_after_ms > 0.0
                 && let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", retry_after_ms / 1000.0))
             {
@@ -768,7 +801,7 @@
             }
             response
         }
-        Answer::Rejected(status) => plain(status, "a backend finds the request wrong\n"),
-        Answer::Failed | Answer::Served(_) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+        Answer::Rejected(status) => text_response(status, "a backend finds the request wrong\n"),
+        Answer::Failed | Answer::Served(_) => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
     }
 }
