--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -1,6 +1,8 @@
-//! The list of backends: the first one from the configuration, then a watch on discovery.
+//! Keeps the backend list up to date: starts from the configured list, then watches discovery.
 
-use crate::discovery_calls::{Calls, Ended, LIST_LIMIT, Progress, Resources, TooLong, span};
+use crate::discovery_calls::{
+    CallContext, CallEnded, Calls, ListTooLong, MAX_LIST_BYTES, Progress, duration_from_ms,
+};
 use crate::driver::{Driver, Input};
 use crate::listing::{Lines, Listing, Seen};
 use crate::log::log_event;
@@ -13,49 +15,51 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
-/// So many changes are taken at once; whoever is served has a turn in between.
-const SLICE: usize = 256;
-/// Of calls that go on failing, one in so many milliseconds is told.
-const TELL_FAILED_MS: f64 = 1000.0;
+/// Number of changes applied at once; other tasks run between two such slices.
+const CHANGES_PER_SLICE: usize = 256;
+/// Minimum interval between log events for consecutive failed calls, in milliseconds.
+const FAILURE_LOG_INTERVAL_MS: f64 = 1000.0;
 
-/// Waits until discovery moves; for ever where nobody can say so any more.
-async fn moved(address: &mut watch::Receiver<(SocketAddr, Discovery)>) -> (SocketAddr, Discovery) {
+/// Waits until the discovery address or mode changes; forever once the sender is gone.
+async fn address_changed(
+    address: &mut watch::Receiver<(SocketAddr, Discovery)>,
+) -> (SocketAddr, Discovery) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
     *address.borrow_and_update()
 }
 
-/// Keeps the list fresh for as long as the node lives.
-pub struct Watch {
-    /// Where discovery is and how the list arrives; both may change.
+/// Keeps the backend list up to date while the node runs.
+pub struct DiscoveryWatch {
+    /// Discovery address and mode; both may change at run time.
     pub address: watch::Receiver<(SocketAddr, Discovery)>,
-    /// What is asked when. The version that is known spares the one service of all nodes whole lists, above all where
-    /// many nodes start at once.
-    pub asking: ListSync,
-    /// Names of zones, and the time that the settings give for asking.
+    /// Decides when to ask for what. Starting from the known version avoids full lists, which matters when
+    /// many nodes start at once against the one discovery service.
+    pub list_sync: ListSync,
+    /// Current settings: zone names and the time within which discovery must be asked.
     pub rules: Rc<Current>,
-    /// The count of sockets.
+    /// Limit of open sockets.
     pub descriptors: Rc<Descriptors>,
-    /// The decisions' wish to watch, where discovery is asked.
-    pub wishes: mpsc::UnboundedReceiver<bool>,
+    /// Requests of the balancer to start or stop watching, in on-request mode.
+    pub watch_requests: mpsc::UnboundedReceiver<bool>,
 }
 
-impl Watch {
+impl DiscoveryWatch {
     /// Runs until the driver is gone.
     pub async fn run(mut self, driver: Rc<Driver>) {
         let mut address = self.address.clone();
         let (at, _) = *address.borrow_and_update();
         let (sender, mut progress) = mpsc::unbounded_channel();
-        let resources = Rc::new(Resources {
+        let context = Rc::new(CallContext {
             rules: self.rules.clone(),
             descriptors: self.descriptors.clone(),
             seen: None.into(),
         });
-        let mut list = List {
-            asking: self.asking,
-            calls: Calls::new(at, resources.clone(), sender),
-            resources,
+        let mut list = DiscoveryList {
+            list_sync: self.list_sync,
+            calls: Calls::new(at, context.clone(), sender),
+            context,
             failures: Failures::default(),
             departures: Departures::default(),
             next_try: None,
@@ -63,49 +67,50 @@
         };
         loop {
             if list.calls.current().is_none() {
-                while let Ok(wish) = self.wishes.try_recv() {
-                    list.asking.set_wanted(wish);
+                while let Ok(wanted) = self.watch_requests.try_recv() {
+                    list.list_sync.set_wanted(wanted);
                 }
             }
-            let pause = list.go_on();
+            let pause = list.start_due_call();
             tokio::select! {
-                // An answer that is here was written before the move that is known now.
+                // A response that has arrived was written before an address change that is known now.
                 biased;
-                Some(told) = progress.recv() => list.take(told).await,
-                (new, how) = moved(&mut address) => list.move_to(new, how),
-                // The decisions may wish for the next call sooner.
-                wish = self.wishes.recv(), if list.calls.current().is_none() => match wish {
-                    Some(wish) => list.asking.set_wanted(wish),
+                Some(event) = progress.recv() => list.handle(event).await,
+                (new, how) = address_changed(&mut address) => list.change_address(new, how),
+                // The balancer may ask for the next call earlier.
+                wanted = self.watch_requests.recv(), if list.calls.current().is_none() => match wanted {
+                    Some(wanted) => list.list_sync.set_wanted(wanted),
                     None => return,
                 },
-                () = tokio::time::sleep(span(pause.unwrap_or(0.0))), if pause.is_some() => {}
+                () = tokio::time::sleep(duration_from_ms(pause.unwrap_or(0.0))), if pause.is_some() => {}
             }
         }
     }
 }
 
-/// The list as discovery tells it, and the calls that keep it fresh.
-struct List {
-    asking: ListSync,
+/// Backend list as reported by discovery, and the calls that update it.
+struct DiscoveryList {
+    list_sync: ListSync,
     calls: Calls,
-    resources: Rc<Resources>,
+    context: Rc<CallContext>,
     failures: Failures,
     departures: Departures,
-    /// When the current call is made once more beside itself, and how much later again.
+    /// Time at which the current call is repeated in parallel, and the interval of further repeats, in
+    /// milliseconds.
     next_try: Option<(f64, f64)>,
     driver: Rc<Driver>,
 }
 
-impl List {
-    /// Makes the next call, if it is time. Hands back the milliseconds until then, where that is known.
-    fn go_on(&mut self) -> Option<f64> {
+impl DiscoveryList {
+    /// Starts the next call if it is due. Returns the milliseconds until the next action, if known.
+    fn start_due_call(&mut self) -> Option<f64> {
         if let Some(current) = self.calls.current() {
-            return self.try_again(&current);
+            return self.retry_in_parallel(&current);
         }
-        let settings = &self.resources.rules.get().settings;
-        self.asking.update_settings(settings.must_ask_in_ms, settings.drain_grace_ms);
+        let settings = &self.context.rules.get().settings;
+        self.list_sync.update_settings(settings.must_ask_in_ms, settings.drain_grace_ms);
         let now = self.driver.clock.now_ms();
-        match self.asking.next(now) {
+        match self.list_sync.next(now) {
             NextStep::Idle => None,
             NextStep::Pause(ms) => Some(ms),
             NextStep::Call(call) => {
@@ -116,83 +121,85 @@
         }
     }
 
-    /// Makes the current call once more beside itself, if it is time. One that fails soon is not repeated sooner.
-    fn try_again(&mut self, current: &ListCall) -> Option<f64> {
+    /// Repeats the current call in parallel if that is due. A parallel call that fails early is not
+    /// repeated earlier.
+    fn retry_in_parallel(&mut self, current: &ListCall) -> Option<f64> {
         let (at, try_ms) = self.next_try?;
         let now = self.driver.clock.now_ms();
         if now < at {
             return Some(at - now);
         }
-        let call = self.asking.parallel_call(now, current);
-        self.calls.begin_beside(call);
+        let call = self.list_sync.parallel_call(now, current);
+        self.calls.begin_parallel(call);
         self.next_try = Some((now + try_ms, try_ms));
         Some(try_ms)
     }
 
-    /// Asks another address from now on. What the old one has written may still be under way.
-    fn move_to(&mut self, at: SocketAddr, how: Discovery) {
-        self.calls.move_to(at);
-        self.asking.discovery_changed(self.driver.clock.now_ms(), how);
+    /// Switches to another discovery address. A response from the old address may still be in transit.
+    fn change_address(&mut self, at: SocketAddr, how: Discovery) {
+        self.calls.change_address(at);
+        self.list_sync.discovery_changed(self.driver.clock.now_ms(), how);
         log_event!(INFO, "discovery", %at, ?how, replaced_calls = self.calls.count(), "discovery.moved");
     }
 
-    async fn take(&mut self, progress: Progress) {
+    async fn handle(&mut self, progress: Progress) {
         match progress {
-            Progress::GivenUp(call) => {
-                if self.calls.given_up(&call) {
-                    self.failed(&call, "deadline has elapsed");
+            Progress::TimedOut(call) => {
+                if self.calls.timed_out(&call) {
+                    self.record_failure(&call, "deadline has elapsed");
                 }
             }
             Progress::Ended(mut ended) => {
-                let beside = self.calls.is_beside(&ended.call);
+                let is_parallel = self.calls.is_parallel_call(&ended.call);
                 let current = self.calls.ended(&mut ended);
-                let Ended { call, compared, answer, .. } = *ended;
-                let answer = answer.and_then(|listing| self.still_same(listing, compared));
+                let CallEnded { call, compared, answer, .. } = *ended;
+                let answer = answer.and_then(|listing| self.check_unchanged(listing, compared));
                 match answer {
-                    Ok(listing) if current => self.answered(&call, listing).await,
-                    Ok(listing) => self.answered_late(&call, beside, listing).await,
-                    Err(e) if current && e.is::<TooLong>() => self.overlong(),
-                    Err(e) if current => self.failed(&call, &e.to_string()),
-                    // It counts as failed already, or another call does.
+                    Ok(listing) if current => self.handle_response(&call, listing).await,
+                    Ok(listing) => self.handle_late_response(&call, is_parallel, listing).await,
+                    Err(e) if current && e.is::<ListTooLong>() => self.record_too_long(),
+                    Err(e) if current => self.record_failure(&call, &e.to_string()),
+                    // This call is already counted as failed, or another call will be.
                     Err(_) => {}
                 }
             }
         }
     }
 
-    /// "The same as before" says nothing once the list has changed.
-    fn still_same(
+    /// "Unchanged" refers to the list at the time of the call, so it is an error once the list has changed.
+    fn check_unchanged(
         &self,
         listing: Listing,
         compared: Option<Seen>,
     ) -> Result<Listing, Box<dyn std::error::Error>> {
         match listing.lines {
-            Lines::Same if compared != self.resources.seen.get() => {
+            Lines::Same if compared != self.context.seen.get() => {
                 Err("the list has changed while its answer was read".into())
             }
             _ => Ok(listing),
         }
     }
 
-    async fn answered(&mut self, call: &ListCall, listing: Listing) {
+    async fn handle_response(&mut self, call: &ListCall, listing: Listing) {
         let now = self.driver.clock.now_ms();
-        self.heard(now, call, &listing);
-        // No change is news too where discovery is asked: the call did not fail.
-        if self.asking.answered(now, call, told(&listing)) {
-            self.hold(call, listing).await;
+        self.record_response(now, call, &listing);
+        // In on-request mode a response without changes counts too: the call did not fail.
+        if self.list_sync.answered(now, call, list_response(&listing)) {
+            self.apply(call, listing).await;
         } else {
-            self.depart(listing, false).await;
+            self.apply_departures(listing, false).await;
         }
     }
 
-    /// `beside`: the call was made beside another, and is not late by being replaced.
-    async fn answered_late(&mut self, call: &ListCall, beside: bool, listing: Listing) {
+    /// Handles a late response. `is_parallel`: the call was made in parallel to another one, so being replaced
+    /// does not make it late.
+    async fn handle_late_response(&mut self, call: &ListCall, is_parallel: bool, listing: Listing) {
         let now = self.driver.clock.now_ms();
-        let late = self.asking.answered_late(now, call, told(&listing));
+        let late = self.list_sync.answered_late(now, call, list_response(&listing));
         if late == LateAnswer::Outdated {
             return;
         }
-        if !beside {
+        if !is_parallel {
             let Listing { rev: version, all, entries, .. } = listing;
             let (number, after_ms) = (call.number(), call.elapsed_ms(now));
             log_event!(
@@ -211,21 +218,21 @@
         match late {
             LateAnswer::Outdated => {}
             LateAnswer::Holds => {
-                if let Some(current) = self.calls.current().filter(|_| beside) {
+                if let Some(current) = self.calls.current().filter(|_| is_parallel) {
                     let reason = "a try beside it was answered first";
-                    self.failures.tell(now, &current, self.calls.tries(), false, reason);
+                    self.failures.record(now, &current, self.calls.tries(), false, reason);
                 }
                 self.calls.replace();
-                self.heard(now, call, &listing);
-                self.hold(call, listing).await;
+                self.record_response(now, call, &listing);
+                self.apply(call, listing).await;
             }
-            LateAnswer::Departures { omissions } => self.depart(listing, omissions).await,
+            LateAnswer::Departures { omissions } => self.apply_departures(listing, omissions).await,
         }
     }
 
-    /// Discovery was heard, and nothing newer is known than this.
-    fn heard(&mut self, now: f64, call: &ListCall, listing: &Listing) {
-        self.failures.over();
+    /// Records a response that is not older than the known list.
+    fn record_response(&mut self, now: f64, call: &ListCall, listing: &Listing) {
+        self.failures.reset();
         listing.tell_skipped();
         if listing.entries > 0 {
             let Listing { rev: version, all, entries, .. } = *listing;
@@ -243,9 +250,9 @@
         }
     }
 
-    /// Takes all that an answer says.
-    async fn hold(&mut self, call: &ListCall, listing: Listing) {
-        self.driver.set_list_version(self.asking.version());
+    /// Applies a complete response.
+    async fn apply(&mut self, call: &ListCall, listing: Listing) {
+        self.driver.set_list_version(self.list_sync.version());
         let Listing { all, entries, skipped, mut lines, .. } = listing;
         let kept_out = match &mut lines {
             Lines::Few(lines) => self.departures.exclude_departed(call.number(), lines),
@@ -253,72 +260,74 @@
             Lines::Same => false,
         };
         if kept_out {
-            self.ask_whether_they_left();
+            self.confirm_departures();
         }
-        let taken = self.resources.rules.get().taken;
+        let taken = self.context.rules.get().taken;
         let seen = match lines {
             Lines::Whole(_, digest) if skipped == 0 => Some(Seen { digest, entries, taken }),
-            Lines::Same => self.resources.seen.get(),
-            // An answer without news leaves the list as it is.
-            Lines::Few(_) if entries == 0 && !all => self.resources.seen.get(),
+            Lines::Same => self.context.seen.get(),
+            // A response without changes leaves the list as it is.
+            Lines::Few(_) if entries == 0 && !all => self.context.seen.get(),
             _ => None,
         };
-        self.resources.seen.set(seen);
+        self.context.seen.set(seen);
         let kind = if all { ListKind::Full } else { ListKind::Changes };
-        hand_on(&self.driver, kind, lines).await;
+        apply_lines(&self.driver, kind, lines).await;
         self.driver.list_received();
     }
 
-    /// Takes no more of an answer than that backends leave: that counts as notified from the moment in which it was written,
-    /// whatever else has been asked since. `omissions`: a whole list also says so by leaving them out.
-    async fn depart(&mut self, listing: Listing, omissions: bool) {
+    /// Applies only the departures of an outdated response: a backend counts as reported gone from the
+    /// moment the response was written, whatever has been asked since. With `omissions`, backends that a
+    /// full list omits have left too.
+    async fn apply_departures(&mut self, listing: Listing, omissions: bool) {
         let departures = self.driver.departures(&listing.lines, omissions && listing.all);
-        self.departures.record(&departures, self.asking.last_call());
+        self.departures.record(&departures, self.list_sync.last_call());
         if !self.driver.any_may_be_up(&departures) {
             return;
         }
-        self.ask_whether_they_left();
-        self.resources.seen.set(None);
-        hand_on(&self.driver, ListKind::Changes, Lines::Few(departures)).await;
+        self.confirm_departures();
+        self.context.seen.set(None);
+        apply_lines(&self.driver, ListKind::Changes, Lines::Few(departures)).await;
     }
 
-    /// Backends are kept out on the word of an answer that may be outdated otherwise.
-    fn ask_whether_they_left(&mut self) {
-        self.asking.request_full_list(self.driver.clock.now_ms());
+    /// Asks for the list again, because backends are excluded on the word of a response that is otherwise
+    /// outdated.
+    fn confirm_departures(&mut self) {
+        self.list_sync.request_full_list(self.driver.clock.now_ms());
         self.calls.replace_watch();
-        self.driver.set_list_version(self.asking.version());
+        self.driver.set_list_version(self.list_sync.version());
     }
 
-    fn overlong(&mut self) {
-        self.asking.response_too_long(self.driver.clock.now_ms());
+    fn record_too_long(&mut self) {
+        self.list_sync.response_too_long(self.driver.clock.now_ms());
         self.driver.count_oversized_list();
-        log_event!(ERROR, "discovery", limit = LIST_LIMIT, "discovery.list_too_long");
+        log_event!(ERROR, "discovery", limit = MAX_LIST_BYTES, "discovery.list_too_long");
     }
 
-    fn failed(&mut self, call: &ListCall, reason: &str) {
+    fn record_failure(&mut self, call: &ListCall, reason: &str) {
         let tries = self.calls.tries();
         let now = self.driver.clock.now_ms();
-        let paced = self.asking.failed(now, call);
-        // Calls that the decisions pace are few: each failure is told.
-        self.failures.tell(now, call, tries, paced, reason);
+        let paced = self.list_sync.failed(now, call);
+        // In on-request mode calls are few, so every failure is logged.
+        self.failures.record(now, call, tries, paced, reason);
         if paced {
             self.driver.handle(Input::List(ListKind::Failed, Vec::new()));
         }
     }
 }
 
-fn told(listing: &Listing) -> ListResponse {
+fn list_response(listing: &Listing) -> ListResponse {
     ListResponse { version: listing.rev, full: listing.all, skipped: listing.skipped }
 }
 
-/// Hands on what an answer holds; many changes in slices.
-pub async fn hand_on(driver: &Rc<Driver>, kind: ListKind, lines: Lines) {
+/// Passes the entries of a response to the driver, many changes in slices.
+pub async fn apply_lines(driver: &Rc<Driver>, kind: ListKind, lines: Lines) {
     match lines {
         Lines::Whole(catalog, _) => driver.handle(Input::FullList(kind, *catalog)),
         Lines::Same => driver.handle(Input::List(ListKind::Changes, Vec::new())),
         Lines::Few(mut lines) => {
-            while kind == ListKind::Changes && lines.len() > SLICE {
-                let rest = lines.split_off(SLICE);
+            while kind == ListKind::Changes && lines.len() > CHANGES_PER_SLICE {
+                let rest = lines.split_off(CHANGES_PER_SLICE);
                 driver.handle(Input::List(kind, std::mem::replace(&mut lines, rest)));
                 tokio::task::yield_now().await;
             }
@@ -327,22 +336,23 @@
     }
 }
 
-/// Calls that failed since something was heard.
+/// Calls that have failed since the last response.
 #[derive(Default)]
 struct Failures {
     calls: u64,
-    /// Short tries beside them.
+    /// Parallel calls among them.
     tries: u64,
-    told_at: Option<f64>,
+    logged_at: Option<f64>,
 }
 
 impl Failures {
-    /// One more; it is told if it is the first, if it always is, or if none was for a second.
-    fn tell(&mut self, now: f64, call: &ListCall, tries: u32, always: bool, reason: &str) {
+    /// Counts a failed call. It is logged if it is the first, if `always` is set, or if none was logged in
+    /// the last second.
+    fn record(&mut self, now: f64, call: &ListCall, tries: u32, always: bool, reason: &str) {
         self.calls += 1;
         self.tries += u64::from(tries);
-        if always || self.told_at.is_none_or(|at| now - at >= TELL_FAILED_MS) {
-            self.told_at = Some(now);
+        if always || self.logged_at.is_none_or(|at| now - at >= FAILURE_LOG_INTERVAL_MS) {
+            self.logged_at = Some(now);
             let (number, after_ms) = (call.number(), call.elapsed_ms(now));
             let (failed, tries) = (self.calls, self.tries);
             log_event!(
@@ -358,8 +368,8 @@
         }
     }
 
-    /// Discovery was heard.
-    fn over(&mut self) {
+    /// Ends a series of failures after a response.
+    fn reset(&mut self) {
         if self.calls > 0 {
             let Failures { calls: failed, tries, .. } = *self;
             log_event!(INFO, "discovery", failed, tries, "discovery.recovered");
--- a/src/node/discovery_calls.rs
+++ b/src/node/discovery_calls.rs
@@ -1,9 +1,10 @@
-//! Calls to discovery that are out: the current one, those that were made beside it since it may hang, and those that were
-//! replaced while their answers may be under way.
+//! Open calls to discovery: the current one, those made in parallel because it may hang, and replaced ones
+//! whose responses may be in transit.
 //!
-//! What discovery has written counts as notified, whether or not the node still waits for it. A replaced call is therefore
-//! not closed at once: its answer is read for [`LATE_ANSWER_MS`] more. Nor is its connection then closed both ways in one
-//! moment, which would lose what is written in it: the node ends its sending first, and reads on for [`LAST_READ`].
+//! Whatever discovery has written counts as reported, whether or not the node still waits for it. A
+//! replaced call is therefore not closed at once: its response is read for another [`LATE_ANSWER_MS`].
+//! Closing both directions of its connection at once would lose data in transit, so the node shuts down its
+//! sending side first and reads on for [`FINAL_READ_TIMEOUT`].
 
 use crate::body::Outgoing;
 use crate::listing::{Listing, Seen, read};
@@ -25,163 +26,166 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-/// The whole list may be a great deal larger than a request.
-pub const LIST_LIMIT: usize = 32 * 1024 * 1024;
-/// Replaced calls that are read at once; of more the oldest is closed. Each holds a descriptor.
-const MOST_REPLACED: usize = 3;
-/// The same of calls that were made beside a current one. They follow each other within 125 ms at most, so that an agent that
-/// takes half a second is heard.
-const MOST_BESIDE: usize = 8;
+/// Maximum size of a list in bytes; lists are much larger than requests.
+pub const MAX_LIST_BYTES: usize = 32 * 1024 * 1024;
+/// Maximum number of replaced calls that are still read; the oldest is closed beyond that. Each holds a
+/// descriptor.
+const MAX_REPLACED: usize = 3;
+/// Maximum number of open parallel calls. They follow each other within 125 ms at most, so a discovery
+/// agent that takes half a second to respond is still heard.
+const MAX_PARALLEL: usize = 8;
 
-/// So long a call is read after the node has ended its sending on it: what was written before discovery saw that arrives.
-const LAST_READ: Duration = Duration::from_millis(300);
+/// Time for which a call is read after its sending side was shut down; data written before discovery
+/// noticed that arrives within it.
+const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An answer of more bytes than a list may have.
+/// Error of a response that exceeds the size limit of a list.
 #[derive(Debug, thiserror::Error)]
-#[error("longer than {LIST_LIMIT} bytes")]
-pub struct TooLong;
+#[error("longer than {MAX_LIST_BYTES} bytes")]
+pub struct ListTooLong;
 
-/// What became of a call.
+/// Progress of a call.
 pub enum Progress {
-    /// Its time is over. Its answer may still come.
-    GivenUp(ListCall),
-    /// It is over.
-    Ended(Box<Ended>),
+    /// The call timed out. Its response may still arrive.
+    TimedOut(ListCall),
+    /// The call has ended.
+    Ended(Box<CallEnded>),
 }
 
-/// A call that is over.
-pub struct Ended {
-    /// Which one.
+/// A call that has ended.
+pub struct CallEnded {
+    /// The call.
     pub call: ListCall,
-    /// The list that its answer was compared with.
+    /// Known list that the response was compared with.
     pub compared: Option<Seen>,
-    /// What came of it.
+    /// Parsed response, or why there is none.
     pub answer: Result<Listing, Box<dyn Error>>,
     at: SocketAddr,
     conn: Option<HttpConnection>,
 }
 
-/// How much a call is wanted.
+/// How long a call is still read. Stages only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
-    /// It is waited for.
+    /// Its response is awaited.
     Wanted,
-    /// It was replaced. Its answer is read for a while.
+    /// It was replaced; its response is read for a limited time.
     Replaced,
-    /// It makes room for others: it ends with what was written until now.
+    /// It makes room for other calls: only what has already been written is read.
     Ending,
 }
 
-/// A call that is out. Once this is dropped, it ends with what was written until now.
-struct Outstanding {
+/// An open call. Dropping this value moves the call to [`Stage::Ending`].
+struct OpenCall {
     call: ListCall,
     stage: watch::Sender<Stage>,
 }
 
-/// What calls are made with.
-pub struct Resources {
-    /// Names of zones.
+/// Shared context of all calls.
+pub struct CallContext {
+    /// Current settings, for the zone names.
     pub rules: Rc<rules::Current>,
-    /// The count of sockets.
+    /// Limit of open sockets.
     pub descriptors: Rc<Descriptors>,
-    /// The long list that is known.
+    /// The known long list.
     pub seen: Cell<Option<Seen>>,
 }
 
-/// All calls that are out.
+/// All open calls.
 pub struct Calls {
     at: SocketAddr,
-    resources: Rc<Resources>,
-    current: Option<Outstanding>,
-    beside: VecDeque<Outstanding>,
-    replaced: VecDeque<Outstanding>,
-    /// Calls that were made beside the current one.
+    context: Rc<CallContext>,
+    current: Option<OpenCall>,
+    parallel: VecDeque<OpenCall>,
+    replaced: VecDeque<OpenCall>,
+    /// Number of parallel calls made since the current call began.
     tries: u32,
     conn: Option<HttpConnection>,
     progress: mpsc::UnboundedSender<Progress>,
 }
 
 impl Calls {
-    /// None is out yet. What becomes of calls is told to `progress`.
+    /// Creates the set without open calls. Progress of calls is reported on `progress`.
     pub fn new(
         at: SocketAddr,
-        resources: Rc<Resources>,
+        context: Rc<CallContext>,
         progress: mpsc::UnboundedSender<Progress>,
     ) -> Calls {
-        let (beside, replaced) = Default::default();
-        Calls { at, resources, current: None, beside, replaced, tries: 0, conn: None, progress }
+        let (parallel, replaced) = Default::default();
+        Calls { at, context, current: None, parallel, replaced, tries: 0, conn: None, progress }
     }
 
-    /// Calls go there from now on; the current one is replaced.
-    pub fn move_to(&mut self, at: SocketAddr) {
+    /// Sends further calls to another address; the current call is replaced.
+    pub fn change_address(&mut self, at: SocketAddr) {
         self.replace();
         (self.at, self.conn) = (at, None);
     }
 
-    /// Makes the current call.
+    /// Makes a new current call.
     pub fn begin(&mut self, call: ListCall) {
         self.replace();
         let conn = self.conn.take();
-        self.current = Some(self.make(call, conn));
+        self.current = Some(self.start(call, conn));
         self.tries = 0;
     }
 
-    /// Makes a call beside the current one, on a connection of its own.
-    pub fn begin_beside(&mut self, call: ListCall) {
-        if self.beside.len() >= MOST_BESIDE {
-            self.beside.pop_front();
+    /// Makes a call in parallel to the current one, on a connection of its own.
+    pub fn begin_parallel(&mut self, call: ListCall) {
+        if self.parallel.len() >= MAX_PARALLEL {
+            self.parallel.pop_front();
         }
-        let made = self.make(call, None);
-        self.beside.push_back(made);
+        let made = self.start(call, None);
+        self.parallel.push_back(made);
         self.tries += 1;
     }
 
-    fn make(&self, call: ListCall, conn: Option<HttpConnection>) -> Outstanding {
-        let (stage, staged) = watch::channel(Stage::Wanted);
-        let made = make(self.at, call, conn, self.resources.clone(), staged, self.progress.clone());
-        spawn_local(made);
-        Outstanding { call, stage }
+    fn start(&self, call: ListCall, conn: Option<HttpConnection>) -> OpenCall {
+        let (stage, stage_receiver) = watch::channel(Stage::Wanted);
+        let task =
+            run_call(self.at, call, conn, self.context.clone(), stage_receiver, self.progress.clone());
+        spawn_local(task);
+        OpenCall { call, stage }
     }
 
-    /// The current call.
+    /// Returns the current call.
     pub fn current(&self) -> Option<ListCall> {
         self.current.as_ref().map(|current| current.call)
     }
 
-    /// Calls that were made beside the current one.
+    /// Returns the number of parallel calls made since the current call began.
     pub fn tries(&self) -> u32 {
         self.tries
     }
 
-    /// The call was made beside another.
-    pub fn is_beside(&self, call: &ListCall) -> bool {
-        self.beside.iter().any(|beside| beside.call.number() == call.number())
+    /// True if the call is an open parallel call.
+    pub fn is_parallel_call(&self, call: &ListCall) -> bool {
+        self.parallel.iter().any(|parallel| parallel.call.number() == call.number())
     }
 
-    /// Calls that are out.
+    /// Returns the number of open calls.
     pub fn count(&self) -> usize {
-        usize::from(self.current.is_some()) + self.beside.len() + self.replaced.len()
+        usize::from(self.current.is_some()) + self.parallel.len() + self.replaced.len()
     }
 
-    /// The current call is not waited for any more, but its answer is read if it is under way.
+    /// Replaces the current call: it is no longer awaited, but its response is read if it is in transit.
     pub fn replace(&mut self) {
         let Some(call) = self.current.take() else { return };
         call.stage.send_replace(Stage::Replaced);
-        if self.replaced.len() >= MOST_REPLACED {
+        if self.replaced.len() >= MAX_REPLACED {
             self.replaced.pop_front();
         }
         self.replaced.push_back(call);
     }
 
-    /// The current call is replaced, unless it asks for the whole list.
+    /// Replaces the current call unless it asks for the full list.
     pub fn replace_watch(&mut self) {
         if self.current.as_ref().is_some_and(|current| current.call.request != ListRequest::FullList) {
             self.replace();
         }
     }
 
-    /// Notes that a call's time is over. True: it was the current one.
-    pub fn given_up(&mut self, call: &ListCall) -> bool {
+    /// Handles a timed-out call. Returns true if it was the current one.
+    pub fn timed_out(&mut self, call: &ListCall) -> bool {
         let current = self.is_current(call);
         if current {
             self.replace();
@@ -189,13 +193,14 @@
         current
     }
 
-    /// Notes that a call is over, and keeps its connection for the next. True: it was the current one.
-    pub fn ended(&mut self, ended: &mut Ended) -> bool {
+    /// Removes a call that has ended and keeps its connection for the next one. Returns true if it was the
+    /// current call.
+    pub fn ended(&mut self, ended: &mut CallEnded) -> bool {
         let current = self.is_current(&ended.call);
         if current {
             self.current = None;
         }
-        for calls in [&mut self.beside, &mut self.replaced] {
+        for calls in [&mut self.parallel, &mut self.replaced] {
             calls.retain(|out| out.call.number() != ended.call.number());
         }
         if ended.at == self.at && self.conn.is_none() {
@@ -209,74 +214,74 @@
     }
 }
 
-/// Makes a call and tells what becomes of it.
-async fn make(
+/// Makes a call and reports its progress.
+async fn run_call(
     at: SocketAddr,
     call: ListCall,
     mut conn: Option<HttpConnection>,
-    resources: Rc<Resources>,
+    context: Rc<CallContext>,
     stage: watch::Receiver<Stage>,
     progress: mpsc::UnboundedSender<Progress>,
 ) {
-    let given_up = || {
-        // Nobody listens where the node is ending.
-        let _ = progress.send(Progress::GivenUp(call));
+    let timed_out = || {
+        // The receiver is gone while the node is stopping.
+        let _ = progress.send(Progress::TimedOut(call));
     };
     let (answer, sending_ended) =
-        exchange_in_stages(at, &call, &resources, &mut conn, stage, given_up).await;
+        exchange_in_stages(at, &call, &context, &mut conn, stage, timed_out).await;
     if sending_ended {
-        // It can carry no further call.
+        // The connection cannot carry another call.
         conn = None;
     }
-    // What it takes to read a long answer is no lateness of discovery's.
-    let compared = resources.seen.get();
+    // Parsing a long response is not part of discovery's response time.
+    let compared = context.seen.get();
     let answer = match answer {
-        Ok(text) => read(text, &resources.rules, compared).await,
+        Ok(text) => read(text, &context.rules, compared).await,
         Err(e) => Err(e),
     };
-    let ended = Ended { call, compared, answer, at, conn };
+    let ended = CallEnded { call, compared, answer, at, conn };
     let _ = progress.send(Progress::Ended(Box::new(ended)));
 }
 
-/// One call and its answer, however late it comes: waited for, then read for a while, then to the end of the connection. True:
-/// the node has ended its sending there.
+/// Makes a call and reads its response, however late: first awaited, then read for a limited time, then to
+/// the end of the connection. Returns true as the second value if this node has shut down its sending side.
 async fn exchange_in_stages(
     at: SocketAddr,
     call: &ListCall,
-    resources: &Resources,
+    context: &CallContext,
     conn: &mut Option<HttpConnection>,
     mut stage: watch::Receiver<Stage>,
-    given_up: impl FnOnce(),
+    timed_out: impl FnOnce(),
 ) -> (Result<Bytes, Box<dyn Error>>, bool) {
     let socket = RefCell::new(None);
-    let mut exchange = pin!(exchange(at, call, &resources.descriptors, conn, &socket));
+    let mut exchange = pin!(exchange(at, call, &context.descriptors, conn, &socket));
     tokio::select! {
         biased;
         text = exchange.as_mut() => return (text, false),
-        () = reached(&mut stage, Stage::Replaced) => {}
-        () = tokio::time::sleep(span(call.timeout_ms)) => given_up(),
+        () = wait_for_stage(&mut stage, Stage::Replaced) => {}
+        () = tokio::time::sleep(duration_from_ms(call.timeout_ms)) => timed_out(),
     }
     tokio::select! {
         biased;
         text = exchange.as_mut() => return (text, false),
-        () = reached(&mut stage, Stage::Ending) => {}
-        () = tokio::time::sleep(span(LATE_ANSWER_MS)) => {}
+        () = wait_for_stage(&mut stage, Stage::Ending) => {}
+        () = tokio::time::sleep(duration_from_ms(LATE_ANSWER_MS)) => {}
     }
     let socket: Option<Socket> = socket.borrow_mut().take();
     let Some(socket) = socket else { return (Err("no connection came up".into()), false) };
     socket.end_sending();
-    let text = tokio::time::timeout(LAST_READ, exchange).await;
+    let text = tokio::time::timeout(FINAL_READ_TIMEOUT, exchange).await;
     (text.unwrap_or_else(|_| Err("deadline has elapsed".into())), true)
 }
 
-/// Waits until the call is in that stage, or in a later one.
-async fn reached(stage: &mut watch::Receiver<Stage>, wanted: Stage) {
-    // Whoever made the call has let go of it where the sender is dropped.
+/// Waits until the call has reached this stage or a later one.
+async fn wait_for_stage(stage: &mut watch::Receiver<Stage>, wanted: Stage) {
+    // The sender was dropped, which ends the call.
     let _ = stage.wait_for(|stage| *stage >= wanted).await;
 }
 
-/// A time of the decisions.
-pub fn span(ms: f64) -> Duration {
+/// Converts milliseconds to a duration.
+pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms / 1000.0)
 }
 
@@ -299,8 +304,8 @@
         None => HttpConnection::open(at, descriptors.take().await).await?,
     };
     socket.replace(Some(conn.socket()));
-    let answer = conn.exchange(request, LIST_LIMIT).await.map_err(|e| -> Box<dyn Error> {
-        if e.is::<LengthLimitError>() { TooLong.into() } else { e.to_string().into() }
+    let answer = conn.exchange(request, MAX_LIST_BYTES).await.map_err(|e| -> Box<dyn Error> {
+        if e.is::<LengthLimitError>() { ListTooLong.into() } else { e.to_string().into() }
     })?;
     if answer.status() != StatusCode::OK {
         return Err(format!("status {}", answer.status()).into());
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -21,7 +21,7 @@
 mod upstream;
 mod zoning;
 
-use crate::discovery::Watch;
+use crate::discovery::DiscoveryWatch;
 use crate::driver::{Driver, Input, stats_window};
 use crate::durable::{Durable, Kept};
 use crate::handover::Handover;
@@ -193,7 +193,7 @@
         None => None,
     };
     let balancer = Balancer::new(settings.clone(), config.seed)?;
-    let (wish, wishes) = mpsc::unbounded_channel();
+    let (wish, watch_requests) = mpsc::unbounded_channel();
     let driver =
         Driver::new(balancer, &rules.get(), upstream.clone(), peers.clone(), state.clone(), wish, &options);
     driver.restore_cordons(kept.cordons.keys());
@@ -212,7 +212,7 @@
     driver.set_list_version(version);
     if let Some(known) = known {
         known.tell_skipped();
-        discovery::hand_on(&driver, ListKind::Saved, known.lines).await;
+        discovery::apply_lines(&driver, ListKind::Saved, known.lines).await;
     }
     if let Some(memory) = kept.learned.as_deref().and_then(|text| memory_from(text, names)) {
         log_event!(INFO, "state", backends = memory.backends.len(), "state.remembers");
@@ -252,8 +252,14 @@
             running = reloading.reload(running).await;
         }
     });
-    let asking = ListSync::new(settings.discovery, settings.must_ask_in_ms, version, config.seed);
-    let watch = Watch { address, asking, rules: rules.clone(), descriptors: descriptors.clone(), wishes };
+    let list_sync = ListSync::new(settings.discovery, settings.must_ask_in_ms, version, config.seed);
+    let watch = DiscoveryWatch {
+        address,
+        list_sync,
+        rules: rules.clone(),
+        descriptors: descriptors.clone(),
+        watch_requests,
+    };
     spawn_local(watch.run(driver.clone()));
     if let Some(sharing) = sharing.clone() {
         sharing.listen();
