--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -4,7 +4,7 @@
     CallContext, CallEnded, Calls, ListTooLong, MAX_LIST_BYTES, Progress, duration_from_ms,
 };
 use crate::driver::{Driver, Input};
-use crate::listing::{Lines, Listing, Seen};
+use crate::list_parser::{KnownList, ListContent, ParsedList};
 use crate::log::log_event;
 use crate::rules::Current;
 use crate::socket::Descriptors;
@@ -169,18 +169,18 @@
     /// "Unchanged" refers to the list at the time of the call, so it is an error once the list has changed.
     fn check_unchanged(
         &self,
-        listing: Listing,
-        compared: Option<Seen>,
-    ) -> Result<Listing, Box<dyn std::error::Error>> {
-        match listing.lines {
-            Lines::Same if compared != self.context.seen.get() => {
+        listing: ParsedList,
+        compared: Option<KnownList>,
+    ) -> Result<ParsedList, Box<dyn std::error::Error>> {
+        match listing.content {
+            ListContent::Unchanged if compared != self.context.seen.get() => {
                 Err("the list has changed while its answer was read".into())
             }
             _ => Ok(listing),
         }
     }
 
-    async fn handle_response(&mut self, call: &ListCall, listing: Listing) {
+    async fn handle_response(&mut self, call: &ListCall, listing: ParsedList) {
         let now = self.driver.clock.now_ms();
         self.record_response(now, call, &listing);
         // In on-request mode a response without changes counts too: the call did not fail.
@@ -193,14 +193,14 @@
 
     /// Handles a late response. `is_parallel`: the call was made in parallel to another one, so being replaced
     /// does not make it late.
-    async fn handle_late_response(&mut self, call: &ListCall, is_parallel: bool, listing: Listing) {
+    async fn handle_late_response(&mut self, call: &ListCall, is_parallel: bool, listing: ParsedList) {
         let now = self.driver.clock.now_ms();
         let late = self.list_sync.answered_late(now, call, list_response(&listing));
         if late == LateAnswer::Outdated {
             return;
         }
         if !is_parallel {
-            let Listing { rev: version, all, entries, .. } = listing;
+            let ParsedList { rev: version, all, entries, .. } = listing;
             let (number, after_ms) = (call.number(), call.elapsed_ms(now));
             log_event!(
                 INFO,
@@ -231,11 +231,11 @@
     }
 
     /// Records a response that is not older than the known list.
-    fn record_response(&mut self, now: f64, call: &ListCall, listing: &Listing) {
+    fn record_response(&mut self, now: f64, call: &ListCall, listing: &ParsedList) {
         self.failures.reset();
-        listing.tell_skipped();
+        listing.log_skipped();
         if listing.entries > 0 {
-            let Listing { rev: version, all, entries, .. } = *listing;
+            let ParsedList { rev: version, all, entries, .. } = *listing;
             let (number, after_ms) = (call.number(), call.elapsed_ms(now));
             log_event!(
                 INFO,
@@ -251,43 +251,45 @@
     }
 
     /// Applies a complete response.
-    async fn apply(&mut self, call: &ListCall, listing: Listing) {
+    async fn apply(&mut self, call: &ListCall, listing: ParsedList) {
         self.driver.set_list_version(self.list_sync.version());
-        let Listing { all, entries, skipped, mut lines, .. } = listing;
-        let kept_out = match &mut lines {
-            Lines::Few(lines) => self.departures.exclude_departed(call.number(), lines),
-            Lines::Whole(catalog, _) => self.departures.exclude_departed_from(call.number(), catalog),
-            Lines::Same => false,
+        let ParsedList { all, entries, skipped, mut content, .. } = listing;
+        let kept_out = match &mut content {
+            ListContent::Entries(content) => self.departures.exclude_departed(call.number(), content),
+            ListContent::Catalog(catalog, _) => {
+                self.departures.exclude_departed_from(call.number(), catalog)
+            }
+            ListContent::Unchanged => false,
         };
         if kept_out {
             self.confirm_departures();
         }
         let taken = self.context.rules.get().taken;
-        let seen = match lines {
-            Lines::Whole(_, digest) if skipped == 0 => Some(Seen { digest, entries, taken }),
-            Lines::Same => self.context.seen.get(),
+        let seen = match content {
+            ListContent::Catalog(_, digest) if skipped == 0 => Some(KnownList { digest, entries, taken }),
+            ListContent::Unchanged => self.context.seen.get(),
             // A response without changes leaves the list as it is.
-            Lines::Few(_) if entries == 0 && !all => self.context.seen.get(),
+            ListContent::Entries(_) if entries == 0 && !all => self.context.seen.get(),
             _ => None,
         };
         self.context.seen.set(seen);
         let kind = if all { ListKind::Full } else { ListKind::Changes };
-        apply_lines(&self.driver, kind, lines).await;
+        apply_lines(&self.driver, kind, content).await;
         self.driver.list_received();
     }
 
     /// Applies only the departures of an outdated response: a backend counts as reported gone from the
     /// moment the response was written, whatever has been asked since. With `omissions`, backends that a
     /// full list omits have left too.
-    async fn apply_departures(&mut self, listing: Listing, omissions: bool) {
-        let departures = self.driver.departures(&listing.lines, omissions && listing.all);
+    async fn apply_departures(&mut self, listing: ParsedList, omissions: bool) {
+        let departures = self.driver.departures(&listing.content, omissions && listing.all);
         self.departures.record(&departures, self.list_sync.last_call());
         if !self.driver.any_may_be_up(&departures) {
             return;
         }
         self.confirm_departures();
         self.context.seen.set(None);
-        apply_lines(&self.driver, ListKind::Changes, Lines::Few(departures)).await;
+        apply_lines(&self.driver, ListKind::Changes, ListContent::Entries(departures)).await;
     }
 
     /// Asks for the list again, because backends are excluded on the word of a response that is otherwise
@@ -316,22 +318,22 @@
     }
 }
 
-fn list_response(listing: &Listing) -> ListResponse {
+fn list_response(listing: &ParsedList) -> ListResponse {
     ListResponse { version: listing.rev, full: listing.all, skipped: listing.skipped }
 }
 
 /// Passes the entries of a response to the driver, many changes in slices.
-pub async fn apply_lines(driver: &Rc<Driver>, kind: ListKind, lines: Lines) {
-    match lines {
-        Lines::Whole(catalog, _) => driver.handle(Input::FullList(kind, *catalog)),
-        Lines::Same => driver.handle(Input::List(ListKind::Changes, Vec::new())),
-        Lines::Few(mut lines) => {
-            while kind == ListKind::Changes && lines.len() > CHANGES_PER_SLICE {
-                let rest = lines.split_off(CHANGES_PER_SLICE);
-                driver.handle(Input::List(kind, std::mem::replace(&mut lines, rest)));
+pub async fn apply_lines(driver: &Rc<Driver>, kind: ListKind, content: ListContent) {
+    match content {
+        ListContent::Catalog(catalog, _) => driver.handle(Input::FullList(kind, *catalog)),
+        ListContent::Unchanged => driver.handle(Input::List(ListKind::Changes, Vec::new())),
+        ListContent::Entries(mut content) => {
+            while kind == ListKind::Changes && content.len() > CHANGES_PER_SLICE {
+                let rest = content.split_off(CHANGES_PER_SLICE);
+                driver.handle(Input::List(kind, std::mem::replace(&mut content, rest)));
                 tokio::task::yield_now().await;
             }
-            driver.handle(Input::List(kind, lines));
+            driver.handle(Input::List(kind, content));
         }
     }
 }
--- a/src/node/discovery_calls.rs
+++ b/src/node/discovery_calls.rs
@@ -7,7 +7,7 @@
 //! sending side first and reads on for [`FINAL_READ_TIMEOUT`].
 
 use crate::body::Outgoing;
-use crate::listing::{Listing, Seen, read};
+use crate::list_parser::{KnownList, ParsedList, parse_response};
 use crate::rules;
 use crate::socket::{Descriptors, Socket};
 use crate::upstream::HttpConnection;
@@ -57,9 +57,9 @@
     /// The call.
     pub call: ListCall,
     /// Known list that the response was compared with.
-    pub compared: Option<Seen>,
+    pub compared: Option<KnownList>,
     /// Parsed response, or why there is none.
-    pub answer: Result<Listing, Box<dyn Error>>,
+    pub answer: Result<ParsedList, Box<dyn Error>>,
     at: SocketAddr,
     conn: Option<HttpConnection>,
 }
@@ -88,7 +88,7 @@
     /// Limit of open sockets.
     pub descriptors: Rc<Descriptors>,
     /// The known long list.
-    pub seen: Cell<Option<Seen>>,
+    pub seen: Cell<Option<KnownList>>,
 }
 
 /// All open calls.
@@ -236,7 +236,7 @@
     // Parsing a long response is not part of discovery's response time.
     let compared = context.seen.get();
     let answer = match answer {
-        Ok(text) => read(text, &context.rules, compared).await,
+        Ok(text) => parse_response(text, &context.rules, compared).await,
         Err(e) => Err(e),
     };
     let ended = CallEnded { call, compared, answer, at, conn };
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -4,7 +4,7 @@
 //! requests and attempts. It makes no balancing decisions itself.
 
 use crate::body::Upload;
-use crate::listing::Lines;
+use crate::list_parser::ListContent;
 use crate::log::{self, log_event};
 use crate::peers::Peers;
 use crate::rules::Rules;
@@ -463,12 +463,12 @@
 
     /// Returns the entries of a response that remove backends. With `omissions`, a full list also removes
     /// the backends that it does not contain.
-    pub fn departures(&self, lines: &Lines, omissions: bool) -> Vec<Target> {
+    pub fn departures(&self, lines: &ListContent, omissions: bool) -> Vec<Target> {
         let core = self.core.borrow();
         match lines {
-            Lines::Few(lines) => core.subset.departures(lines, omissions),
-            Lines::Whole(catalog, _) => core.subset.departures(catalog.lines(), omissions),
-            Lines::Same => Vec::new(),
+            ListContent::Entries(lines) => core.subset.departures(lines, omissions),
+            ListContent::Catalog(catalog, _) => core.subset.departures(catalog.lines(), omissions),
+            ListContent::Unchanged => Vec::new(),
         }
     }
 
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -7,7 +7,7 @@
 mod durable;
 mod framing;
 mod handover;
-mod listing;
+mod list_parser;
 mod log;
 mod operator;
 mod peers;
@@ -199,20 +199,20 @@
     driver.restore_cordons(kept.cordons.keys());
     driver.handle(Input::Start);
     let names = &rules.get().names;
-    let known = listing::listing(&config.known, names);
+    let known = list_parser::parse_list(&config.known, names);
     let last = kept.list.as_deref().and_then(|text| serde_json::from_str(text).ok());
-    let last = last.and_then(|json| listing::listing(&json, names));
+    let last = last.and_then(|json| list_parser::parse_list(&json, names));
     // Of two the one that was made later, as far as their versions tell.
     let known = match (known, last) {
         (Some(known), Some(last)) if known.rev >= last.rev => Some(known),
         (known, None) => known,
         (_, last) => last,
     };
-    let version = known.as_ref().and_then(listing::Listing::complete);
+    let version = known.as_ref().and_then(list_parser::ParsedList::complete_version);
     driver.set_list_version(version);
     if let Some(known) = known {
-        known.tell_skipped();
-        discovery::apply_lines(&driver, ListKind::Saved, known.lines).await;
+        known.log_skipped();
+        discovery::apply_lines(&driver, ListKind::Saved, known.content).await;
     }
     if let Some(memory) = kept.learned.as_deref().and_then(|text| memory_from(text, names)) {
         log_event!(INFO, "state", backends = memory.backends.len(), "state.remembers");
