--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -1,12 +1,12 @@
 //! Keeps the backend list up to date: starts from the configured list, then watches discovery.
 
+use crate::active_settings::CurrentSettings;
 use crate::discovery_calls::{
     CallContext, CallEnded, Calls, ListTooLong, MAX_LIST_BYTES, Progress, duration_from_ms,
 };
 use crate::driver::{Driver, Input};
 use crate::list_parser::{KnownList, ListContent, ParsedList};
 use crate::log::log_event;
-use crate::rules::Current;
 use crate::socket::Descriptors;
 use daleturn::control::departures::Departures;
 use daleturn::control::list_sync::{LateAnswer, ListCall, ListResponse, ListSync, NextStep};
@@ -38,7 +38,7 @@
     /// many nodes start at once against the one discovery service.
     pub list_sync: ListSync,
     /// Current settings: zone names and the time within which discovery must be asked.
-    pub rules: Rc<Current>,
+    pub current_settings: Rc<CurrentSettings>,
     /// Limit of open sockets.
     pub descriptors: Rc<Descriptors>,
     /// Requests of the balancer to start or stop watching, in on-request mode.
@@ -52,7 +52,7 @@
         let (at, _) = *address.borrow_and_update();
         let (sender, mut progress) = mpsc::unbounded_channel();
         let context = Rc::new(CallContext {
-            rules: self.rules.clone(),
+            current_settings: self.current_settings.clone(),
             descriptors: self.descriptors.clone(),
             seen: None.into(),
         });
@@ -107,7 +107,7 @@
         if let Some(current) = self.calls.current() {
             return self.retry_in_parallel(&current);
         }
-        let settings = &self.context.rules.get().settings;
+        let settings = &self.context.current_settings.get().settings;
         self.list_sync.update_settings(settings.must_ask_in_ms, settings.drain_grace_ms);
         let now = self.driver.clock.now_ms();
         match self.list_sync.next(now) {
@@ -264,9 +264,11 @@
         if kept_out {
             self.confirm_departures();
         }
-        let taken = self.context.rules.get().taken;
+        let generation = self.context.current_settings.get().generation;
         let seen = match content {
-            ListContent::Catalog(_, digest) if skipped == 0 => Some(KnownList { digest, entries, taken }),
+            ListContent::Catalog(_, digest) if skipped == 0 => {
+                Some(KnownList { digest, entries, generation })
+            }
             ListContent::Unchanged => self.context.seen.get(),
             // A response without changes leaves the list as it is.
             ListContent::Entries(_) if entries == 0 && !all => self.context.seen.get(),
--- a/src/node/discovery_calls.rs
+++ b/src/node/discovery_calls.rs
@@ -6,9 +6,9 @@
 //! Closing both directions of its connection at once would lose data in transit, so the node shuts down its
 //! sending side first and reads on for [`FINAL_READ_TIMEOUT`].
 
+use crate::active_settings;
 use crate::body::Outgoing;
 use crate::list_parser::{KnownList, ParsedList, parse_response};
-use crate::rules;
 use crate::socket::{Descriptors, Socket};
 use crate::upstream::HttpConnection;
 use bytes::Bytes;
@@ -84,7 +84,7 @@
 /// Shared context of all calls.
 pub struct CallContext {
     /// Current settings, for the zone names.
-    pub rules: Rc<rules::Current>,
+    pub current_settings: Rc<active_settings::CurrentSettings>,
     /// Limit of open sockets.
     pub descriptors: Rc<Descriptors>,
     /// The known long list.
@@ -236,7 +236,7 @@
     // Parsing a long response is not part of discovery's response time.
     let compared = context.seen.get();
     let answer = match answer {
-        Ok(text) => parse_response(text, &context.rules, compared).await,
+        Ok(text) => parse_response(text, &context.current_settings, compared).await,
         Err(e) => Err(e),
     };
     let ended = CallEnded { call, compared, answer, at, conn };
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -3,11 +3,11 @@
 //! The driver keeps the state that the balancer does not hold: backend addresses, timers, and the open
 //! requests and attempts. It makes no balancing decisions itself.
 
+use crate::active_settings::ActiveSettings;
 use crate::body::Upload;
 use crate::list_parser::ListContent;
 use crate::log::{self, log_event};
 use crate::peers::Peers;
-use crate::rules::Rules;
 use crate::state::State;
 use crate::stats::{End, Stats};
 use crate::upstream::{
@@ -145,7 +145,7 @@
     /// The complete set of cordoned backends.
     Cordons(BTreeMap<BackendId, String>),
     /// A client's request arrived.
-    RequestArrived(Request, Rc<Rules>, Rc<ForwardedRequest>, ResponseSender),
+    RequestArrived(Request, Rc<ActiveSettings>, Rc<ForwardedRequest>, ResponseSender),
     /// The client disconnected or needs no answer any more.
     ClientLeft(RequestId),
     /// An attempt ended.
@@ -197,7 +197,7 @@
 
 struct OpenRequest {
     /// Settings by which the request's class number was assigned.
-    rules: Rc<Rules>,
+    active: Rc<ActiveSettings>,
     class: usize,
     response_sender: Option<ResponseSender>,
     forwarded: Rc<ForwardedRequest>,
@@ -239,7 +239,7 @@
     /// Returns the statistics result of this request if it is served now.
     fn served_result(&self) -> End {
         let total = self.received_at.elapsed();
-        let late = total.as_secs_f64() * 1000.0 > self.rules.settings.aim_ms(self.class);
+        let late = total.as_secs_f64() * 1000.0 > self.active.settings.aim_ms(self.class);
         let away = self.finished_attempts.iter().map(|(_, _, ms)| ms).sum::<f64>().clamp(0.0, 1e9);
         let through = total.saturating_sub(Duration::from_secs_f64(away / 1000.0));
         End::Served { late, times: self.forwarded.upload.is_none().then_some((total, through)) }
@@ -370,7 +370,7 @@
     /// `watch_requests`.
     pub fn new(
         balancer: Balancer,
-        rules: &Rules,
+        active: &ActiveSettings,
         upstream: Rc<Upstream>,
         peers: Option<Rc<Peers>>,
         state: Rc<State>,
@@ -383,7 +383,7 @@
                 stats: Stats::new(stats_window(options)),
                 open_requests: HashMap::new(),
                 addresses: HashMap::new(),
-                subset: Subset::new(options.list.subset as usize, &rules.settings),
+                subset: Subset::new(options.list.subset as usize, &active.settings),
                 start_times: StartTimes::default(),
                 listed: HashMap::new(),
                 cordoned: state.cordoned(),
@@ -397,8 +397,8 @@
             peers,
             state,
             watch_requests,
-            probe_path: Cell::new(probe_path(&rules.settings)),
-            may_receive_messages: Cell::new(rules.settings.peer_messages),
+            probe_path: Cell::new(probe_path(&active.settings)),
+            may_receive_messages: Cell::new(active.settings.peer_messages),
             next_request_id: Cell::new(0),
             discovery_responded: Cell::new(false),
             list_version: Cell::new(None),
@@ -413,7 +413,7 @@
     pub fn submit(
         self: &Rc<Self>,
         mut request: Request,
-        rules: Rc<Rules>,
+        active: Rc<ActiveSettings>,
         forwarded: ForwardedRequest,
         from: Instant,
         wait: Duration,
@@ -427,7 +427,7 @@
         let upload = forwarded.upload.clone();
         self.handle(Input::RequestArrived(
             request,
-            rules,
+            active,
             Rc::new(forwarded),
             ResponseSender(response_sender),
         ));
@@ -489,13 +489,13 @@
     }
 
     /// Returns the statistics that the driver and the balancer hold, as JSON.
-    pub fn stats_json(&self, rules: &Rules) -> Value {
+    pub fn stats_json(&self, active: &ActiveSettings) -> Value {
         let now = self.clock.now_ms();
         let core = &mut *self.core.borrow_mut();
         let snapshot = core.balancer.snapshot(now);
         let known: HashMap<BackendId, &BackendSnapshot> =
             snapshot.backends.iter().map(|b| (b.backend, b)).collect();
-        let zone_name = |zone: u16| rules.names.zone_name(zone).unwrap_or("?").to_owned();
+        let zone_name = |zone: u16| active.names.zone_name(zone).unwrap_or("?").to_owned();
         let mut zones: BTreeMap<String, [u64; 7]> = BTreeMap::new();
         // The balancer keeps little state for draining backends, so the listed and the cordoned ones are
         // merged here.
@@ -539,7 +539,7 @@
                 "start_ms": listed.map(|l| l.entry.ready_at_ms.max(0.0).round() as u64),
             }));
         }
-        let own_zone = rules.settings.zone.map(zone_name);
+        let own_zone = active.settings.zone.map(zone_name);
         let zones: Vec<Value> = (zones.into_iter())
             .map(|(zone, [listed, up, congested, cold, in_flight, sent, failed])| {
                 json!({"own": own_zone.as_ref() == Some(&zone), "zone": zone, "backends": listed, "up": up,
@@ -746,12 +746,12 @@
     }
 
     /// Returns the known list, or this node's part of a long one, as discovery's JSON.
-    pub fn list_json(&self, rules: &Rules) -> String {
+    pub fn list_json(&self, active: &ActiveSettings) -> String {
         let core = self.core.borrow();
         let targets: Vec<Value> = (core.listed.values())
             .map(|t| {
                 let (e, endpoint) = (&t.entry, t.address.map(|a| a.to_string()));
-                json!({"uid": &*t.uid, "endpoint": endpoint, "az": rules.names.zone_name(e.zone),
+                json!({"uid": &*t.uid, "endpoint": endpoint, "az": active.names.zone_name(e.zone),
                        "pod_group": e.cell, "state": health_name(e.health), "capacity_hint": e.units,
                        "boot_ms": e.ready_at_ms})
             })
@@ -794,10 +794,10 @@
     }
 
     /// Applies new settings.
-    pub fn apply_settings(self: &Rc<Self>, rules: &Rules) {
-        self.probe_path.set(probe_path(&rules.settings));
-        self.may_receive_messages.set(rules.settings.peer_messages);
-        self.handle(Input::Settings(Box::new(rules.settings.clone())));
+    pub fn apply_settings(self: &Rc<Self>, active: &ActiveSettings) {
+        self.probe_path.set(probe_path(&active.settings));
+        self.may_receive_messages.set(active.settings.peer_messages);
+        self.handle(Input::Settings(Box::new(active.settings.clone())));
     }
 
     /// Handles an input. Inputs that arise while an event is being handled are queued until it is done.
@@ -1022,9 +1022,9 @@
                 }
                 self.list_event(now, ListKind::Changes, moved, upstream)
             }
-            Input::RequestArrived(request, rules, forwarded, response_sender) => {
+            Input::RequestArrived(request, active, forwarded, response_sender) => {
                 let (attempts, finished_attempts) = (Vec::new(), Vec::new());
-                self.stats.asked(rules.names.class_name(request.class));
+                self.stats.asked(active.names.class_name(request.class));
                 let second = monotonic_second();
                 if self.request_counts.0 != second {
                     let before =
@@ -1033,7 +1033,7 @@
                 }
                 self.request_counts.1[1] += 1;
                 let open = OpenRequest {
-                    rules,
+                    active,
                     class: request.class,
                     response_sender: Some(response_sender),
                     forwarded,
@@ -1057,14 +1057,14 @@
                 open.finished_attempts.push((backend, result.outcome, elapsed_ms));
                 open.rejected = result.rejected;
                 self.stats.attempt_ended(backend, result.outcome, elapsed_ms);
-                let late = elapsed_ms > open.rules.settings.aim_ms(open.class);
+                let late = elapsed_ms > open.active.settings.aim_ms(open.class);
                 if let (Some(zones), Some(target)) = (&mut self.zones, self.listed.get(&backend)) {
                     zones.record_outcome(target.entry.zone, backend.short(), result.outcome, late);
                 }
                 if let Some(response) = result.response
                     && let Some(response_sender) = open.response_sender.take()
                 {
-                    self.stats.ended(open.rules.names.class_name(open.class), open.served_result());
+                    self.stats.ended(open.active.names.class_name(open.class), open.served_result());
                     response_sender.send(Answer::Served(response));
                 }
                 let (last, outcome, load) = (open.response_sender.is_none(), result.outcome, result.load);
@@ -1080,7 +1080,7 @@
                     && let Some(response_sender) = open.response_sender.take()
                 {
                     open.finished_attempts.push((backend, Outcome::Done, elapsed_ms));
-                    self.stats.ended(open.rules.names.class_name(open.class), open.served_result());
+                    self.stats.ended(open.active.names.class_name(open.class), open.served_result());
                     response_sender.send(Answer::Served(response));
                 }
                 Event::ResponseStarted { id, attempt, backend, elapsed_ms }
@@ -1110,7 +1110,7 @@
                 Answer::Failed if client_left => End::Left,
                 Answer::Failed | Answer::Served(_) => End::Failed,
             };
-            self.stats.ended(open.rules.names.class_name(open.class), end);
+            self.stats.ended(open.active.names.class_name(open.class), end);
             response_sender.send(answer);
         }
         if open.is_finished() {
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -1,9 +1,9 @@
 //! Two processes of one node, while one takes over from the other: who lives, and which part of the node's
 //! descriptors and places for long transfers each may use.
 
+use crate::active_settings::CurrentSettings;
 use crate::driver::Driver;
 use crate::log::log_event;
-use crate::rules::Current;
 use crate::socket::Descriptors;
 use crate::state::{Record, Stage, State};
 use crate::upstream::Upstream;
@@ -62,7 +62,7 @@
     driver: Rc<Driver>,
     descriptors: Rc<Descriptors>,
     upstream: Rc<Upstream>,
-    rules: Rc<Current>,
+    current_settings: Rc<CurrentSettings>,
     pool: Pool,
     stage: Cell<Stage>,
     told: Cell<Option<Record>>,
@@ -76,7 +76,7 @@
         driver: Rc<Driver>,
         descriptors: Rc<Descriptors>,
         upstream: Rc<Upstream>,
-        rules: Rc<Current>,
+        current_settings: Rc<CurrentSettings>,
         fixed: usize,
     ) -> Rc<Handover> {
         let pool = Pool { alone: descriptors.limit(), fixed };
@@ -87,7 +87,7 @@
             driver,
             descriptors,
             upstream,
-            rules,
+            current_settings,
             pool,
             stage,
             told: Cell::new(None),
@@ -130,7 +130,7 @@
     pub fn serves(&self) {
         self.stage.set(Stage::Serving);
         if !self.others.borrow().is_empty()
-            && let Some(memory) = self.state.left(&self.rules.get().names)
+            && let Some(memory) = self.state.left(&self.current_settings.get().names)
         {
             log_event!(INFO, "upgrade", backends = memory.backends.len(), "upgrade.remembers");
             self.driver.restore_memory(memory);
@@ -190,7 +190,7 @@
         }
         let starting = self.others.borrow().iter().any(|o| o.stage == Stage::Starting);
         if role == Role::Older && starting && self.stage.get() == Stage::Serving {
-            self.state.leave(&self.driver.memory(), &self.rules.get().names);
+            self.state.leave(&self.driver.memory(), &self.current_settings.get().names);
         }
         // A call may have reached the other process.
         if before + now > 0 && self.state.can_store() {
--- a/src/node/list_parser.rs
+++ b/src/node/list_parser.rs
@@ -1,7 +1,7 @@
 //! Parses backend lists in discovery's JSON format.
 
+use crate::active_settings::CurrentSettings;
 use crate::log::log_event;
-use crate::rules::Current;
 use bytes::Bytes;
 use daleturn::control::subset::{Catalog, Target, home_zone};
 use daleturn::interface::{BackendId, Health, ListEntry};
@@ -37,7 +37,7 @@
     /// Number of its entries.
     pub entries: usize,
     /// Generation of the settings that it was parsed with.
-    pub taken: u32,
+    pub generation: u32,
 }
 
 /// A response of discovery, or the list that a node starts with.
@@ -154,16 +154,16 @@
 /// Parses a response; a long one on a blocking thread.
 pub async fn parse_response(
     text: Bytes,
-    rules: &Current,
+    current_settings: &CurrentSettings,
     known: Option<KnownList>,
 ) -> Result<ParsedList, Box<dyn Error>> {
-    let rules = rules.get();
+    let active = current_settings.get();
     if text.len() <= MAX_INLINE_BYTES {
         let json = serde_json::from_slice(&text)?;
-        return Ok(parse_list(&json, &rules.names).ok_or("not a list")?);
+        return Ok(parse_list(&json, &active.names).ok_or("not a list")?);
     }
-    let (names, home) = (rules.names.of_zones(), home_zone(&rules.settings));
-    let known = known.filter(|known| known.taken == rules.taken);
+    let (names, home) = (active.names.of_zones(), home_zone(&active.settings));
+    let known = known.filter(|known| known.generation == active.generation);
     Ok(tokio::task::spawn_blocking(move || parse_long_list(&text, &names, home, known)).await??)
 }
 
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -1,5 +1,6 @@
 //! One node: the decisions of the crate `daleturn` on real sockets.
 
+mod active_settings;
 mod body;
 mod discovery;
 mod discovery_calls;
@@ -11,7 +12,6 @@
 mod log;
 mod operator;
 mod peers;
-mod rules;
 mod server;
 mod sharing;
 mod socket;
@@ -21,6 +21,7 @@
 mod upstream;
 mod zoning;
 
+use crate::active_settings::CurrentSettings;
 use crate::discovery::DiscoveryWatch;
 use crate::driver::{Driver, Input, stats_window};
 use crate::durable::{Durable, Kept};
@@ -28,7 +29,6 @@
 use crate::log::{Log, log_event};
 use crate::operator::{Lease, Operator};
 use crate::peers::Peers;
-use crate::rules::Current;
 use crate::server::Server;
 use crate::sharing::Sharing;
 use crate::socket::{Descriptors, UNCOUNTED};
@@ -77,7 +77,7 @@
 
 /// All that takes new settings.
 struct Reloading {
-    rules: Rc<Current>,
+    current_settings: Rc<CurrentSettings>,
     driver: Rc<Driver>,
     upstream: Rc<Upstream>,
     peers: Option<Rc<Peers>>,
@@ -106,7 +106,7 @@
 
     fn take(&self, read: Reload) -> Value {
         let Reload { file, discovery, settings, names, digest, options } = read;
-        let rules = self.rules.succeed(settings, names, digest);
+        let active = self.current_settings.replace(settings, names, digest);
         self.log.retune(&options.log);
         self.driver.set_stats_window(stats_window(&options));
         if let Some(sharing) = &self.sharing {
@@ -115,22 +115,22 @@
         if let Some(zoning) = &self.zoning {
             zoning.retune(&options.topology);
         }
-        let settings = &rules.settings;
-        self.driver.apply_settings(&rules);
+        let settings = &active.settings;
+        self.driver.apply_settings(&active);
         self.upstream.apply_timeouts(settings.connect_timeout_ms, settings.conn_idle_ms);
         if let Some(peers) = &self.peers {
             peers.renumber(settings.slot);
         }
         let told = (discovery, settings.discovery);
         self.discovery.send_if_modified(|known| std::mem::replace(known, told) != told);
-        let taken = rules.taken;
+        let taken = active.generation;
         log_event!(INFO, "config", taken, %discovery, ?settings, "config.taken");
         file
     }
 }
 
 /// Stores what was learned, and who is out, once a second at most, each node at a moment of its own.
-async fn keep(durable: Rc<Durable>, driver: Rc<Driver>, rules: Rc<Current>) {
+async fn keep(durable: Rc<Durable>, driver: Rc<Driver>, current_settings: Rc<CurrentSettings>) {
     let mut out = driver.cordoned_backends();
     let mut had = durable.condition().incarnation.is_some();
     for turn in 0_u64.. {
@@ -143,9 +143,9 @@
         }
         (out, had) = (now, has);
         if turn % LEARN_EVERY == 0 {
-            let rules = rules.get();
-            let learned = memory_text(&driver.memory(), &rules.names);
-            durable.learned(driver.list_version(), turn, || driver.list_json(&rules), learned);
+            let active = current_settings.get();
+            let learned = memory_text(&driver.memory(), &active.names);
+            durable.learned(driver.list_version(), turn, || driver.list_json(&active), learned);
         }
     }
 }
@@ -174,8 +174,8 @@
         // So that another process of this node knows it, too; without a place for that it holds here.
         let _ = state.cordon(uid);
     }
-    let rules = Current::new(config.settings, config.names, config.digest);
-    let settings = rules.get().settings.clone();
+    let current_settings = CurrentSettings::new(config.settings, config.names, config.digest);
+    let settings = current_settings.get().settings.clone();
     let reserved = if operators.is_some() { operator::DESCRIPTORS } else { 0 };
     let descriptors = Descriptors::new(config.sockets.saturating_sub(reserved));
     let upstream = Upstream::new(
@@ -194,11 +194,18 @@
     };
     let balancer = Balancer::new(settings.clone(), config.seed)?;
     let (wish, watch_requests) = mpsc::unbounded_channel();
-    let driver =
-        Driver::new(balancer, &rules.get(), upstream.clone(), peers.clone(), state.clone(), wish, &options);
+    let driver = Driver::new(
+        balancer,
+        &current_settings.get(),
+        upstream.clone(),
+        peers.clone(),
+        state.clone(),
+        wish,
+        &options,
+    );
     driver.restore_cordons(kept.cordons.keys());
     driver.handle(Input::Start);
-    let names = &rules.get().names;
+    let names = &current_settings.get().names;
     let known = list_parser::parse_list(&config.known, names);
     let last = kept.list.as_deref().and_then(|text| serde_json::from_str(text).ok());
     let last = last.and_then(|json| list_parser::parse_list(&json, names));
@@ -219,9 +226,13 @@
         driver.restore_memory(memory);
     }
     let sharing = match &peers {
-        Some(peers) if options.share.on => {
-            Sharing::new(&options.share, peers.clone(), driver.clone(), rules.clone(), config.seed)
-        }
+        Some(peers) if options.share.on => Sharing::new(
+            &options.share,
+            peers.clone(),
+            driver.clone(),
+            current_settings.clone(),
+            config.seed,
+        ),
         None if options.share.on => {
             log_event!(ERROR, "share", reason = "peer_listen is not configured", "share.unusable");
             None
@@ -230,14 +241,14 @@
     };
     let zoning = options.topology.on.then(|| {
         let (sharing, durable) = (sharing.clone(), durable.clone());
-        Zoning::new(&options.topology, driver.clone(), rules.clone(), sharing, durable)
+        Zoning::new(&options.topology, driver.clone(), current_settings.clone(), sharing, durable)
     });
     if let (Some(zoning), Some(sharing)) = (&zoning, &sharing) {
         sharing.zoning(zoning);
     }
     let (discovery, address) = watch::channel((config.discovery, settings.discovery));
     let reloading = Reloading {
-        rules: rules.clone(),
+        current_settings: current_settings.clone(),
         driver: driver.clone(),
         upstream: upstream.clone(),
         peers: peers.clone(),
@@ -256,7 +267,7 @@
     let watch = DiscoveryWatch {
         address,
         list_sync,
-        rules: rules.clone(),
+        current_settings: current_settings.clone(),
         descriptors: descriptors.clone(),
         watch_requests,
     };
@@ -279,12 +290,13 @@
             told.tell_dropped();
         }
     });
-    let server = Server::new(driver.clone(), upstream.clone(), rules.clone(), descriptors.clone());
+    let server =
+        Server::new(driver.clone(), upstream.clone(), current_settings.clone(), descriptors.clone());
     for uid in driver.cordoned_backends() {
         log_event!(INFO, "operator", backend = uid.as_str(), "operator.still_out");
     }
     if let Some(durable) = durable.clone() {
-        spawn_local(keep(durable, driver.clone(), rules.clone()));
+        spawn_local(keep(durable, driver.clone(), current_settings.clone()));
     }
     if let Some(listener) = operators {
         let descriptors = descriptors.clone();
@@ -292,7 +304,7 @@
             driver: driver.clone(),
             server: server.clone(),
             descriptors,
-            rules: rules.clone(),
+            current_settings: current_settings.clone(),
             upstream: upstream.clone(),
             peers: peers.clone(),
             log,
@@ -317,7 +329,7 @@
         driver.clone(),
         descriptors,
         upstream.clone(),
-        rules.clone(),
+        current_settings.clone(),
         UNCOUNTED + reserved,
     );
     spawn_local(handover.clone().run());
@@ -344,7 +356,7 @@
         }
     }
     terminate.recv().await;
-    let longest = rules.get().settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+    let longest = current_settings.get().settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
     let longest = Duration::from_secs_f64(longest.clamp(0.0, 1e6) / 1000.0).min(LONGEST_DEADLINE);
     let end = Instant::now() + longest + LAST_ANSWERS;
     let successor = handover.stops();
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -1,10 +1,10 @@
 //! The operators' address: one call to a connection, one line back, then it closes.
 
+use crate::active_settings::CurrentSettings;
 use crate::driver::Driver;
 use crate::durable::{Cordon, Durable};
 use crate::log::{Log, log_event};
 use crate::peers::Peers;
-use crate::rules::Current;
 use crate::server::Server;
 use crate::sharing::Sharing;
 use crate::socket::Descriptors;
@@ -109,7 +109,7 @@
     /// Who to ask for room where the system has no descriptor left.
     pub descriptors: Rc<Descriptors>,
     /// What else there are figures of.
-    pub rules: Rc<Current>,
+    pub current_settings: Rc<CurrentSettings>,
     /// Connections to backends.
     pub upstream: Rc<Upstream>,
     /// Datagrams.
@@ -322,7 +322,9 @@
             }
             OperatorCall::ZoneHold(zone) => self.zoning()?.say(zone, true, None, true).await?,
             OperatorCall::ZoneReturn(zone) => self.zoning()?.say(zone, false, None, true).await?,
-            OperatorCall::Zones => return Ok(Zoning::figures(&self.driver, &self.rules)?.to_string()),
+            OperatorCall::Zones => {
+                return Ok(Zoning::figures(&self.driver, &self.current_settings)?.to_string());
+            }
             OperatorCall::FleetCordon(id) | OperatorCall::FleetUncordon(id) => {
                 let said = self.fleet_word(id, matches!(call, OperatorCall::FleetCordon(_)))?;
                 self.remember(id, cordon);
@@ -344,8 +346,8 @@
 
     /// All figures, as one line of JSON.
     fn stats(&self) -> String {
-        let rules = self.rules.get();
-        let mut json = self.driver.stats_json(&rules);
+        let active = self.current_settings.get();
+        let mut json = self.driver.stats_json(&active);
         let (sent, received) = self.peers.as_ref().map_or((0, 0), |p| p.counts());
         let (unwritten, over) = self.log.dropped();
         json["name"] = self.name.as_str().into();
@@ -354,7 +356,7 @@
         json["started_ms"] = self.started_ms.into();
         json["uptime_s"] = self.started.elapsed().as_secs().into();
         json["mode"] = self.server.mode().into();
-        json["settings"] = json!({"taken": rules.taken, "digest": format!("{:016x}", rules.digest)});
+        json["settings"] = json!({"taken": active.generation, "digest": format!("{:016x}", active.digest)});
         json["descriptors"] = json!({"used": self.descriptors.used(), "limit": self.descriptors.limit(),
             "clients": self.server.client_count(), "idle_upstream": self.upstream.idle_count()});
         json["memory"] = json!({"used_kb": resident_kb(), "limit_kb": self.memory / 1024});
@@ -372,7 +374,7 @@
                    "by": said.map(|c| if c.release { "release" } else { "operator" })})
         };
         json["cordons"] = out.iter().map(who).collect();
-        json["topology"] = Zoning::figures(&self.driver, &self.rules).unwrap_or(Value::Null);
+        json["topology"] = Zoning::figures(&self.driver, &self.current_settings).unwrap_or(Value::Null);
         json["share"] = self.sharing.as_ref().map_or(Value::Null, |s| s.json());
         json["peers"] = json!({"sent": sent, "received": received});
         json["log"] = json!({"unwritten": unwritten, "over": over});
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -1,9 +1,9 @@
 //! Client side of the node: connections, requests and responses.
 
+use crate::active_settings::{ActiveSettings, CurrentSettings};
 use crate::body::{Download, LONGEST_BODY, Upload, drain};
 use crate::driver::{Answer, Driver};
 use crate::log::log_event;
-use crate::rules::{Current, Rules};
 use crate::socket::{Descriptors, Slot, Socket};
 use crate::upstream::{
     BackendBody, BackendResponse, EXPIRES_HEADER, ForwardedRequest, MAX_BUFFER_BYTES,
@@ -236,7 +236,7 @@
 pub struct Server {
     driver: Rc<Driver>,
     upstream: Rc<Upstream>,
-    rules: Rc<Current>,
+    current_settings: Rc<CurrentSettings>,
     descriptors: Rc<Descriptors>,
     clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_client_number: Cell<u64>,
@@ -250,13 +250,13 @@
     pub fn new(
         driver: Rc<Driver>,
         upstream: Rc<Upstream>,
-        rules: Rc<Current>,
+        current_settings: Rc<CurrentSettings>,
         descriptors: Rc<Descriptors>,
     ) -> Rc<Server> {
         let server = Rc::new(Server {
             driver,
             upstream,
-            rules,
+            current_settings,
             descriptors: descriptors.clone(),
             clients: RefCell::default(),
             next_client_number: Cell::new(0),
@@ -551,21 +551,21 @@
     async fn dispatch(
         &self,
         busy: BusyGuard,
-        ParsedRequest { request, rules, forwarded, arrived, wait }: ParsedRequest,
+        ParsedRequest { request, active, forwarded, arrived, wait }: ParsedRequest,
     ) -> Response<ClientBody> {
         let upload = forwarded.upload.clone();
         match upload {
             Some(_) => busy.0.start_transfer(),
             None => busy.0.is_request_complete.set(true),
         }
-        let full = self.driver.open_requests() >= rules.settings.open_cap as usize;
+        let full = self.driver.open_requests() >= active.settings.open_cap as usize;
         let answer = if full || self.mode.get() == Mode::Ended {
-            self.driver.count_early_refusal(rules.names.class_name(request.class));
+            self.driver.count_early_refusal(active.names.class_name(request.class));
             Answer::Refused { retry_after_ms: FULL_RETRY_AFTER_MS }
         } else {
             let margin = DEADLINE_MARGIN - FINAL_MARGIN;
             let wait = wait.saturating_sub(FINAL_MARGIN);
-            let pending = self.driver.submit(request, rules, forwarded, arrived, wait, margin);
+            let pending = self.driver.submit(request, active, forwarded, arrived, wait, margin);
             let sent = async {
                 if let Some(upload) = &upload {
                     upload.finished().await;
@@ -613,9 +613,9 @@
             let text = "X-Trace-Id is missing\n";
             return Err(reject(client, arrived, body, StatusCode::BAD_REQUEST, text).await);
         }
-        let rules = self.rules.get();
-        let class = rules.names.class(header("x-qos").unwrap_or_default());
-        let known = rules.settings.classes.get(class);
+        let active = self.current_settings.get();
+        let class = active.names.class(header("x-qos").unwrap_or_default());
+        let known = active.settings.classes.get(class);
         let keyed = head.headers.contains_key("idempotency-key");
         // The class determines how often the request may run. If the method contradicts it, either
         // interpretation could run a request twice.
@@ -630,7 +630,7 @@
             return Err(reject(client, arrived, body, StatusCode::BAD_REQUEST, text).await);
         }
         let shortest =
-            || rules.settings.classes.iter().map(|c| c.deadline_ms).fold(f64::INFINITY, f64::min);
+            || active.settings.classes.iter().map(|c| c.deadline_ms).fold(f64::INFINITY, f64::min);
         let class_wait = known.map_or_else(shortest, |c| c.deadline_ms);
         let wait = header(EXPIRES_HEADER)
             .and_then(|v| v.trim().parse::<u64>().ok())
@@ -644,7 +644,7 @@
                     (first, Some(Upload::new(rest, length, place)))
                 }
                 None => {
-                    self.driver.count_early_refusal(rules.names.class_name(class));
+                    self.driver.count_early_refusal(active.names.class_name(class));
                     spawn_local(drain(rest, DRAIN_TIMEOUT));
                     return Err(buffered_response(Answer::Refused { retry_after_ms: FULL_RETRY_AFTER_MS }));
                 }
@@ -669,7 +669,7 @@
         let request = BalancerRequest {
             id: RequestId(0),
             class,
-            tenant: header("x-customer").and_then(|t| rules.names.tenant(t)),
+            tenant: header("x-customer").and_then(|t| active.names.tenant(t)),
             key: header("x-object").map(stable_hash),
             deadline_ms: 0.0,
             effort_ms: effort.filter(|e| e.is_finite()).map(|us| us / 1000.0),
@@ -684,14 +684,14 @@
             body,
             upload,
         };
-        Ok(ParsedRequest { request, rules, forwarded, arrived, wait })
+        Ok(ParsedRequest { request, active, forwarded, arrived, wait })
     }
 }
 
 struct ParsedRequest {
     request: BalancerRequest,
     /// Settings by which the request's class number was assigned.
-    rules: Rc<Rules>,
+    active: Rc<ActiveSettings>,
     forwarded: ForwardedRequest,
     arrived: Instant,
     wait: Duration,
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -1,10 +1,10 @@
 //! The node's part of the fleet's shared state: carries out what `daleturn::control` says, and decides nothing.
 
+use crate::active_settings::CurrentSettings;
 use crate::driver::{Driver, Input};
 use crate::handover::Handover;
 use crate::log::log_event;
 use crate::peers::Peers;
-use crate::rules::Current;
 use crate::zoning::{PREFIX, Zoning};
 use daleturn::control::datagram::MAX_NAME_BYTES;
 use daleturn::control::gossip::{Action, Event, Gossip, MaxAges};
@@ -61,7 +61,7 @@
     uses: RefCell<Uses>,
     peers: Rc<Peers>,
     driver: Rc<Driver>,
-    rules: Rc<Current>,
+    current_settings: Rc<CurrentSettings>,
     started: Instant,
     here: Cell<bool>,
     verdicts_ms: Cell<u32>,
@@ -88,10 +88,10 @@
         share: &Share,
         peers: Rc<Peers>,
         driver: Rc<Driver>,
-        rules: Rc<Current>,
+        current_settings: Rc<CurrentSettings>,
         seed: u64,
     ) -> Option<Rc<Sharing>> {
-        let settings = rules.get().settings.clone();
+        let settings = current_settings.get().settings.clone();
         let own = NodeId::try_from(settings.slot).ok()?;
         let count = u16::try_from(peers.nodes()).ok()?;
         if own >= count || !settings.peer_messages {
@@ -109,7 +109,7 @@
             uses: RefCell::new(uses),
             peers,
             driver: driver.clone(),
-            rules,
+            current_settings,
             started: Instant::now(),
             here: Cell::new(true),
             verdicts_ms: Cell::new(share.verdicts_ms),
@@ -261,8 +261,8 @@
 
     /// What is asked here for the fleet, and what the fleet's totals make of each tenant's share for the decisions.
     fn tell(&self) {
-        let rules = self.rules.get();
-        let name = |t: usize| rules.names.tenant_name(t).map(short);
+        let active = self.current_settings.get();
+        let name = |t: usize| active.names.tenant_name(t).map(short);
         let asked = self.driver.tenant_request_rates();
         let rates: Vec<(u32, f32)> =
             (0..asked.len()).filter_map(|t| Some((name(t)?, asked[t] as f32))).collect();
@@ -271,15 +271,15 @@
         let (parts, age) = {
             let fleet = self.fleet.borrow();
             let within = |t: usize| {
-                let quota = rules.settings.tenants.get(t).map_or(0.0, |t| t.quota_rps);
+                let quota = active.settings.tenants.get(t).map_or(0.0, |t| t.quota_rps);
                 name(t)
                     .filter(|_| quota > 0.0)
                     .and_then(|short| fleet.share_within_quota(now, short, quota))
             };
-            let parts: Vec<Option<f64>> = (0..rules.settings.tenants.len()).map(within).collect();
+            let parts: Vec<Option<f64>> = (0..active.settings.tenants.len()).map(within).collect();
             (parts, fleet.totals(now).map(|(_, age)| age))
         };
-        if rules.settings.tenants.iter().any(|t| t.quota_rps > 0.0) {
+        if active.settings.tenants.iter().any(|t| t.quota_rps > 0.0) {
             let uses = &mut *self.uses.borrow_mut();
             uses.looked += 1;
             match age {
--- a/src/node/zoning.rs
+++ b/src/node/zoning.rs
@@ -1,10 +1,10 @@
 //! The node's part in judging zones as a whole: carries out what `daleturn::control::zones` says, and what operators
 //! say of zones.
 
+use crate::active_settings::CurrentSettings;
 use crate::driver::{Driver, Input};
 use crate::durable::Durable;
 use crate::log::log_event;
-use crate::rules::Current;
 use crate::sharing::Sharing;
 use daleturn::control::zones::{MIN_ACTIVE_WEIGHT, ZoneOrder};
 use daleturn::options::Topology;
@@ -24,7 +24,7 @@
 /// What this node knows of zones.
 pub struct Zoning {
     driver: Rc<Driver>,
-    rules: Rc<Current>,
+    current_settings: Rc<CurrentSettings>,
     sharing: Option<Rc<Sharing>>,
     durable: Option<Rc<Durable>>,
     topology: RefCell<Topology>,
@@ -37,14 +37,14 @@
     pub fn new(
         topology: &Topology,
         driver: Rc<Driver>,
-        rules: Rc<Current>,
+        current_settings: Rc<CurrentSettings>,
         sharing: Option<Rc<Sharing>>,
         durable: Option<Rc<Durable>>,
     ) -> Rc<Zoning> {
-        let settings = rules.get().settings.clone();
+        let settings = current_settings.get().settings.clone();
         driver.enable_zone_checks(settings.zone, settings.cold_ms);
         let (topology, parts) = (RefCell::new(topology.clone()), RefCell::default());
-        Rc::new(Zoning { driver, rules, sharing, durable, topology, parts })
+        Rc::new(Zoning { driver, current_settings, sharing, durable, topology, parts })
     }
 
     /// Other regions from here on.
@@ -68,9 +68,9 @@
     }
 
     fn look(&self) {
-        let rules = self.rules.get();
+        let active = self.current_settings.get();
         let others = self.sharing.as_ref().is_some_and(|s| s.alive() > 1);
-        let words = |zone: u16| match (&self.sharing, rules.names.zone_name(zone)) {
+        let words = |zone: u16| match (&self.sharing, active.names.zone_name(zone)) {
             (Some(sharing), Some(name)) => sharing.against(&format!("{PREFIX}{name}")),
             _ => 0,
         };
@@ -79,7 +79,7 @@
             return;
         }
         for change in changes {
-            let zone = rules.names.zone_name(change.zone).unwrap_or("?").to_owned();
+            let zone = active.names.zone_name(change.zone).unwrap_or("?").to_owned();
             let before = self.parts.borrow_mut().insert(change.zone, (change.weight, change.state));
             // The steps of a ramp are no news; that it begins and ends is.
             if before.is_none_or(|(_, stand)| stand != change.state) {
@@ -95,13 +95,13 @@
 
     /// Hands the decisions each zone's weight: what its health leaves of what its region is worth from here.
     fn weigh(&self) {
-        let rules = self.rules.get();
+        let active = self.current_settings.get();
         let topology = self.topology.borrow();
-        let region = |zone: u16| rules.names.zone_name(zone).and_then(|name| topology.regions.get(name));
-        let own = rules.settings.zone.and_then(region);
+        let region = |zone: u16| active.names.zone_name(zone).and_then(|name| topology.regions.get(name));
+        let own = active.settings.zone.and_then(region);
         let parts = self.parts.borrow();
         let part = |zone: u16| parts.get(&zone).map_or(1.0, |p| p.0);
-        let count = u16::try_from(rules.names.zones()).unwrap_or(u16::MAX);
+        let count = u16::try_from(active.names.zones()).unwrap_or(u16::MAX);
         let home = |zone: u16| own.is_none() || region(zone) == own;
         // With nothing left at home, the other regions are as good as any.
         let any_home = (0..count).any(|zone| home(zone) && part(zone) >= 0.5);
@@ -115,8 +115,12 @@
     }
 
     fn order(&self, zone: &str, out: bool, left: Option<Duration>) -> Result<(), String> {
-        let number =
-            self.rules.get().names.zone_number(zone).ok_or_else(|| format!("no zone {zone:?} is known"))?;
+        let number = self
+            .current_settings
+            .get()
+            .names
+            .zone_number(zone)
+            .ok_or_else(|| format!("no zone {zone:?} is known"))?;
         let until = left.map(|left| self.driver.clock.now_ms() + left.as_secs_f64() * 1000.0);
         let known = self.driver.order_zone(number, out.then_some(ZoneOrder::Leave(until)));
         if known { Ok(()) } else { Err(format!("no backend of zone {zone:?} is listed")) }
@@ -133,8 +137,12 @@
         for_s: Option<u32>,
         force: bool,
     ) -> Result<String, String> {
-        let number =
-            self.rules.get().names.zone_number(zone).ok_or_else(|| format!("no zone {zone:?} is known"))?;
+        let number = self
+            .current_settings
+            .get()
+            .names
+            .zone_number(zone)
+            .ok_or_else(|| format!("no zone {zone:?} is known"))?;
         if out && !force {
             self.driver.check_without_zone(number)?;
         }
@@ -167,11 +175,11 @@
     ///
     /// # Errors
     /// They are not judged.
-    pub fn figures(driver: &Driver, rules: &Current) -> Result<Value, String> {
+    pub fn figures(driver: &Driver, current_settings: &CurrentSettings) -> Result<Value, String> {
         let zones = driver.zone_states().ok_or(OFF)?;
-        let (now, rules) = (driver.clock.now_ms(), rules.get());
+        let (now, active) = (driver.clock.now_ms(), current_settings.get());
         let each = zones.iter().map(|z| {
-            json!({"zone": rules.names.zone_name(z.zone).unwrap_or("?"), "stand": z.state,
+            json!({"zone": active.names.zone_name(z.zone).unwrap_or("?"), "stand": z.state,
                    "weight": (z.weight * 1000.0).round() / 1000.0, "why": z.reason, "turns": z.direction_changes,
                    "since_s": ((now - z.since) / 1000.0).max(0.0).round(),
                    "failing": (z.failure_rate * 1000.0).round() / 1000.0})
