--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -24,7 +24,7 @@
 use crate::active_settings::CurrentSettings;
 use crate::discovery::DiscoveryWatch;
 use crate::driver::{Driver, Input, stats_window};
-use crate::durable::{Durable, Kept};
+use crate::durable::{Durable, RestoredState};
 use crate::handover::Handover;
 use crate::log::{Log, log_event};
 use crate::operator::{Lease, Operator};
@@ -132,20 +132,20 @@
 /// Stores what was learned, and who is out, once a second at most, each node at a moment of its own.
 async fn keep(durable: Rc<Durable>, driver: Rc<Driver>, current_settings: Rc<CurrentSettings>) {
     let mut out = driver.cordoned_backends();
-    let mut had = durable.condition().incarnation.is_some();
+    let mut had = durable.status().incarnation.is_some();
     for turn in 0_u64.. {
         tokio::time::sleep(KEEP.mul_f64(1.0 + 0.5 * fastrand::f64())).await;
-        let has = durable.condition().incarnation.is_some();
+        let has = durable.status().incarnation.is_some();
         let now = driver.cordoned_backends();
         // A call may have reached another process of this node, or this one has just got the directory.
         if now != out || has != had {
-            durable.cordons(now.clone());
+            durable.store_cordons(now.clone());
         }
         (out, had) = (now, has);
         if turn % LEARN_EVERY == 0 {
             let active = current_settings.get();
             let learned = memory_text(&driver.memory(), &active.names);
-            durable.learned(driver.list_version(), turn, || driver.list_json(&active), learned);
+            durable.store_learned(driver.list_version(), turn, || driver.list_json(&active), learned);
         }
     }
 }
@@ -163,14 +163,14 @@
         None => None,
     };
     let state = Rc::new(State::open(config.listen));
-    let (durable, kept) = match options.state.dir.as_str() {
-        "" => (None, Kept::default()),
+    let (durable, restored) = match options.state.dir.as_str() {
+        "" => (None, RestoredState::default()),
         _ => {
-            let (durable, kept) = Durable::open(options.state.clone());
-            (Some(durable), kept)
+            let (durable, restored) = Durable::open(options.state.clone());
+            (Some(durable), restored)
         }
     };
-    for uid in kept.cordons.keys() {
+    for uid in restored.cordons.keys() {
         // So that another process of this node knows it, too; without a place for that it holds here.
         let _ = state.cordon(uid);
     }
@@ -203,11 +203,11 @@
         wish,
         &options,
     );
-    driver.restore_cordons(kept.cordons.keys());
+    driver.restore_cordons(restored.cordons.keys());
     driver.handle(Input::Start);
     let names = &current_settings.get().names;
     let known = list_parser::parse_list(&config.known, names);
-    let last = kept.list.as_deref().and_then(|text| serde_json::from_str(text).ok());
+    let last = restored.list.as_deref().and_then(|text| serde_json::from_str(text).ok());
     let last = last.and_then(|json| list_parser::parse_list(&json, names));
     // Of two the one that was made later, as far as their versions tell.
     let known = match (known, last) {
@@ -221,7 +221,7 @@
         known.log_skipped();
         discovery::apply_lines(&driver, ListKind::Saved, known.content).await;
     }
-    if let Some(memory) = kept.learned.as_deref().and_then(|text| memory_from(text, names)) {
+    if let Some(memory) = restored.learned.as_deref().and_then(|text| memory_from(text, names)) {
         log_event!(INFO, "state", backends = memory.backends.len(), "state.remembers");
         driver.restore_memory(memory);
     }
@@ -311,8 +311,8 @@
             durable: durable.clone(),
             sharing: sharing.clone(),
             zoning: zoning.clone(),
-            lease: Lease::stored(kept.lease.as_deref()).into(),
-            cordons: kept.cordons.clone().into(),
+            lease: Lease::stored(restored.lease.as_deref()).into(),
+            cordons: restored.cordons.clone().into(),
             turn: tokio::sync::Mutex::new(()),
             name: config.name.clone(),
             started,
@@ -322,7 +322,7 @@
         spawn_local(Rc::new(operator).listen(listener));
     }
     if let Some(zoning) = zoning {
-        spawn_local(zoning.run(kept.zones.clone()));
+        spawn_local(zoning.run(restored.zones.clone()));
     }
     let handover = Handover::new(
         state,
@@ -348,7 +348,7 @@
         let server = server.clone();
         spawn_local(async move { server.accept(listener).await })
     };
-    if kept.quiesced {
+    if restored.is_quiesced {
         // Once it takes clients, and before it has answered any.
         tokio::task::yield_now().await;
         if let Err(why) = server.quiesce() {
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -198,13 +198,13 @@
             | OperatorCall::FleetUncordon(id)
             | OperatorCall::Leased { id, .. } => {
                 self.driver.check_known(id).map_err(|e| e.to_string())?;
-                durable.cordon(id, cordon).await
+                durable.store_cordon(id, cordon).await
             }
             OperatorCall::Lease { holder, number } if *number > self.lease.borrow().number => {
-                durable.lease(&format!("{holder} {number}")).await
+                durable.store_lease(&format!("{holder} {number}")).await
             }
             OperatorCall::Quiesce | OperatorCall::Resume if self.server.health().is_ok() => {
-                durable.quiesce(matches!(call, OperatorCall::Quiesce)).await
+                durable.store_quiesced(matches!(call, OperatorCall::Quiesce)).await
             }
             _ => Ok(()),
         };
@@ -218,7 +218,7 @@
             OperatorCall::FleetCordon(_) => Some(Cordon::now(false, "said for the whole fleet")),
             OperatorCall::Leased { cordon: true, id, .. } => {
                 let out = self.driver.cordoned_backends().contains(id);
-                Some(Cordon::of_release(self.cordons.borrow().get(id).filter(|_| out)))
+                Some(Cordon::for_release(self.cordons.borrow().get(id).filter(|_| out)))
             }
             _ => None,
         }
@@ -235,7 +235,7 @@
 
     /// An operator has it out, by a word to this node or to the whole fleet: no controller puts it back.
     fn operators(&self, id: &str) -> bool {
-        self.cordons.borrow().get(id).is_some_and(|c| !c.release)
+        self.cordons.borrow().get(id).is_some_and(|c| !c.is_release)
             || self.sharing.as_ref().is_some_and(|s| s.is_out(id))
     }
 
@@ -360,7 +360,7 @@
         json["descriptors"] = json!({"used": self.descriptors.used(), "limit": self.descriptors.limit(),
             "clients": self.server.client_count(), "idle_upstream": self.upstream.idle_count()});
         json["memory"] = json!({"used_kb": resident_kb(), "limit_kb": self.memory / 1024});
-        let state = self.durable.as_ref().map(|d| d.condition());
+        let state = self.durable.as_ref().map(|d| d.status());
         json["state"] = json!({"kept": state.is_some(), "incarnation": state.and_then(|s| s.incarnation),
             "failed": state.map(|s| s.failed)});
         let lease = self.lease.borrow();
@@ -370,8 +370,8 @@
         let cordons = self.cordons.borrow();
         let who = |uid: &String| {
             let said = cordons.get(uid);
-            json!({"id": uid, "since_ms": said.map(|c| c.since_ms), "why": said.map(|c| c.why.as_str()),
-                   "by": said.map(|c| if c.release { "release" } else { "operator" })})
+            json!({"id": uid, "since_ms": said.map(|c| c.since_ms), "why": said.map(|c| c.reason.as_str()),
+                   "by": said.map(|c| if c.is_release { "release" } else { "operator" })})
         };
         json["cordons"] = out.iter().map(who).collect();
         json["topology"] = Zoning::figures(&self.driver, &self.current_settings).unwrap_or(Value::Null);
--- a/src/node/zoning.rs
+++ b/src/node/zoning.rs
@@ -148,7 +148,7 @@
         }
         let left = for_s.map(|s| Duration::from_secs(s.into()));
         if let Some(durable) = &self.durable {
-            let stored = durable.zone(zone, out, left).await;
+            let stored = durable.store_zone(zone, out, left).await;
             stored.map_err(|why| format!("nothing changed, it cannot be stored: {why}"))?;
         }
         self.order(zone, out, left)?;
