--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -8,7 +8,7 @@
 use crate::list_parser::ListContent;
 use crate::log::{self, log_event};
 use crate::peers::Peers;
-use crate::state::State;
+use crate::process_files::ProcessFiles;
 use crate::stats::{End, Stats};
 use crate::upstream::{
     AttemptResult, AttemptSpec, BackendResponse, ForwardedRequest, HttpConnection, Upstream,
@@ -350,7 +350,7 @@
     pub clock: Clock,
     upstream: Rc<Upstream>,
     peers: Option<Rc<Peers>>,
-    state: Rc<State>,
+    process_files: Rc<ProcessFiles>,
     watch_requests: mpsc::UnboundedSender<bool>,
     probe_path: Cell<&'static str>,
     may_receive_messages: Cell<bool>,
@@ -373,7 +373,7 @@
         active: &ActiveSettings,
         upstream: Rc<Upstream>,
         peers: Option<Rc<Peers>>,
-        state: Rc<State>,
+        process_files: Rc<ProcessFiles>,
         watch_requests: mpsc::UnboundedSender<bool>,
         options: &Options,
     ) -> Rc<Driver> {
@@ -386,7 +386,7 @@
                 subset: Subset::new(options.list.subset as usize, &active.settings),
                 start_times: StartTimes::default(),
                 listed: HashMap::new(),
-                cordoned: state.cordoned(),
+                cordoned: process_files.cordons(),
                 zones: None,
                 request_counts: (0, [0; 2]),
                 follow_ups: VecDeque::new(),
@@ -395,7 +395,7 @@
             clock: Clock::new(),
             upstream,
             peers,
-            state,
+            process_files,
             watch_requests,
             probe_path: Cell::new(probe_path(&active.settings)),
             may_receive_messages: Cell::new(active.settings.peer_messages),
@@ -630,7 +630,7 @@
     /// Applies a cordon or uncordon that an operator issued at another node, whether or not the backend is
     /// listed.
     pub fn apply_shared_cordon(self: &Rc<Self>, uid: &str, out: bool) {
-        let stored = if out { self.state.cordon(uid) } else { self.state.uncordon(uid) };
+        let stored = if out { self.process_files.cordon(uid) } else { self.process_files.uncordon(uid) };
         let stored = stored.err().map(|e| e.to_string());
         let mut cordoned = self.core.borrow().cordoned.clone();
         let id = BackendId(stable_hash(uid));
@@ -722,7 +722,7 @@
 
     /// True if a cordon survives this process.
     pub fn can_store(&self) -> bool {
-        self.state.can_store()
+        self.process_files.can_store()
     }
 
     /// Adds cordons stored before this start.
@@ -769,7 +769,7 @@
     /// Cordons a backend: the balancer treats it as draining, whatever its listed state.
     pub fn cordon(self: &Rc<Self>, uid: &str) -> Result<String, CordonError> {
         let id = self.find_known(uid)?;
-        self.state.cordon(uid)?;
+        self.process_files.cordon(uid)?;
         let mut cordoned = self.core.borrow().cordoned.clone();
         cordoned.insert(id, uid.to_owned());
         self.handle(Input::Cordons(cordoned));
@@ -779,7 +779,7 @@
     /// Uncordons a backend: its listed state applies again.
     pub fn uncordon(self: &Rc<Self>, uid: &str) -> Result<String, CordonError> {
         let id = self.find_known(uid)?;
-        self.state.uncordon(uid)?;
+        self.process_files.uncordon(uid)?;
         let mut cordoned = self.core.borrow().cordoned.clone();
         let was_out = cordoned.remove(&id).is_some();
         self.handle(Input::Cordons(cordoned));
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -4,8 +4,8 @@
 use crate::active_settings::CurrentSettings;
 use crate::driver::Driver;
 use crate::log::log_event;
+use crate::process_files::{ProcessFiles, ProcessRecord, Stage};
 use crate::socket::Descriptors;
-use crate::state::{Record, Stage, State};
 use crate::upstream::Upstream;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -58,21 +58,21 @@
 
 /// This process's part in a handover.
 pub struct Handover {
-    state: Rc<State>,
+    process_files: Rc<ProcessFiles>,
     driver: Rc<Driver>,
     descriptors: Rc<Descriptors>,
     upstream: Rc<Upstream>,
     current_settings: Rc<CurrentSettings>,
     pool: Pool,
     stage: Cell<Stage>,
-    told: Cell<Option<Record>>,
-    others: RefCell<Vec<Record>>,
+    told: Cell<Option<ProcessRecord>>,
+    others: RefCell<Vec<ProcessRecord>>,
 }
 
 impl Handover {
     /// A process that does not take clients yet. `fixed` descriptors are uncounted in each process.
     pub fn new(
-        state: Rc<State>,
+        process_files: Rc<ProcessFiles>,
         driver: Rc<Driver>,
         descriptors: Rc<Descriptors>,
         upstream: Rc<Upstream>,
@@ -83,7 +83,7 @@
         let stage = Cell::new(Stage::Starting);
         let others = RefCell::default();
         let handover = Handover {
-            state,
+            process_files,
             driver,
             descriptors,
             upstream,
@@ -130,7 +130,7 @@
     pub fn serves(&self) {
         self.stage.set(Stage::Serving);
         if !self.others.borrow().is_empty()
-            && let Some(memory) = self.state.left(&self.current_settings.get().names)
+            && let Some(memory) = self.process_files.take_memory(&self.current_settings.get().names)
         {
             log_event!(INFO, "upgrade", backends = memory.backends.len(), "upgrade.remembers");
             self.driver.restore_memory(memory);
@@ -140,8 +140,8 @@
 
     /// A newer process of this node takes its clients.
     pub fn succeeded(&self) -> bool {
-        let own = self.state.record(self.stage.get(), 0);
-        self.others.borrow().iter().any(|o| o.age > own.age && o.stage == Stage::Serving)
+        let own = self.process_files.record(self.stage.get(), 0);
+        self.others.borrow().iter().any(|o| o.started > own.started && o.stage == Stage::Serving)
     }
 
     /// This process takes clients.
@@ -153,8 +153,8 @@
     pub fn stops(&self) -> bool {
         self.stage.set(Stage::Stopping);
         self.look();
-        let own = self.state.record(Stage::Stopping, 0);
-        self.others.borrow().iter().any(|o| o.age > own.age && o.stage == Stage::Serving)
+        let own = self.process_files.record(Stage::Stopping, 0);
+        self.others.borrow().iter().any(|o| o.started > own.started && o.stage == Stage::Serving)
     }
 
     fn claimed(&self) -> usize {
@@ -162,16 +162,16 @@
     }
 
     fn role(&self) -> Role {
-        let own = self.state.record(self.stage.get(), 0);
-        match self.others.borrow().iter().map(|o| o.age).max() {
+        let own = self.process_files.record(self.stage.get(), 0);
+        match self.others.borrow().iter().map(|o| o.started).max() {
             None => Role::Alone,
-            Some(newest) if newest > own.age => Role::Older,
+            Some(newest) if newest > own.started => Role::Older,
             Some(_) => Role::Newer(self.claimed()),
         }
     }
 
     fn look(&self) {
-        let others = self.state.others();
+        let others = self.process_files.other_processes();
         let before = self.others.replace(others).len();
         let now = self.others.borrow().len();
         let role = self.role();
@@ -190,15 +190,15 @@
         }
         let starting = self.others.borrow().iter().any(|o| o.stage == Stage::Starting);
         if role == Role::Older && starting && self.stage.get() == Stage::Serving {
-            self.state.leave(&self.driver.memory(), &self.current_settings.get().names);
+            self.process_files.save_memory(&self.driver.memory(), &self.current_settings.get().names);
         }
         // A call may have reached the other process.
-        if before + now > 0 && self.state.can_store() {
-            self.driver.set_cordons(self.state.cordoned());
+        if before + now > 0 && self.process_files.can_store() {
+            self.driver.set_cordons(self.process_files.cordons());
         }
-        let record = self.state.record(self.stage.get(), limit.max(used));
+        let record = self.process_files.record(self.stage.get(), limit.max(used));
         if self.told.replace(Some(record)) != Some(record) {
-            self.state.tell(record);
+            self.process_files.publish(record);
         }
     }
 }
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -12,10 +12,10 @@
 mod log;
 mod operator;
 mod peers;
+mod process_files;
 mod server;
 mod sharing;
 mod socket;
-mod state;
 mod stats;
 mod transfer_slots;
 mod upstream;
@@ -29,10 +29,10 @@
 use crate::log::{Log, log_event};
 use crate::operator::{Lease, Operator};
 use crate::peers::Peers;
+use crate::process_files::{ProcessFiles, memory_from_json, memory_to_json};
 use crate::server::Server;
 use crate::sharing::Sharing;
 use crate::socket::{Descriptors, UNCOUNTED};
-use crate::state::{State, memory_from, memory_text};
 use crate::upstream::Upstream;
 use crate::zoning::Zoning;
 use daleturn::Balancer;
@@ -144,7 +144,7 @@
         (out, had) = (now, has);
         if turn % LEARN_EVERY == 0 {
             let active = current_settings.get();
-            let learned = memory_text(&driver.memory(), &active.names);
+            let learned = memory_to_json(&driver.memory(), &active.names);
             durable.store_learned(driver.list_version(), turn, || driver.list_json(&active), learned);
         }
     }
@@ -162,7 +162,7 @@
         }
         None => None,
     };
-    let state = Rc::new(State::open(config.listen));
+    let process_files = Rc::new(ProcessFiles::open(config.listen));
     let (durable, restored) = match options.state.dir.as_str() {
         "" => (None, RestoredState::default()),
         _ => {
@@ -172,7 +172,7 @@
     };
     for uid in restored.cordons.keys() {
         // So that another process of this node knows it, too; without a place for that it holds here.
-        let _ = state.cordon(uid);
+        let _ = process_files.cordon(uid);
     }
     let current_settings = CurrentSettings::new(config.settings, config.names, config.digest);
     let settings = current_settings.get().settings.clone();
@@ -199,7 +199,7 @@
         &current_settings.get(),
         upstream.clone(),
         peers.clone(),
-        state.clone(),
+        process_files.clone(),
         wish,
         &options,
     );
@@ -221,7 +221,7 @@
         known.log_skipped();
         discovery::apply_lines(&driver, ListKind::Saved, known.content).await;
     }
-    if let Some(memory) = restored.learned.as_deref().and_then(|text| memory_from(text, names)) {
+    if let Some(memory) = restored.learned.as_deref().and_then(|text| memory_from_json(text, names)) {
         log_event!(INFO, "state", backends = memory.backends.len(), "state.remembers");
         driver.restore_memory(memory);
     }
@@ -325,7 +325,7 @@
         spawn_local(zoning.run(restored.zones.clone()));
     }
     let handover = Handover::new(
-        state,
+        process_files,
         driver.clone(),
         descriptors,
         upstream.clone(),
