--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -1,5 +1,5 @@
-//! Two processes of one node, while one takes over from the other: who lives, and which part of the node's
-//! descriptors and places for long transfers each may use.
+//! Handover between two processes of one node: detects the other process and divides the node's descriptors
+//! and transfer slots between the two.
 
 use crate::active_settings::CurrentSettings;
 use crate::driver::Driver;
@@ -11,66 +11,68 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often a process looks at others; alone, half as often.
-const LOOK: Duration = Duration::from_millis(50);
-/// Time for the old process to make room before the new one takes clients all the same.
-const ROOM_TIME: Duration = Duration::from_millis(1000);
-/// Time for discovery's first word, which may be fresher than the list that is known: the old process serves
-/// meanwhile. Longer where there is no list at all.
-const NEWS_TIME: Duration = Duration::from_millis(500);
-const LIST_TIME: Duration = Duration::from_millis(4500);
+/// Interval of the checks for other processes; twice as long while there are none.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for the old process to free descriptors before the new one accepts clients regardless.
+const DESCRIPTOR_WAIT: Duration = Duration::from_millis(1000);
+/// Time to wait for the first response of discovery, which may be newer than the known list, while the old
+/// process serves. The second is used if no list is known at all.
+const DISCOVERY_WAIT: Duration = Duration::from_millis(500);
+const FIRST_LIST_WAIT: Duration = Duration::from_millis(4500);
 
-/// Where this process stands among those of the node.
+/// Role of this process among the processes of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Alone,
-    /// Another has started since.
+    /// A newer process is running.
     Older,
-    /// Others were there, and may use so many descriptors.
+    /// Older processes are running, which claim this many descriptors.
     Newer(usize),
 }
 
-/// The descriptors of a node whose one process may count `alone` of them, and keeps `fixed` uncounted.
+/// Descriptor limits of a node: a single process may use `alone` counted ones; every process has `fixed`
+/// uncounted ones.
 #[derive(Clone, Copy, Debug)]
-struct Pool {
+struct DescriptorPool {
     alone: usize,
     fixed: usize,
 }
 
-impl Pool {
-    /// What two processes may count together.
+impl DescriptorPool {
+    /// Returns the number of counted descriptors that two processes may use together.
     fn shared(self) -> usize {
         self.alone.saturating_sub(self.fixed)
     }
 
-    /// The limit of a process that had `limit` and uses `used`. The older one's only falls: what it gave up
-    /// may be in the newer one's use already.
+    /// Returns the new limit of a process whose limit is `limit` and which uses `used` descriptors. The
+    /// limit of the older process never rises, because the newer one may already use what was freed.
     fn limit(self, role: Role, stopping: bool, limit: usize, used: usize) -> usize {
         let shared = self.shared();
         let (spare, least) = if stopping { (8, 8) } else { (shared / 8, shared / 4) };
         match role {
             Role::Alone => self.alone,
             Role::Older => (used + spare).max(least).min(shared * 3 / 4).min(limit),
-            Role::Newer(claimed) => shared.saturating_sub(claimed).max(shared / 4),
+            Role::Newer(claimed_descriptors) => shared.saturating_sub(claimed_descriptors).max(shared / 4),
         }
     }
 }
 
-/// This process's part in a handover.
+/// Handover state of this process.
 pub struct Handover {
     process_files: Rc<ProcessFiles>,
     driver: Rc<Driver>,
     descriptors: Rc<Descriptors>,
     upstream: Rc<Upstream>,
     current_settings: Rc<CurrentSettings>,
-    pool: Pool,
+    pool: DescriptorPool,
     stage: Cell<Stage>,
-    told: Cell<Option<ProcessRecord>>,
+    published: Cell<Option<ProcessRecord>>,
     others: RefCell<Vec<ProcessRecord>>,
 }
 
 impl Handover {
-    /// A process that does not take clients yet. `fixed` descriptors are uncounted in each process.
+    /// Creates the state of a process that does not accept clients yet. Each process has `fixed` uncounted
+    /// descriptors.
     pub fn new(
         process_files: Rc<ProcessFiles>,
         driver: Rc<Driver>,
@@ -79,7 +81,7 @@
         current_settings: Rc<CurrentSettings>,
         fixed: usize,
     ) -> Rc<Handover> {
-        let pool = Pool { alone: descriptors.limit(), fixed };
+        let pool = DescriptorPool { alone: descriptors.limit(), fixed };
         let stage = Cell::new(Stage::Starting);
         let others = RefCell::default();
         let handover = Handover {
@@ -90,44 +92,45 @@
             current_settings,
             pool,
             stage,
-            told: Cell::new(None),
+            published: Cell::new(None),
             others,
         };
-        handover.look();
+        handover.update();
         Rc::new(handover)
     }
 
-    /// Looks for others for as long as the node lives.
+    /// Checks for other processes while the node runs.
     pub async fn run(self: Rc<Self>) {
         loop {
             let alone = self.others.borrow().is_empty();
-            tokio::time::sleep(if alone { 2 * LOOK } else { LOOK }).await;
-            self.look();
+            tokio::time::sleep(if alone { 2 * CHECK_INTERVAL } else { CHECK_INTERVAL }).await;
+            self.update();
         }
     }
 
-    /// Waits until this process may take clients: at once where no other does, else with a list, and with
-    /// room made for it.
-    pub async fn may_serve(&self) {
+    /// Waits until this process may accept clients: at once without other processes, otherwise once a list
+    /// is known and enough descriptors are free.
+    pub async fn wait_until_ready(&self) {
         if self.others.borrow().is_empty() {
             return;
         }
         let begun = Instant::now();
         loop {
             let waited = begun.elapsed();
-            let list =
-                self.driver.has_list() && (self.driver.has_discovery_responded() || waited > NEWS_TIME);
-            let room = self.claimed() <= self.pool.shared() * 3 / 4 || waited > ROOM_TIME;
-            if (list || waited > LIST_TIME) && room {
+            let has_list = self.driver.has_list()
+                && (self.driver.has_discovery_responded() || waited > DISCOVERY_WAIT);
+            let has_descriptors =
+                self.claimed_descriptors() <= self.pool.shared() * 3 / 4 || waited > DESCRIPTOR_WAIT;
+            if (has_list || waited > FIRST_LIST_WAIT) && has_descriptors {
                 return;
             }
-            tokio::time::sleep(LOOK / 5).await;
-            self.look();
+            tokio::time::sleep(CHECK_INTERVAL / 5).await;
+            self.update();
         }
     }
 
-    /// This process takes clients, and goes on from what the one beside it has learned.
-    pub fn serves(&self) {
+    /// Marks this process as serving and continues from the learned state of the other process.
+    pub fn start_serving(&self) {
         self.stage.set(Stage::Serving);
         if !self.others.borrow().is_empty()
             && let Some(memory) = self.process_files.take_memory(&self.current_settings.get().names)
@@ -135,29 +138,29 @@
             log_event!(INFO, "upgrade", backends = memory.backends.len(), "upgrade.remembers");
             self.driver.restore_memory(memory);
         }
-        self.look();
+        self.update();
     }
 
-    /// A newer process of this node takes its clients.
-    pub fn succeeded(&self) -> bool {
+    /// True if a newer process of this node accepts clients.
+    pub fn has_successor(&self) -> bool {
         let own = self.process_files.record(self.stage.get(), 0);
         self.others.borrow().iter().any(|o| o.started > own.started && o.stage == Stage::Serving)
     }
 
-    /// This process takes clients.
-    pub fn serving(&self) -> bool {
+    /// True if this process accepts clients.
+    pub fn is_serving(&self) -> bool {
         self.stage.get() == Stage::Serving
     }
 
-    /// This process takes none any more. True: a newer one does.
-    pub fn stops(&self) -> bool {
+    /// Marks this process as stopping. Returns true if a newer process accepts clients.
+    pub fn begin_stopping(&self) -> bool {
         self.stage.set(Stage::Stopping);
-        self.look();
+        self.update();
         let own = self.process_files.record(Stage::Stopping, 0);
         self.others.borrow().iter().any(|o| o.started > own.started && o.stage == Stage::Serving)
     }
 
-    fn claimed(&self) -> usize {
+    fn claimed_descriptors(&self) -> usize {
         self.others.borrow().iter().map(|o| o.claim).sum()
     }
 
@@ -166,11 +169,11 @@
         match self.others.borrow().iter().map(|o| o.started).max() {
             None => Role::Alone,
             Some(newest) if newest > own.started => Role::Older,
-            Some(_) => Role::Newer(self.claimed()),
+            Some(_) => Role::Newer(self.claimed_descriptors()),
         }
     }
 
-    fn look(&self) {
+    fn update(&self) {
         let others = self.process_files.other_processes();
         let before = self.others.replace(others).len();
         let now = self.others.borrow().len();
@@ -192,12 +195,12 @@
         if role == Role::Older && starting && self.stage.get() == Stage::Serving {
             self.process_files.save_memory(&self.driver.memory(), &self.current_settings.get().names);
         }
-        // A call may have reached the other process.
+        // An operator may have called the other process.
         if before + now > 0 && self.process_files.can_store() {
             self.driver.set_cordons(self.process_files.cordons());
         }
         let record = self.process_files.record(self.stage.get(), limit.max(used));
-        if self.told.replace(Some(record)) != Some(record) {
+        if self.published.replace(Some(record)) != Some(record) {
             self.process_files.publish(record);
         }
     }
@@ -207,16 +210,16 @@
 mod tests {
     use super::*;
 
-    const POOL: Pool = Pool { alone: 350, fixed: 34 };
+    const POOL: DescriptorPool = DescriptorPool { alone: 350, fixed: 34 };
 
     #[test]
-    fn together_two_processes_stay_within_the_nodes_limit() {
+    fn two_processes_together_stay_within_the_descriptor_limit() {
         let mut old = POOL.alone;
         let mut used = 300;
         let mut new = 0;
         for step in 0..40 {
             old = POOL.limit(Role::Older, step > 20, old, used);
-            // What the newer one sees is the older one's last word.
+            // The newer process sees what the older one published last.
             let claim = old.max(used);
             new = POOL.limit(Role::Newer(claim), false, new, 0);
             assert!(used > old || old + new <= POOL.shared(), "step {step}: {old} and {new}");
@@ -226,7 +229,7 @@
     }
 
     #[test]
-    fn what_the_older_one_gave_up_it_takes_back_only_when_alone() {
+    fn older_process_raises_its_limit_only_when_alone() {
         let low = POOL.limit(Role::Older, false, POOL.alone, 10);
         assert_eq!(POOL.limit(Role::Older, false, low, 200), low);
         assert_eq!(POOL.limit(Role::Alone, false, low, 200), POOL.alone);
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -337,12 +337,12 @@
         spawn_local(sharing.run(handover.clone()));
     }
     tokio::select! {
-        () = handover.may_serve() => {}
+        () = handover.wait_until_ready() => {}
         // Nobody has come yet, and nobody will.
         _ = terminate.recv() => return Ok(()),
     }
     let listener = listener.listen(BACKLOG).map_err(|e| format!("listen: {}: {e}", config.listen))?;
-    handover.serves();
+    handover.start_serving();
     log_event!(INFO, "node", name = config.name.as_str(), listen = %config.listen, ?settings, "node.serving");
     let mut accepting = {
         let server = server.clone();
@@ -359,7 +359,7 @@
     let longest = current_settings.get().settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
     let longest = Duration::from_secs_f64(longest.clamp(0.0, 1e6) / 1000.0).min(LONGEST_DEADLINE);
     let end = Instant::now() + longest + LAST_ANSWERS;
-    let successor = handover.stops();
+    let successor = handover.begin_stopping();
     log_event!(INFO, "node", successor, "node.stopping");
     server.stop(successor);
     if let Some(sharing) = sharing.filter(|_| !successor) {
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -147,7 +147,7 @@
         turn.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         for n in 0_u64.. {
             turn.tick().await;
-            let here = handover.serving() && !handover.succeeded();
+            let here = handover.is_serving() && !handover.has_successor();
             if here != self.here.get() {
                 if here {
                     if let Err(e) = self.peers.join() {
