--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -176,7 +176,7 @@
     }
     let current_settings = CurrentSettings::new(config.settings, config.names, config.digest);
     let settings = current_settings.get().settings.clone();
-    let reserved = if operators.is_some() { operator::DESCRIPTORS } else { 0 };
+    let reserved = if operators.is_some() { operator::RESERVED_DESCRIPTORS } else { 0 };
     let descriptors = Descriptors::new(config.sockets.saturating_sub(reserved));
     let upstream = Upstream::new(
         descriptors.clone(),
@@ -313,7 +313,7 @@
             zoning: zoning.clone(),
             lease: Lease::stored(restored.lease.as_deref()).into(),
             cordons: restored.cordons.clone().into(),
-            turn: tokio::sync::Mutex::new(()),
+            order_lock: tokio::sync::Mutex::new(()),
             name: config.name.clone(),
             started,
             started_ms: driver.clock.now_ms() as u64,
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' address: one call to a connection, one line back, then it closes.
+//! Operator interface: one call per connection, answered with one line.
 
 use crate::active_settings::CurrentSettings;
 use crate::driver::Driver;
@@ -21,22 +21,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{AbortHandle, spawn_local};
 
-/// Callers at once: of more, the one that has been there longest is closed.
-const CALLERS: usize = 8;
-/// Descriptors set aside: the callers, the listener, and one just accepted.
-pub const DESCRIPTORS: usize = CALLERS + 2;
-/// Time for a whole call.
-const CALL_TIME: Duration = Duration::from_secs(3);
-/// Time for the answer to be taken, and for the caller to close.
-const FAREWELL: Duration = Duration::from_millis(500);
-/// Time for a word to wait for the one before it, so that its caller is answered within its second.
-const TURN: Duration = Duration::from_millis(250);
-/// A lease that was not renewed for so many seconds may be taken by another release.
-const LEASE_S: u64 = 20;
-/// Why a word for the whole fleet is turned down.
-const UNSHARED: &str = "nothing changed: this node shares nothing ([share] is off); say it to each node";
-/// Reads one line, LF or CRLF at its end.
-async fn line(stream: &mut TcpStream) -> Result<Vec<u8>, OperatorCallError> {
+/// Maximum number of concurrent callers; beyond that, the oldest connection is closed.
+const MAX_CALLERS: usize = 8;
+/// Reserved descriptors: the callers, the listener, and one accepted connection.
+pub const RESERVED_DESCRIPTORS: usize = MAX_CALLERS + 2;
+/// Time for a complete call to arrive.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time for the caller to read the answer and close the connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time that an order waits for the previous one to be stored; the caller expects an answer within a
+/// second.
+const ORDER_LOCK_TIMEOUT: Duration = Duration::from_millis(250);
+/// Seconds without renewal after which another release may take the lease.
+const LEASE_TIMEOUT_S: u64 = 20;
+/// Error of a fleet-wide order at a node that shares nothing.
+const NOT_SHARED: &str = "nothing changed: this node shares nothing ([share] is off); say it to each node";
+
+/// Reads one line that ends with LF or CRLF.
+async fn read_line(stream: &mut TcpStream) -> Result<Vec<u8>, OperatorCallError> {
     let mut line = Vec::new();
     let mut piece = [0; 256];
     loop {
@@ -57,7 +59,7 @@
     }
 }
 
-/// The lease of a release: one controller at a time may take backends out, the one with the greatest number.
+/// Release lease: only one controller at a time may cordon backends, the one with the greatest number.
 #[derive(Debug, Default)]
 pub struct Lease {
     holder: String,
@@ -66,7 +68,7 @@
 }
 
 impl Lease {
-    /// The one that was stored.
+    /// Restores a stored lease.
     pub fn stored(text: Option<&str>) -> Lease {
         let (holder, number) = text.and_then(|t| t.split_once(' ')).unwrap_or_default();
         let number = number.parse().unwrap_or(0);
@@ -77,22 +79,22 @@
         self.renewed.map(|at| at.elapsed().as_secs())
     }
 
-    /// Whether a controller may take or renew it.
+    /// Checks that a controller may take or renew the lease.
     fn check(&self, holder: &str, number: u64) -> Result<(), String> {
         if holder == NO_HOLDER && number == self.number {
             return Ok(());
         }
         let lower = number < self.number || (number == self.number && holder != self.holder);
         let free = self.holder.is_empty() || self.holder == NO_HOLDER || holder == self.holder;
-        let held = !free && self.age_s().is_some_and(|s| s < LEASE_S);
+        let held = !free && self.age_s().is_some_and(|s| s < LEASE_TIMEOUT_S);
         if lower || held {
             return Err(format!("the lease is held by {} with {}", self.holder, self.number));
         }
         Ok(())
     }
 
-    /// Whether a word under that number counts.
-    fn counts(&self, number: u64) -> Result<(), String> {
+    /// Checks that an order with this lease number is not outdated.
+    fn check_number(&self, number: u64) -> Result<(), String> {
         if number < self.number {
             return Err(format!("the lease is held by {} with {}", self.holder, self.number));
         }
@@ -100,46 +102,46 @@
     }
 }
 
-/// Answers operators.
+/// Answers operators' calls.
 pub struct Operator {
-    /// Where backends are taken out.
+    /// Applies cordons.
     pub driver: Rc<Driver>,
-    /// Where clients are sent away.
+    /// Quiesces and resumes serving.
     pub server: Rc<Server>,
-    /// Who to ask for room where the system has no descriptor left.
+    /// Frees descriptors when the system is out of them.
     pub descriptors: Rc<Descriptors>,
-    /// What else there are figures of.
+    /// Current settings.
     pub current_settings: Rc<CurrentSettings>,
     /// Connections to backends.
     pub upstream: Rc<Upstream>,
-    /// Datagrams.
+    /// Datagrams between nodes.
     pub peers: Option<Rc<Peers>>,
-    /// Lines that were dropped.
+    /// Counters of dropped log lines.
     pub log: Rc<Log>,
-    /// What survives the machine, where there is a place for it.
+    /// State that survives the machine, if configured.
     pub durable: Option<Rc<Durable>>,
-    /// Who may take backends out for a release.
+    /// Lease of the release controllers.
     pub lease: RefCell<Lease>,
-    /// Who took which backend out, and why, as far as it was said here.
+    /// Who cordoned which backend and why, for cordons set at this node.
     pub cordons: RefCell<BTreeMap<String, Cordon>>,
-    /// Whose word on a backend is being stored: the next one is judged by what that leaves.
-    pub turn: tokio::sync::Mutex<()>,
-    /// What the nodes share, where they do.
+    /// Held while an order on a backend is being stored: the next order depends on its result.
+    pub order_lock: tokio::sync::Mutex<()>,
+    /// Shared state of the fleet, if enabled.
     pub sharing: Option<Rc<Sharing>>,
-    /// Zones, where they are judged.
+    /// Zone health checks, if enabled.
     pub zoning: Option<Rc<Zoning>>,
-    /// The node's name.
+    /// Name of the node.
     pub name: String,
-    /// When the process started.
+    /// Start of the process.
     pub started: Instant,
-    /// The same in milliseconds since 1970.
+    /// Start of the process, in milliseconds since 1970.
     pub started_ms: u64,
-    /// Bytes of memory that it may use.
+    /// Memory limit of the process in bytes.
     pub memory: usize,
 }
 
 impl Operator {
-    /// Takes calls for as long as the node lives.
+    /// Answers calls while the node runs.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
@@ -153,32 +155,32 @@
                 }
             };
             callers.retain(|c| !c.is_finished());
-            while callers.len() >= CALLERS {
+            while callers.len() >= MAX_CALLERS {
                 if let Some(longest) = callers.pop_front() {
                     longest.abort();
                 }
             }
-            let own = self.clone();
-            callers.push_back(spawn_local(async move { own.converse(stream).await }).abort_handle());
+            let operator = self.clone();
+            callers.push_back(spawn_local(async move { operator.serve_call(stream).await }).abort_handle());
         }
     }
 
-    async fn converse(&self, mut stream: TcpStream) {
+    async fn serve_call(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let line = tokio::time::timeout(CALL_TIME, line(&mut stream)).await;
-        let line = line.unwrap_or(Err(OperatorCallError::TimedOut(CALL_TIME.as_secs())));
+        let line = tokio::time::timeout(CALL_TIMEOUT, read_line(&mut stream)).await;
+        let line = line.unwrap_or(Err(OperatorCallError::TimedOut(CALL_TIMEOUT.as_secs())));
         let call = line.as_deref().map_err(ToString::to_string);
         let answer = call.and_then(|l| OperatorCall::parse(l).map_err(|e| e.to_string()));
-        let said = match answer {
-            Ok(call) => self.carry_out(&call).await,
-            Err(why) => Err(why),
+        let result = match answer {
+            Ok(call) => self.execute(&call).await,
+            Err(reason) => Err(reason),
         };
-        let answer = match said {
+        let answer = match result {
             Ok(text) => format!("OK {text}\n"),
             Err(reason) => format!("ERR {reason}\n"),
         };
-        // Closed with something unread, the connection would be reset and the answer lost with it.
-        let _ = tokio::time::timeout(FAREWELL, async {
+        // Closing a connection with unread data resets it, and the answer would be lost.
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, async {
             stream.write_all(answer.as_bytes()).await?;
             stream.shutdown().await?;
             let mut rest = [0; 256];
@@ -188,7 +190,7 @@
         .await;
     }
 
-    /// A word that is to outlive this machine is on its disk before it holds, and before it is answered.
+    /// Stores an order that has to survive the machine, before it is applied and answered.
     async fn store(&self, call: &OperatorCall, cordon: Option<&Cordon>) -> Result<(), String> {
         let Some(durable) = &self.durable else { return Ok(()) };
         let stored = match call {
@@ -208,11 +210,11 @@
             }
             _ => Ok(()),
         };
-        stored.map_err(|why| format!("nothing changed, it cannot be stored: {why}"))
+        stored.map_err(|reason| format!("nothing changed, it cannot be stored: {reason}"))
     }
 
-    /// What a call makes of a backend's cordon; none where it puts it back.
-    fn said(&self, call: &OperatorCall) -> Option<Cordon> {
+    /// Returns the cordon that a call sets on a backend; `None` if the call revokes it.
+    fn cordon_of(&self, call: &OperatorCall) -> Option<Cordon> {
         match call {
             OperatorCall::Cordon { reason, .. } => Some(Cordon::now(false, reason)),
             OperatorCall::FleetCordon(_) => Some(Cordon::now(false, "said for the whole fleet")),
@@ -224,17 +226,18 @@
         }
     }
 
-    /// Remembers who took a backend out, once it holds.
-    fn remember(&self, id: &str, said: Option<Cordon>) {
+    /// Records who cordoned a backend, once the order is applied.
+    fn record_cordon(&self, id: &str, cordon: Option<Cordon>) {
         let mut cordons = self.cordons.borrow_mut();
-        match said {
-            Some(said) => drop(cordons.insert(id.to_owned(), said)),
+        match cordon {
+            Some(cordon) => drop(cordons.insert(id.to_owned(), cordon)),
             None => drop(cordons.remove(id)),
         }
     }
 
-    /// An operator has it out, by a word to this node or to the whole fleet: no controller puts it back.
-    fn operators(&self, id: &str) -> bool {
+    /// True if an operator has cordoned the backend, at this node or fleet-wide; controllers must not
+    /// revoke that.
+    fn is_operators_cordon(&self, id: &str) -> bool {
         self.cordons.borrow().get(id).is_some_and(|c| !c.is_release)
             || self.sharing.as_ref().is_some_and(|s| s.is_out(id))
     }
@@ -243,51 +246,51 @@
         self.zoning.as_deref().ok_or_else(zoning::off)
     }
 
-    /// At this node as any other word, and then at the others.
-    fn fleet_word(&self, id: &str, out: bool) -> Result<String, String> {
-        let sharing = self.sharing.as_ref().ok_or(UNSHARED)?;
-        let said = if out { self.driver.cordon(id) } else { self.driver.uncordon(id) };
-        let said = said.map_err(|e| e.to_string())?;
+    /// Applies an order at this node and shares it with the others.
+    fn order_fleet_wide(&self, id: &str, out: bool) -> Result<String, String> {
+        let sharing = self.sharing.as_ref().ok_or(NOT_SHARED)?;
+        let reply = if out { self.driver.cordon(id) } else { self.driver.uncordon(id) };
+        let reply = reply.map_err(|e| e.to_string())?;
         sharing.say(id, out, 0)?;
         let others = sharing.alive().saturating_sub(1);
-        Ok(format!("{said}, and {others} others hear of it"))
+        Ok(format!("{reply}, and {others} others hear of it"))
     }
 
-    async fn carry_out(&self, call: &OperatorCall) -> Result<String, String> {
+    async fn execute(&self, call: &OperatorCall) -> Result<String, String> {
         if let OperatorCall::FleetCordon(id) | OperatorCall::FleetUncordon(id) = call {
-            // Nothing may hold here that cannot be said to all.
-            self.sharing.as_ref().ok_or(UNSHARED)?;
+            // An order that cannot be shared must not be applied here either.
+            self.sharing.as_ref().ok_or(NOT_SHARED)?;
             if id.len() > MAX_NAME_BYTES {
                 return Err(format!(
                     "nothing changed: an ID for the fleet has at most {MAX_NAME_BYTES} bytes"
                 ));
             }
         }
-        let _turn = match call {
+        let _order_guard = match call {
             OperatorCall::Cordon { .. }
             | OperatorCall::Uncordon(_)
             | OperatorCall::FleetCordon(_)
             | OperatorCall::FleetUncordon(_)
             | OperatorCall::Leased { .. } => {
-                let turn = tokio::time::timeout(TURN, self.turn.lock()).await;
-                Some(turn.map_err(|_| "nothing changed, the word before it is still being stored")?)
+                let guard = tokio::time::timeout(ORDER_LOCK_TIMEOUT, self.order_lock.lock()).await;
+                Some(guard.map_err(|_| "nothing changed, the word before it is still being stored")?)
             }
             _ => None,
         };
         match call {
             OperatorCall::Lease { holder, number } => self.lease.borrow().check(holder, *number)?,
-            OperatorCall::Leased { lease, .. } => self.lease.borrow().counts(*lease)?,
+            OperatorCall::Leased { lease, .. } => self.lease.borrow().check_number(*lease)?,
             _ => {}
         }
         if let OperatorCall::Leased { cordon: false, id, .. } = call
-            && self.operators(id)
+            && self.is_operators_cordon(id)
         {
             return Ok(format!("{id} stays out, as an operator said"));
         }
-        // By what holds before this word does.
-        let cordon = self.said(call);
+        // Determined from the state before the order is applied.
+        let cordon = self.cordon_of(call);
         self.store(call, cordon.as_ref()).await?;
-        let said = match call {
+        let reply = match call {
             OperatorCall::Health => return self.health(),
             OperatorCall::Upgrade(_) | OperatorCall::Versions => {
                 return Err("a node has no versions: call its supervisor".to_owned());
@@ -302,20 +305,20 @@
                 "the lease is taken".to_owned()
             }
             OperatorCall::Leased { cordon: true, id, .. } => {
-                let said = self.driver.cordon(id).map_err(|e| e.to_string())?;
-                self.remember(id, cordon);
-                said
+                let reply = self.driver.cordon(id).map_err(|e| e.to_string())?;
+                self.record_cordon(id, cordon);
+                reply
             }
             OperatorCall::Leased { id, .. } | OperatorCall::Uncordon(id) => {
-                let said = self.driver.uncordon(id).map_err(|e| e.to_string())?;
-                self.remember(id, cordon);
-                said
+                let reply = self.driver.uncordon(id).map_err(|e| e.to_string())?;
+                self.record_cordon(id, cordon);
+                reply
             }
             OperatorCall::Cordon { id, .. } => {
-                let said = self.driver.cordon(id).map_err(|e| e.to_string())?;
-                self.remember(id, cordon);
+                let reply = self.driver.cordon(id).map_err(|e| e.to_string())?;
+                self.record_cordon(id, cordon);
                 let lasts = self.durable.is_some() || self.driver.can_store();
-                said + if lasts { "" } else { ", until this process ends" }
+                reply + if lasts { "" } else { ", until this process ends" }
             }
             OperatorCall::ZoneLeave { zone, for_s, force } => {
                 self.zoning()?.say(zone, true, *for_s, *force).await?
@@ -326,9 +329,9 @@
                 return Ok(Zoning::figures(&self.driver, &self.current_settings)?.to_string());
             }
             OperatorCall::FleetCordon(id) | OperatorCall::FleetUncordon(id) => {
-                let said = self.fleet_word(id, matches!(call, OperatorCall::FleetCordon(_)))?;
-                self.remember(id, cordon);
-                said
+                let reply = self.order_fleet_wide(id, matches!(call, OperatorCall::FleetCordon(_)))?;
+                self.record_cordon(id, cordon);
+                reply
             }
             OperatorCall::Quiesce => self.server.quiesce()?,
             OperatorCall::Resume => self.server.resume()?,
@@ -338,13 +341,13 @@
             INFO,
             "operator",
             call = call.to_string().as_str(),
-            said = said.as_str(),
+            said = reply.as_str(),
             "operator.called"
         );
-        Ok(said)
+        Ok(reply)
     }
 
-    /// All figures, as one line of JSON.
+    /// Returns all statistics as one line of JSON.
     fn stats(&self) -> String {
         let active = self.current_settings.get();
         let mut json = self.driver.stats_json(&active);
@@ -365,15 +368,15 @@
             "failed": state.map(|s| s.failed)});
         let lease = self.lease.borrow();
         json["lease"] = json!({"holder": lease.holder, "number": lease.number, "age_s": lease.age_s()});
-        // Those that are out: one may have been put back by a word to another node.
+        // Only backends that are still cordoned: an order at another node may have revoked a cordon.
         let out = self.driver.cordoned_backends();
         let cordons = self.cordons.borrow();
-        let who = |uid: &String| {
-            let said = cordons.get(uid);
-            json!({"id": uid, "since_ms": said.map(|c| c.since_ms), "why": said.map(|c| c.reason.as_str()),
-                   "by": said.map(|c| if c.is_release { "release" } else { "operator" })})
+        let cordon_json = |uid: &String| {
+            let cordon = cordons.get(uid);
+            json!({"id": uid, "since_ms": cordon.map(|c| c.since_ms), "why": cordon.map(|c| c.reason.as_str()),
+                   "by": cordon.map(|c| if c.is_release { "release" } else { "operator" })})
         };
-        json["cordons"] = out.iter().map(who).collect();
+        json["cordons"] = out.iter().map(cordon_json).collect();
         json["topology"] = Zoning::figures(&self.driver, &self.current_settings).unwrap_or(Value::Null);
         json["share"] = self.sharing.as_ref().map_or(Value::Null, |s| s.json());
         json["peers"] = json!({"sent": sent, "received": received});
@@ -390,7 +393,8 @@
     }
 }
 
-/// Memory that this process holds, in units of 1024 bytes; none where the system does not say.
+/// Returns the resident memory of this process in units of 1024 bytes; `None` if the system does not
+/// provide it.
 fn resident_kb() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
@@ -402,20 +406,24 @@
     use super::*;
 
     #[test]
-    fn of_two_controllers_the_greater_number_holds_and_a_name_until_it_is_old() {
+    fn lease_belongs_to_the_greater_number_until_it_expires() {
         let mut lease = Lease::stored(Some("first 4"));
         assert!(lease.check("first", 4).is_ok() && lease.check("first", 3).is_err());
         assert!(lease.check("other", 4).is_err());
-        assert!(lease.check("other", 5).is_ok(), "nobody has renewed it since this start");
+        assert!(lease.check("other", 5).is_ok(), "not renewed since this start");
         lease.renewed = Some(Instant::now());
-        assert!(lease.check("other", 5).is_err(), "the first one is there");
-        assert!(lease.check("first", 5).is_ok(), "its next controller");
-        // One that stood still and wakes has the lower number.
+        assert!(lease.check("other", 5).is_err(), "the holder is active");
+        assert!(lease.check("first", 5).is_ok(), "a controller of the same holder");
+        // A controller that was suspended and resumes has the lower number.
         lease.number = 5;
-        assert!(lease.counts(4).is_err() && lease.counts(5).is_ok() && lease.counts(6).is_ok());
+        assert!(
+            lease.check_number(4).is_err()
+                && lease.check_number(5).is_ok()
+                && lease.check_number(6).is_ok()
+        );
         assert!(lease.check(NO_HOLDER, 4).is_err() && lease.check(NO_HOLDER, 5).is_ok());
         lease.holder = NO_HOLDER.to_owned();
-        assert!(lease.check("other", 6).is_ok(), "it was given up");
+        assert!(lease.check("other", 6).is_ok(), "the lease was released");
         assert_eq!(Lease::stored(None).number, 0);
     }
 }
--- a/src/node/zoning.rs
+++ b/src/node/zoning.rs
@@ -149,7 +149,7 @@
         let left = for_s.map(|s| Duration::from_secs(s.into()));
         if let Some(durable) = &self.durable {
             let stored = durable.store_zone(zone, out, left).await;
-            stored.map_err(|why| format!("nothing changed, it cannot be stored: {why}"))?;
+            stored.map_err(|reason| format!("nothing changed, it cannot be stored: {reason}"))?;
         }
         self.order(zone, out, left)?;
         let mut said = match (out, for_s) {
