--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -110,7 +110,7 @@
         self.log.retune(&options.log);
         self.driver.set_stats_window(stats_window(&options));
         if let Some(sharing) = &self.sharing {
-            sharing.retune(&options.share);
+            sharing.update_settings(&options.share);
         }
         if let Some(zoning) = &self.zoning {
             zoning.retune(&options.topology);
@@ -244,7 +244,7 @@
         Zoning::new(&options.topology, driver.clone(), current_settings.clone(), sharing, durable)
     });
     if let (Some(zoning), Some(sharing)) = (&zoning, &sharing) {
-        sharing.zoning(zoning);
+        sharing.set_zoning(zoning);
     }
     let (discovery, address) = watch::channel((config.discovery, settings.discovery));
     let reloading = Reloading {
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -239,7 +239,7 @@
     /// revoke that.
     fn is_operators_cordon(&self, id: &str) -> bool {
         self.cordons.borrow().get(id).is_some_and(|c| !c.is_release)
-            || self.sharing.as_ref().is_some_and(|s| s.is_out(id))
+            || self.sharing.as_ref().is_some_and(|s| s.is_cordoned(id))
     }
 
     fn zoning(&self) -> Result<&Zoning, String> {
@@ -251,8 +251,8 @@
         let sharing = self.sharing.as_ref().ok_or(NOT_SHARED)?;
         let reply = if out { self.driver.cordon(id) } else { self.driver.uncordon(id) };
         let reply = reply.map_err(|e| e.to_string())?;
-        sharing.say(id, out, 0)?;
-        let others = sharing.alive().saturating_sub(1);
+        sharing.share_order(id, out, 0)?;
+        let others = sharing.reachable_members().saturating_sub(1);
         Ok(format!("{reply}, and {others} others hear of it"))
     }
 
@@ -378,7 +378,7 @@
         };
         json["cordons"] = out.iter().map(cordon_json).collect();
         json["topology"] = Zoning::figures(&self.driver, &self.current_settings).unwrap_or(Value::Null);
-        json["share"] = self.sharing.as_ref().map_or(Value::Null, |s| s.json());
+        json["share"] = self.sharing.as_ref().map_or(Value::Null, |s| s.stats_json());
         json["peers"] = json!({"sent": sent, "received": received});
         json["log"] = json!({"unwritten": unwritten, "over": over});
         json.to_string()
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -1,4 +1,5 @@
-//! The node's part of the fleet's shared state: carries out what `daleturn::control` says, and decides nothing.
+//! Connects the node to the shared state of the fleet: performs the actions of `daleturn::control` and
+//! decides nothing itself.
 
 use crate::active_settings::CurrentSettings;
 use crate::driver::{Driver, Input};
@@ -18,25 +19,27 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often the machine is asked what is due.
-const TICK: Duration = Duration::from_millis(20);
-/// And every so many ticks the decisions hear of the totals.
-const TELL_EVERY: u64 = 5;
-/// First byte of its datagrams.
-const FIRST: u8 = 0xd1;
-/// The oldest age that is told apart, in milliseconds.
-const OLDEST_MS: u64 = 120_000;
+/// Interval at which the gossip state machine runs.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of ticks between two updates of the balancer with the tenants' totals.
+const TICKS_PER_REPORT: u64 = 5;
+/// First byte of gossip datagrams.
+const DATAGRAM_MARKER: u8 = 0xd1;
+/// Maximum age that the histograms distinguish, in milliseconds.
+const MAX_AGE_MS: u64 = 120_000;
 
-/// Ages at the moments of use, since the start.
-struct Ages(Histogram<u32>);
+/// Histogram of the ages of shared information when it was used, since the start.
+struct AgeHistogram(Histogram<u32>);
 
-impl Ages {
-    fn new() -> Ages {
-        // The bounds are constants that it takes.
-        Ages(Histogram::new_with_bounds(1, OLDEST_MS, 2).unwrap_or_else(|_| unreachable!("bounds")))
+impl AgeHistogram {
+    fn new() -> AgeHistogram {
+        // Cannot fail: the bounds are valid constants.
+        AgeHistogram(
+            Histogram::new_with_bounds(1, MAX_AGE_MS, 2).unwrap_or_else(|_| unreachable!("bounds")),
+        )
     }
 
-    fn note(&mut self, ms: Ms) {
+    fn record(&mut self, ms: Ms) {
         self.0.saturating_record(ms.max(1));
     }
 
@@ -46,30 +49,30 @@
     }
 }
 
-/// Ages by kind, and how often limits were decided without the fleet.
-struct Uses {
-    limits: Ages,
-    verdicts: Ages,
-    affinity: Ages,
-    looked: u64,
-    alone: u64,
+/// Ages by kind of information, and how often tenant limits were computed, with and without fleet totals.
+struct UsageStats {
+    limits: AgeHistogram,
+    verdicts: AgeHistogram,
+    affinity: AgeHistogram,
+    computed: u64,
+    without_totals: u64,
 }
 
-/// What this node shares.
+/// This node's part in the shared state.
 pub struct Sharing {
-    fleet: RefCell<Gossip>,
-    uses: RefCell<Uses>,
+    gossip: RefCell<Gossip>,
+    usage: RefCell<UsageStats>,
     peers: Rc<Peers>,
     driver: Rc<Driver>,
     current_settings: Rc<CurrentSettings>,
     started: Instant,
-    here: Cell<bool>,
+    is_sending: Cell<bool>,
     verdicts_ms: Cell<u32>,
     affinity_ms: Cell<u32>,
     zoning: RefCell<Weak<Zoning>>,
 }
 
-fn bounds(share: &Share) -> MaxAges {
+fn max_ages(share: &Share) -> MaxAges {
     let ms = Ms::from;
     MaxAges {
         limits_ms: ms(share.limits_ms),
@@ -78,12 +81,13 @@
     }
 }
 
-fn short(name: &str) -> u32 {
+fn short_hash(name: &str) -> u32 {
     (stable_hash(name) >> 32) as u32
 }
 
 impl Sharing {
-    /// A part that does not speak yet. None where the platform gives this node no place among its peers.
+    /// Creates the shared state of this node, silent at first. Returns `None` if this node has no number
+    /// among the configured peers or may not send them messages.
     pub fn new(
         share: &Share,
         peers: Rc<Peers>,
@@ -98,20 +102,26 @@
             log_event!(ERROR, "share", own, count, allowed = settings.peer_messages, "share.unusable");
             return None;
         }
-        // Seconds since 1970 rise with each start; where a clock went back, the others say so.
+        // Seconds since 1970 increase with every start. If the clock was set back, the other nodes report
+        // that.
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = u32::try_from(wall.as_secs()).unwrap_or(1);
-        let fleet = Gossip::new(0, own, count, incarnation, bounds(share), seed);
-        let uses =
-            Uses { limits: Ages::new(), verdicts: Ages::new(), affinity: Ages::new(), looked: 0, alone: 0 };
+        let gossip = Gossip::new(0, own, count, incarnation, max_ages(share), seed);
+        let usage = UsageStats {
+            limits: AgeHistogram::new(),
+            verdicts: AgeHistogram::new(),
+            affinity: AgeHistogram::new(),
+            computed: 0,
+            without_totals: 0,
+        };
         let sharing = Rc::new(Sharing {
-            fleet: RefCell::new(fleet),
-            uses: RefCell::new(uses),
+            gossip: RefCell::new(gossip),
+            usage: RefCell::new(usage),
             peers,
             driver: driver.clone(),
             current_settings,
             started: Instant::now(),
-            here: Cell::new(true),
+            is_sending: Cell::new(true),
             verdicts_ms: Cell::new(share.verdicts_ms),
             affinity_ms: Cell::new(share.affinity_ms),
             zoning: RefCell::new(Weak::new()),
@@ -119,15 +129,15 @@
         let own = Rc::downgrade(&sharing);
         driver.set_observation_sink(move |found, start| {
             if let Some(sharing) = own.upgrade() {
-                sharing.found(found, start);
+                sharing.report(found, start);
             }
         });
         Some(sharing)
     }
 
-    /// Other bounds from here on.
-    pub fn retune(&self, share: &Share) {
-        self.fleet.borrow_mut().update_settings(bounds(share));
+    /// Applies new maximum ages.
+    pub fn update_settings(&self, share: &Share) {
+        self.gossip.borrow_mut().update_settings(max_ages(share));
         self.verdicts_ms.set(share.verdicts_ms);
         self.affinity_ms.set(share.affinity_ms);
     }
@@ -136,20 +146,20 @@
         Ms::try_from(self.started.elapsed().as_millis()).unwrap_or(Ms::MAX)
     }
 
-    /// Its own datagrams begin so.
-    pub fn is_own(bytes: &[u8]) -> bool {
-        bytes.first() == Some(&FIRST)
+    /// True for a gossip datagram.
+    pub fn is_gossip(bytes: &[u8]) -> bool {
+        bytes.first() == Some(&DATAGRAM_MARKER)
     }
 
-    /// Serves for as long as the node lives. Of two processes of a node the one that serves speaks.
+    /// Runs while the node does. Of two processes of a node only the serving one sends datagrams.
     pub async fn run(self: Rc<Self>, handover: Rc<Handover>) {
-        let mut turn = tokio::time::interval(TICK);
+        let mut turn = tokio::time::interval(TICK_INTERVAL);
         turn.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         for n in 0_u64.. {
             turn.tick().await;
-            let here = handover.is_serving() && !handover.has_successor();
-            if here != self.here.get() {
-                if here {
+            let is_serving = handover.is_serving() && !handover.has_successor();
+            if is_serving != self.is_sending.get() {
+                if is_serving {
                     if let Err(e) = self.peers.join() {
                         log_event!(ERROR, "share", reason = e.to_string().as_str(), "share.no_address");
                         continue;
@@ -158,61 +168,62 @@
                 } else {
                     self.peers.leave();
                 }
-                self.here.set(here);
+                self.is_sending.set(is_serving);
             }
-            if here {
-                self.act(Event::Tick);
-                if n % TELL_EVERY == 0 {
-                    self.tell();
+            if is_serving {
+                self.handle_event(Event::Tick);
+                if n % TICKS_PER_REPORT == 0 {
+                    self.report_demand();
                 }
             }
         }
     }
 
-    /// Takes in datagrams until the address is left.
+    /// Handles datagrams until the address is released.
     pub fn listen(self: Rc<Self>) {
         tokio::task::spawn_local(async move {
             let (own, peers) = (self.clone(), self.peers.clone());
-            peers.listen(move |from, bytes| own.heard(from, bytes)).await;
+            peers.listen(move |from, bytes| own.handle_datagram(from, bytes)).await;
         });
     }
 
-    fn heard(&self, from: u32, bytes: Vec<u8>) {
+    fn handle_datagram(&self, from: u32, bytes: Vec<u8>) {
         match NodeId::try_from(from) {
-            Ok(from) if Sharing::is_own(&bytes) => self.act(Event::Datagram(from, &bytes)),
+            Ok(from) if Sharing::is_gossip(&bytes) => self.handle_event(Event::Datagram(from, &bytes)),
             _ => self.driver.handle_peer_message(from, bytes),
         }
     }
 
-    fn found(&self, found: Observation, start: u32) {
+    fn report(&self, found: Observation, start: u32) {
         match found {
-            Observation::Backend { backend, failing: bad } => {
-                self.act(Event::Verdict { server: backend.short(), start, failing: bad })
+            Observation::Backend { backend, failing: is_failing } => {
+                self.handle_event(Event::Verdict { server: backend.short(), start, failing: is_failing })
             }
             Observation::Key { key, backend } => {
-                self.act(Event::KeyLocation { key, server: backend.short() })
+                self.handle_event(Event::KeyLocation { key, server: backend.short() })
             }
         }
     }
 
-    fn act(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         let mut actions = Vec::new();
         let now = self.now();
-        self.fleet.borrow_mut().handle(now, event, &mut actions);
+        self.gossip.borrow_mut().handle(now, event, &mut actions);
         let clock = self.driver.clock.now_ms();
         for action in actions {
             match action {
                 Action::Send(to, bytes) => self.peers.send(Some(u32::from(to)), &bytes),
-                Action::Verdict { server, start, node: who, failing: bad, age } => {
-                    self.uses.borrow_mut().verdicts.note(age);
+                Action::Verdict { server, start, node: node_id, failing: is_failing, age } => {
+                    self.usage.borrow_mut().verdicts.record(age);
                     let until_ms = clock + f64::from(self.verdicts_ms.get()) - age as f64;
                     if let Some(backend) = self.driver.find_listed(server, Some(start)) {
-                        let news = SharedUpdate::Verdict { backend, node: who, failing: bad, until_ms };
-                        self.driver.handle(Input::Shared(news));
+                        let update =
+                            SharedUpdate::Verdict { backend, node: node_id, failing: is_failing, until_ms };
+                        self.driver.handle(Input::Shared(update));
                     }
                 }
                 Action::KeyLocation { key, server, age } => {
-                    self.uses.borrow_mut().affinity.note(age);
+                    self.usage.borrow_mut().affinity.record(age);
                     let until_ms = clock + f64::from(self.affinity_ms.get()) - age as f64;
                     if let Some(backend) = self.driver.find_listed(server, None) {
                         self.driver.handle(Input::Shared(SharedUpdate::KeyLocation {
@@ -222,16 +233,16 @@
                         }));
                     }
                 }
-                Action::OperatorOrder { subject: about, cordoned: out, for_s, age } => {
-                    self.word(&about, out, for_s, age)
+                Action::OperatorOrder { subject: name, cordoned: out, for_s, age } => {
+                    self.apply_order(&name, out, for_s, age)
                 }
             }
         }
     }
 
-    fn word(&self, about: &str, out: bool, for_s: u32, age: Ms) {
-        let Some(zone) = about.strip_prefix(PREFIX) else {
-            return self.driver.apply_shared_cordon(about, out);
+    fn apply_order(&self, name: &str, out: bool, for_s: u32, age: Ms) {
+        let Some(zone) = name.strip_prefix(PREFIX) else {
+            return self.driver.apply_shared_cordon(name, out);
         };
         let all = Duration::from_secs(for_s.into());
         let left = all.saturating_sub(Duration::from_millis(age));
@@ -242,101 +253,107 @@
         }
     }
 
-    /// Words on zones go there.
-    pub fn zoning(&self, zoning: &Rc<Zoning>) {
+    /// Sets the receiver of orders on zones.
+    pub fn set_zoning(&self, zoning: &Rc<Zoning>) {
         self.zoning.replace(Rc::downgrade(zoning));
     }
 
-    /// How many other nodes hold a zone for lost.
-    pub fn against(&self, zone: &str) -> usize {
-        let fleet = self.fleet.borrow();
+    /// Returns the number of other nodes that report a zone as lost.
+    pub fn count_zone_reports(&self, zone: &str) -> usize {
+        let gossip = self.gossip.borrow();
         let age = Ms::from(self.verdicts_ms.get());
-        fleet.shared().failing_verdicts_by_others(self.now(), short(zone), fleet.members().local_id(), age)
+        gossip.shared().failing_verdicts_by_others(
+            self.now(),
+            short_hash(zone),
+            gossip.members().local_id(),
+            age,
+        )
     }
 
-    /// This node holds a zone for lost, or not any more.
-    pub fn found_zone(&self, zone: &str, bad: bool) {
-        self.act(Event::Verdict { server: short(zone), start: 0, failing: bad });
+    /// Reports a zone as lost, or no longer lost.
+    pub fn report_zone(&self, zone: &str, is_failing: bool) {
+        self.handle_event(Event::Verdict { server: short_hash(zone), start: 0, failing: is_failing });
     }
 
-    /// What is asked here for the fleet, and what the fleet's totals make of each tenant's share for the decisions.
-    fn tell(&self) {
+    /// Reports this node's tenant demand to the fleet, and passes each tenant's share of the fleet's total
+    /// to the balancer.
+    fn report_demand(&self) {
         let active = self.current_settings.get();
-        let name = |t: usize| active.names.tenant_name(t).map(short);
+        let name = |t: usize| active.names.tenant_name(t).map(short_hash);
         let asked = self.driver.tenant_request_rates();
         let rates: Vec<(u32, f32)> =
             (0..asked.len()).filter_map(|t| Some((name(t)?, asked[t] as f32))).collect();
-        self.act(Event::TenantRates(&rates));
+        self.handle_event(Event::TenantRates(&rates));
         let now = self.now();
-        let (parts, age) = {
-            let fleet = self.fleet.borrow();
+        let (shares, age) = {
+            let gossip = self.gossip.borrow();
             let within = |t: usize| {
                 let quota = active.settings.tenants.get(t).map_or(0.0, |t| t.quota_rps);
                 name(t)
                     .filter(|_| quota > 0.0)
-                    .and_then(|short| fleet.share_within_quota(now, short, quota))
+                    .and_then(|short| gossip.share_within_quota(now, short, quota))
             };
-            let parts: Vec<Option<f64>> = (0..active.settings.tenants.len()).map(within).collect();
-            (parts, fleet.totals(now).map(|(_, age)| age))
+            let shares: Vec<Option<f64>> = (0..active.settings.tenants.len()).map(within).collect();
+            (shares, gossip.totals(now).map(|(_, age)| age))
         };
         if active.settings.tenants.iter().any(|t| t.quota_rps > 0.0) {
-            let uses = &mut *self.uses.borrow_mut();
-            uses.looked += 1;
+            let usage = &mut *self.usage.borrow_mut();
+            usage.computed += 1;
             match age {
-                Some(age) => uses.limits.note(age),
-                None => uses.alone += 1,
+                Some(age) => usage.limits.record(age),
+                None => usage.without_totals += 1,
             }
         }
-        self.driver.handle(Input::Shared(SharedUpdate::TenantShares(parts)));
+        self.driver.handle(Input::Shared(SharedUpdate::TenantShares(shares)));
     }
 
-    /// An operator's word for the whole fleet, which holds at this node already.
+    /// Shares an operator's order, already applied at this node, with the fleet.
     ///
     /// # Errors
-    /// It does not fit a datagram.
-    pub fn say(&self, about: &str, out: bool, for_s: u32) -> Result<(), String> {
-        if about.len() > MAX_NAME_BYTES {
+    /// Returns the reason if the name does not fit into a datagram.
+    pub fn share_order(&self, name: &str, out: bool, for_s: u32) -> Result<(), String> {
+        if name.len() > MAX_NAME_BYTES {
             return Err(format!("a name for the fleet has at most {MAX_NAME_BYTES} bytes"));
         }
-        self.act(Event::OperatorOrder { subject: about, cordoned: out, for_s });
+        self.handle_event(Event::OperatorOrder { subject: name, cordoned: out, for_s });
         Ok(())
     }
 
-    /// Whether an operator's word for the whole fleet has a backend out.
-    pub fn is_out(&self, uid: &str) -> bool {
-        self.fleet.borrow().shared().operator_order(uid).is_some_and(|order| order.value.cordoned)
+    /// True if a fleet-wide order has cordoned the backend.
+    pub fn is_cordoned(&self, uid: &str) -> bool {
+        self.gossip.borrow().shared().operator_order(uid).is_some_and(|order| order.value.cordoned)
     }
 
-    /// This node ends, and no other process of it goes on.
+    /// Announces that this node leaves and no other process of it continues.
     pub fn leave(&self) {
-        self.act(Event::Leave);
+        self.handle_event(Event::Leave);
     }
 
-    /// Members that are there, this one included.
-    pub fn alive(&self) -> usize {
-        let [alive, suspected, ..] = self.fleet.borrow().members().counts();
+    /// Returns the number of reachable members, including this node.
+    pub fn reachable_members(&self) -> usize {
+        let [alive, suspected, ..] = self.gossip.borrow().members().counts();
         alive + suspected
     }
 
-    /// Figures for operators.
-    pub fn json(&self) -> Value {
-        let fleet = self.fleet.borrow();
-        let (members, counts, uses) = (fleet.members(), fleet.counts(), self.uses.borrow());
+    /// Returns the statistics of the shared state, for operators.
+    pub fn stats_json(&self) -> Value {
+        let gossip = self.gossip.borrow();
+        let (members, counts, usage) = (gossip.members(), gossip.counts(), self.usage.borrow());
         let [alive, suspected, gone, left] = members.counts();
         let named = |wanted: Status| -> Vec<NodeId> {
             let all = 0..u16::try_from(members.count()).unwrap_or(u16::MAX);
             all.filter(|n| members.state(*n).is_some_and(|l| l.status == wanted)).take(32).collect()
         };
-        let total = fleet.totals(self.now()).map(|(t, age)| json!({"counted": t.counted, "age_ms": age}));
-        let [findings, places, words] = fleet.shared().counts();
+        let total = gossip.totals(self.now()).map(|(t, age)| json!({"counted": t.counted, "age_ms": age}));
+        let [verdicts, key_locations, orders] = gossip.shared().counts();
         json!({
             "members": {"alive": alive, "suspected": suspected, "gone": gone, "left": left,
                         "who_suspected": named(Status::Suspect), "who_gone": named(Status::Dead)},
-            "own": members.local_id(), "reports_to": fleet.parent(), "lateness": members.lateness(),
-            "total": total, "held": {"verdicts": findings, "places": places, "words": words},
-            "ages_ms": {"limits": uses.limits.json(), "verdicts": uses.verdicts.json(),
-                        "affinity": uses.affinity.json()},
-            "limits_alone": {"of": uses.looked, "times": uses.alone},
+            "own": members.local_id(), "reports_to": gossip.parent(), "lateness": members.lateness(),
+            "total": total, "held": {"verdicts": verdicts, "places": key_locations, "words": orders},
+            "ages_ms": {"limits": usage.limits.json(), "verdicts": usage.verdicts.json(),
+                        "affinity": usage.affinity.json()},
+            "limits_alone": {"of": usage.computed, "times": usage.without_totals},
             "datagrams": {"sent": counts.sent, "received": counts.received, "spoilt": counts.rejected.corrupt,
                           "version": counts.rejected.version, "name": counts.rejected.wrong_sender,
                           "replayed": counts.rejected.replayed},
--- a/src/node/zoning.rs
+++ b/src/node/zoning.rs
@@ -69,9 +69,9 @@
 
     fn look(&self) {
         let active = self.current_settings.get();
-        let others = self.sharing.as_ref().is_some_and(|s| s.alive() > 1);
+        let others = self.sharing.as_ref().is_some_and(|s| s.reachable_members() > 1);
         let words = |zone: u16| match (&self.sharing, active.names.zone_name(zone)) {
-            (Some(sharing), Some(name)) => sharing.against(&format!("{PREFIX}{name}")),
+            (Some(sharing), Some(name)) => sharing.count_zone_reports(&format!("{PREFIX}{name}")),
             _ => 0,
         };
         let changes = self.driver.update_zones(others, words);
@@ -87,7 +87,7 @@
                 log_event!(WARN, "zone", zone = zone.as_str(), stand, weight, why, "zone.turned");
             }
             if let (Some(sharing), Some(bad)) = (&self.sharing, change.report) {
-                sharing.found_zone(&format!("{PREFIX}{zone}"), bad);
+                sharing.report_zone(&format!("{PREFIX}{zone}"), bad);
             }
         }
         self.weigh();
@@ -158,8 +158,11 @@
             (false, _) => format!("{zone} may return"),
         };
         if let Some(sharing) = &self.sharing {
-            sharing.say(&format!("{PREFIX}{zone}"), out, for_s.unwrap_or(0))?;
-            said.push_str(&format!(", and {} others hear of it", sharing.alive().saturating_sub(1)));
+            sharing.share_order(&format!("{PREFIX}{zone}"), out, for_s.unwrap_or(0))?;
+            said.push_str(&format!(
+                ", and {} others hear of it",
+                sharing.reachable_members().saturating_sub(1)
+            ));
         }
         Ok(said)
     }
