--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -113,7 +113,7 @@
             sharing.update_settings(&options.share);
         }
         if let Some(zoning) = &self.zoning {
-            zoning.retune(&options.topology);
+            zoning.update_topology(&options.topology);
         }
         let settings = &active.settings;
         self.driver.apply_settings(&active);
@@ -282,10 +282,10 @@
     }
     let (sweeping, told) = (upstream.clone(), log.clone());
     spawn_local(async move {
-        let mut turn = tokio::time::interval(SWEEP);
-        turn.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut ticks = tokio::time::interval(SWEEP);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            turn.tick().await;
+            ticks.tick().await;
             sweeping.close_expired();
             told.tell_dropped();
         }
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -243,7 +243,7 @@
     }
 
     fn zoning(&self) -> Result<&Zoning, String> {
-        self.zoning.as_deref().ok_or_else(zoning::off)
+        self.zoning.as_deref().ok_or_else(zoning::disabled_error)
     }
 
     /// Applies an order at this node and shares it with the others.
@@ -321,12 +321,12 @@
                 reply + if lasts { "" } else { ", until this process ends" }
             }
             OperatorCall::ZoneLeave { zone, for_s, force } => {
-                self.zoning()?.say(zone, true, *for_s, *force).await?
+                self.zoning()?.execute_order(zone, true, *for_s, *force).await?
             }
-            OperatorCall::ZoneHold(zone) => self.zoning()?.say(zone, true, None, true).await?,
-            OperatorCall::ZoneReturn(zone) => self.zoning()?.say(zone, false, None, true).await?,
+            OperatorCall::ZoneHold(zone) => self.zoning()?.execute_order(zone, true, None, true).await?,
+            OperatorCall::ZoneReturn(zone) => self.zoning()?.execute_order(zone, false, None, true).await?,
             OperatorCall::Zones => {
-                return Ok(Zoning::figures(&self.driver, &self.current_settings)?.to_string());
+                return Ok(Zoning::json(&self.driver, &self.current_settings)?.to_string());
             }
             OperatorCall::FleetCordon(id) | OperatorCall::FleetUncordon(id) => {
                 let reply = self.order_fleet_wide(id, matches!(call, OperatorCall::FleetCordon(_)))?;
@@ -377,7 +377,7 @@
                    "by": cordon.map(|c| if c.is_release { "release" } else { "operator" })})
         };
         json["cordons"] = out.iter().map(cordon_json).collect();
-        json["topology"] = Zoning::figures(&self.driver, &self.current_settings).unwrap_or(Value::Null);
+        json["topology"] = Zoning::json(&self.driver, &self.current_settings).unwrap_or(Value::Null);
         json["share"] = self.sharing.as_ref().map_or(Value::Null, |s| s.stats_json());
         json["peers"] = json!({"sent": sent, "received": received});
         json["log"] = json!({"unwritten": unwritten, "over": over});
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -6,7 +6,7 @@
 use crate::handover::Handover;
 use crate::log::log_event;
 use crate::peers::Peers;
-use crate::zoning::{PREFIX, Zoning};
+use crate::zoning::{ZONE_PREFIX, Zoning};
 use daleturn::control::datagram::MAX_NAME_BYTES;
 use daleturn::control::gossip::{Action, Event, Gossip, MaxAges};
 use daleturn::control::membership::{Ms, NodeId, Status};
@@ -153,10 +153,10 @@
 
     /// Runs while the node does. Of two processes of a node only the serving one sends datagrams.
     pub async fn run(self: Rc<Self>, handover: Rc<Handover>) {
-        let mut turn = tokio::time::interval(TICK_INTERVAL);
-        turn.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         for n in 0_u64.. {
-            turn.tick().await;
+            ticks.tick().await;
             let is_serving = handover.is_serving() && !handover.has_successor();
             if is_serving != self.is_sending.get() {
                 if is_serving {
@@ -241,7 +241,7 @@
     }
 
     fn apply_order(&self, name: &str, out: bool, for_s: u32, age: Ms) {
-        let Some(zone) = name.strip_prefix(PREFIX) else {
+        let Some(zone) = name.strip_prefix(ZONE_PREFIX) else {
             return self.driver.apply_shared_cordon(name, out);
         };
         let all = Duration::from_secs(for_s.into());
@@ -249,7 +249,7 @@
         if let Some(zoning) =
             self.zoning.borrow().upgrade().filter(|_| !out || for_s == 0 || !left.is_zero())
         {
-            zoning.hear(zone, out, (out && for_s > 0).then_some(left));
+            zoning.apply_shared_order(zone, out, (out && for_s > 0).then_some(left));
         }
     }
 
--- a/src/node/zoning.rs
+++ b/src/node/zoning.rs
@@ -1,5 +1,5 @@
-//! The node's part in judging zones as a whole: carries out what `daleturn::control::zones` says, and what operators
-//! say of zones.
+//! Zone health checks of the node: performs what `daleturn::control::zones` decides and applies operators'
+//! orders on zones.
 
 use crate::active_settings::CurrentSettings;
 use crate::driver::{Driver, Input};
@@ -14,26 +14,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often the zones are looked at.
-const LOOK: Duration = Duration::from_millis(100);
-/// What a word for the fleet begins with that is about a zone.
-pub const PREFIX: &str = "zone:";
-/// Why a call on zones is turned down.
-const OFF: &str = "nothing changed: zones are not judged here ([topology] is off)";
+/// Interval of the zone health checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Prefix of zone names in fleet-wide orders.
+pub const ZONE_PREFIX: &str = "zone:";
+/// Error of a call on zones while zone health checks are disabled.
+const DISABLED: &str = "nothing changed: zones are not judged here ([topology] is off)";
 
-/// What this node knows of zones.
+/// Zone weights and orders of this node.
 pub struct Zoning {
     driver: Rc<Driver>,
     current_settings: Rc<CurrentSettings>,
     sharing: Option<Rc<Sharing>>,
     durable: Option<Rc<Durable>>,
     topology: RefCell<Topology>,
-    /// Parts of their weights by verdicts and orders.
-    parts: RefCell<BTreeMap<u16, (f64, &'static str)>>,
+    /// Weight and state of each zone according to its health and to orders.
+    states: RefCell<BTreeMap<u16, (f64, &'static str)>>,
 }
 
 impl Zoning {
-    /// Zones are judged from here on.
+    /// Enables zone health checks.
     pub fn new(
         topology: &Topology,
         driver: Rc<Driver>,
@@ -43,78 +43,78 @@
     ) -> Rc<Zoning> {
         let settings = current_settings.get().settings.clone();
         driver.enable_zone_checks(settings.zone, settings.cold_ms);
-        let (topology, parts) = (RefCell::new(topology.clone()), RefCell::default());
-        Rc::new(Zoning { driver, current_settings, sharing, durable, topology, parts })
+        let (topology, states) = (RefCell::new(topology.clone()), RefCell::default());
+        Rc::new(Zoning { driver, current_settings, sharing, durable, topology, states })
     }
 
-    /// Other regions from here on.
-    pub fn retune(&self, topology: &Topology) {
+    /// Applies a new topology.
+    pub fn update_topology(&self, topology: &Topology) {
         self.topology.replace(topology.clone());
-        self.weigh();
+        self.update_weights();
     }
 
-    /// Looks at the zones for as long as the node lives.
-    pub async fn run(self: Rc<Self>, kept: Vec<(String, Option<Duration>)>) {
-        let mut kept = kept;
-        let mut turn = tokio::time::interval(LOOK);
-        turn.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        self.weigh();
+    /// Checks the zones while the node runs.
+    pub async fn run(self: Rc<Self>, stored: Vec<(String, Option<Duration>)>) {
+        let mut stored = stored;
+        let mut ticks = tokio::time::interval(CHECK_INTERVAL);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        self.update_weights();
         loop {
-            turn.tick().await;
-            self.look();
-            // Orders from before this start hold once their zones are known.
-            kept.retain(|(zone, left)| self.order(zone, true, *left).is_err());
+            ticks.tick().await;
+            self.check_zones();
+            // Orders from before this start are applied once their zones are known.
+            stored.retain(|(zone, left)| self.apply_order(zone, true, *left).is_err());
         }
     }
 
-    fn look(&self) {
+    fn check_zones(&self) {
         let active = self.current_settings.get();
         let others = self.sharing.as_ref().is_some_and(|s| s.reachable_members() > 1);
-        let words = |zone: u16| match (&self.sharing, active.names.zone_name(zone)) {
-            (Some(sharing), Some(name)) => sharing.count_zone_reports(&format!("{PREFIX}{name}")),
+        let peer_reports = |zone: u16| match (&self.sharing, active.names.zone_name(zone)) {
+            (Some(sharing), Some(name)) => sharing.count_zone_reports(&format!("{ZONE_PREFIX}{name}")),
             _ => 0,
         };
-        let changes = self.driver.update_zones(others, words);
+        let changes = self.driver.update_zones(others, peer_reports);
         if changes.is_empty() {
             return;
         }
         for change in changes {
             let zone = active.names.zone_name(change.zone).unwrap_or("?").to_owned();
-            let before = self.parts.borrow_mut().insert(change.zone, (change.weight, change.state));
-            // The steps of a ramp are no news; that it begins and ends is.
+            let before = self.states.borrow_mut().insert(change.zone, (change.weight, change.state));
+            // Only the start and the end of a ramp are logged, not its steps.
             if before.is_none_or(|(_, stand)| stand != change.state) {
                 let (weight, stand, why) = (change.weight, change.state, change.reason.as_str());
                 log_event!(WARN, "zone", zone = zone.as_str(), stand, weight, why, "zone.turned");
             }
-            if let (Some(sharing), Some(bad)) = (&self.sharing, change.report) {
-                sharing.report_zone(&format!("{PREFIX}{zone}"), bad);
+            if let (Some(sharing), Some(is_failing)) = (&self.sharing, change.report) {
+                sharing.report_zone(&format!("{ZONE_PREFIX}{zone}"), is_failing);
             }
         }
-        self.weigh();
+        self.update_weights();
     }
 
-    /// Hands the decisions each zone's weight: what its health leaves of what its region is worth from here.
-    fn weigh(&self) {
+    /// Passes the zone weights to the balancer: the weight by health, reduced for zones of other regions.
+    fn update_weights(&self) {
         let active = self.current_settings.get();
         let topology = self.topology.borrow();
         let region = |zone: u16| active.names.zone_name(zone).and_then(|name| topology.regions.get(name));
         let own = active.settings.zone.and_then(region);
-        let parts = self.parts.borrow();
-        let part = |zone: u16| parts.get(&zone).map_or(1.0, |p| p.0);
+        let states = self.states.borrow();
+        let health_weight = |zone: u16| states.get(&zone).map_or(1.0, |p| p.0);
         let count = u16::try_from(active.names.zones()).unwrap_or(u16::MAX);
-        let home = |zone: u16| own.is_none() || region(zone) == own;
-        // With nothing left at home, the other regions are as good as any.
-        let any_home = (0..count).any(|zone| home(zone) && part(zone) >= 0.5);
-        let far = f64::from(topology.other_region_percent) / 100.0;
-        let weight = |zone: u16| match part(zone) {
+        let is_home = |zone: u16| own.is_none() || region(zone) == own;
+        // If no zone of the home region is left, all regions count equally.
+        let any_home = (0..count).any(|zone| is_home(zone) && health_weight(zone) >= 0.5);
+        let other_region_factor = f64::from(topology.other_region_percent) / 100.0;
+        let weight = |zone: u16| match health_weight(zone) {
             left if left < MIN_ACTIVE_WEIGHT => left,
-            part if home(zone) || !any_home => part,
-            part => (part * far).max(MIN_ACTIVE_WEIGHT),
+            health_weight if is_home(zone) || !any_home => health_weight,
+            health_weight => (health_weight * other_region_factor).max(MIN_ACTIVE_WEIGHT),
         };
         self.driver.handle(Input::ZoneWeights((0..count).map(weight).collect()));
     }
 
-    fn order(&self, zone: &str, out: bool, left: Option<Duration>) -> Result<(), String> {
+    fn apply_order(&self, zone: &str, out: bool, left: Option<Duration>) -> Result<(), String> {
         let number = self
             .current_settings
             .get()
@@ -126,11 +126,12 @@
         if known { Ok(()) } else { Err(format!("no backend of zone {zone:?} is listed")) }
     }
 
-    /// An operator's word to this node.
+    /// Applies an operator's order at this node and shares it with the fleet.
     ///
     /// # Errors
-    /// No such zone, not storable, or more than the rest can carry.
-    pub async fn say(
+    /// Returns the reason if the zone is unknown, the order cannot be stored, or the remaining backends
+    /// cannot serve the load.
+    pub async fn execute_order(
         &self,
         zone: &str,
         out: bool,
@@ -151,35 +152,35 @@
             let stored = durable.store_zone(zone, out, left).await;
             stored.map_err(|reason| format!("nothing changed, it cannot be stored: {reason}"))?;
         }
-        self.order(zone, out, left)?;
-        let mut said = match (out, for_s) {
+        self.apply_order(zone, out, left)?;
+        let mut reply = match (out, for_s) {
             (true, Some(s)) => format!("{zone} is left for {s} s"),
             (true, None) => format!("{zone} is left until it may return"),
             (false, _) => format!("{zone} may return"),
         };
         if let Some(sharing) = &self.sharing {
-            sharing.share_order(&format!("{PREFIX}{zone}"), out, for_s.unwrap_or(0))?;
-            said.push_str(&format!(
+            sharing.share_order(&format!("{ZONE_PREFIX}{zone}"), out, for_s.unwrap_or(0))?;
+            reply.push_str(&format!(
                 ", and {} others hear of it",
                 sharing.reachable_members().saturating_sub(1)
             ));
         }
-        Ok(said)
+        Ok(reply)
     }
 
-    /// A word of another node.
-    pub fn hear(&self, zone: &str, out: bool, left: Option<Duration>) {
-        let taken = self.order(zone, out, left);
-        let refused = taken.err();
+    /// Applies an order received from another node.
+    pub fn apply_shared_order(&self, zone: &str, out: bool, left: Option<Duration>) {
+        let result = self.apply_order(zone, out, left);
+        let refused = result.err();
         log_event!(INFO, "zone", zone, out, ?refused, "zone.operators_word");
     }
 
-    /// Where the zones stand.
+    /// Returns the state of all zones as JSON.
     ///
     /// # Errors
-    /// They are not judged.
-    pub fn figures(driver: &Driver, current_settings: &CurrentSettings) -> Result<Value, String> {
-        let zones = driver.zone_states().ok_or(OFF)?;
+    /// Returns an error if zone health checks are disabled.
+    pub fn json(driver: &Driver, current_settings: &CurrentSettings) -> Result<Value, String> {
+        let zones = driver.zone_states().ok_or(DISABLED)?;
         let (now, active) = (driver.clock.now_ms(), current_settings.get());
         let each = zones.iter().map(|z| {
             json!({"zone": active.names.zone_name(z.zone).unwrap_or("?"), "stand": z.state,
@@ -191,7 +192,7 @@
     }
 }
 
-/// Why a call on zones is turned down where they are not judged.
-pub fn off() -> String {
-    OFF.to_owned()
+/// Returns the error of a call on zones while zone health checks are disabled.
+pub fn disabled_error() -> String {
+    DISABLED.to_owned()
 }
