--- a/src/node/body.rs
+++ b/src/node/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that are passed on while they come, and the pieces they come in.
+//! Streaming of long request and response bodies.
 
 use crate::transfer_slots::TransferSlot;
 use bytes::Bytes;
@@ -12,123 +12,124 @@
 use thiserror::Error;
 use tokio::sync::{Notify, mpsc};
 
-/// Bodies of requests hold at most this much.
-pub const LONGEST_BODY: u64 = 32 * 1024 * 1024;
+/// Maximum size of a request body in bytes.
+pub const MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
 
-/// Part of a long answer.
+/// Piece of a streamed response.
 #[derive(Debug)]
 pub enum Piece {
-    /// More of it.
+    /// More data.
     Data(Bytes),
-    /// It was whole.
+    /// The body is complete.
     End,
 }
 
-/// Why a body ends before its end.
+/// Error of a truncated body.
 #[derive(Debug, Error)]
-pub enum Cut {
-    /// Its sender broke off.
+pub enum BodyError {
+    /// The sender aborted the body.
     #[error("the body broke off")]
-    Broken,
-    /// It is over the limit.
+    Aborted,
+    /// The body exceeds the size limit.
     #[error("the body is too long")]
     TooLong,
 }
 
-/// What of a long request has not been sent on yet, and how that goes.
+/// Part of a streamed request that has not been forwarded yet, and the progress of forwarding.
 pub struct Upload {
-    /// None while an attempt has it, and once it is used up.
+    /// `None` while an attempt is sending it, and once it is used up.
     rest: RefCell<Option<Incoming>>,
     length: Option<u64>,
-    /// Some of it is gone: no other attempt can send it again.
-    spent: Cell<bool>,
-    cut: Cell<bool>,
-    too_long: Cell<bool>,
+    /// True once part of the body has been forwarded and dropped; no other attempt can send it again.
+    is_spent: Cell<bool>,
+    is_aborted: Cell<bool>,
+    is_too_long: Cell<bool>,
     finished: Cell<Option<Instant>>,
-    told: Notify,
+    finished_notify: Notify,
     _slot: TransferSlot,
 }
 
 impl Upload {
-    /// The rest of a body of which `first` bytes are there.
+    /// Wraps the rest of a body whose first `first` bytes have been read.
     pub fn new(rest: Incoming, first: usize, slot: TransferSlot) -> Rc<Upload> {
         let length = rest.size_hint().exact().map(|left| left + first as u64);
         Rc::new(Upload {
             rest: RefCell::new(Some(rest)),
             length,
-            spent: Cell::new(false),
-            cut: Cell::new(false),
-            too_long: Cell::new(false),
+            is_spent: Cell::new(false),
+            is_aborted: Cell::new(false),
+            is_too_long: Cell::new(false),
             finished: Cell::new(None),
-            told: Notify::new(),
+            finished_notify: Notify::new(),
             _slot: slot,
         })
     }
 
-    /// Part of it was sent on and is not held any more.
-    pub fn spent(&self) -> bool {
-        self.spent.get()
+    /// True once part of the body has been forwarded and is no longer buffered.
+    pub fn is_spent(&self) -> bool {
+        self.is_spent.get()
     }
 
-    /// The client broke off.
-    pub fn cut(&self) -> bool {
-        self.cut.get()
+    /// True if the client aborted the body.
+    pub fn is_aborted(&self) -> bool {
+        self.is_aborted.get()
     }
 
-    /// It proved to be over the limit.
-    pub fn too_long(&self) -> bool {
-        self.too_long.get()
+    /// True if the body exceeded the size limit.
+    pub fn is_too_long(&self) -> bool {
+        self.is_too_long.get()
     }
 
-    /// When its last byte was sent on.
+    /// Returns when the last byte was forwarded, if it was.
     pub fn finished_at(&self) -> Option<Instant> {
         self.finished.get()
     }
 
     fn finish(&self) {
         self.finished.set(Some(Instant::now()));
-        self.told.notify_waiters();
+        self.finished_notify.notify_waiters();
     }
 
-    /// Waits for that.
+    /// Waits until the last byte has been forwarded and returns that time.
     pub async fn finished(&self) -> Instant {
         loop {
-            let told = self.told.notified();
+            let finished_notify = self.finished_notify.notified();
             if let Some(at) = self.finished.get() {
                 return at;
             }
-            told.await;
+            finished_notify.await;
         }
     }
 
-    /// What nobody has read.
+    /// Takes the part that has not been read.
     pub fn take_rest(&self) -> Option<Incoming> {
         self.rest.borrow_mut().take()
     }
 }
 
-/// A request's body on its way to a backend.
-pub struct Outgoing {
+/// Request body on its way to a backend.
+pub struct RequestBody {
     first: Option<Bytes>,
     sent: u64,
     upload: Option<Rc<Upload>>,
     rest: Option<Incoming>,
 }
 
-impl Outgoing {
-    /// One that is here whole.
-    pub fn whole(body: Bytes) -> Outgoing {
-        Outgoing { first: Some(body).filter(|b| !b.is_empty()), sent: 0, upload: None, rest: None }
+impl RequestBody {
+    /// Creates a body from a complete buffer.
+    pub fn whole(body: Bytes) -> RequestBody {
+        RequestBody { first: Some(body).filter(|b| !b.is_empty()), sent: 0, upload: None, rest: None }
     }
 
-    /// One whose first part is here.
-    pub fn long(first: Bytes, upload: Rc<Upload>) -> Outgoing {
-        Outgoing { first: Some(first), sent: 0, upload: Some(upload), rest: None }
+    /// Creates a body from its first part and an upload with the rest.
+    pub fn long(first: Bytes, upload: Rc<Upload>) -> RequestBody {
+        RequestBody { first: Some(first), sent: 0, upload: Some(upload), rest: None }
     }
 }
 
-impl Outgoing {
-    /// Where the length is known, nobody asks for what comes after the last byte.
+impl RequestBody {
+    /// Notes the end of a body of known length, because such a body is not polled again after its last
+    /// byte.
     fn note_end(&self) {
         if let Some(upload) = &self.upload
             && upload.length == Some(self.sent)
@@ -138,23 +139,23 @@
     }
 }
 
-impl Drop for Outgoing {
+impl Drop for RequestBody {
     fn drop(&mut self) {
         if let (Some(upload), Some(rest)) = (&self.upload, self.rest.take()) {
-            // The client may still be sending: somebody must read that.
+            // The client may still be sending, so the rest has to be read.
             upload.rest.replace(Some(rest));
         }
     }
 }
 
-impl Body for Outgoing {
+impl Body for RequestBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(first) = self.first.take() {
             self.sent += first.len() as u64;
             self.note_end();
@@ -167,7 +168,7 @@
         if self.rest.is_none() {
             self.rest = upload.take_rest();
         }
-        let Some(rest) = &mut self.rest else { return Poll::Ready(Some(Err(Cut::Broken))) };
+        let Some(rest) = &mut self.rest else { return Poll::Ready(Some(Err(BodyError::Aborted))) };
         loop {
             match ready!(Pin::new(&mut *rest).poll_frame(cx)) {
                 None => {
@@ -175,17 +176,17 @@
                     return Poll::Ready(None);
                 }
                 Some(Err(_)) => {
-                    upload.cut.set(true);
-                    return Poll::Ready(Some(Err(Cut::Broken)));
+                    upload.is_aborted.set(true);
+                    return Poll::Ready(Some(Err(BodyError::Aborted)));
                 }
                 Some(Ok(frame)) => {
-                    // Trailers end here: they are free to be left out.
+                    // Trailers are not forwarded, which HTTP permits.
                     let Ok(data) = frame.into_data() else { continue };
-                    upload.spent.set(true);
+                    upload.is_spent.set(true);
                     self.sent += data.len() as u64;
-                    if self.sent > LONGEST_BODY {
-                        upload.too_long.set(true);
-                        return Poll::Ready(Some(Err(Cut::TooLong)));
+                    if self.sent > MAX_BODY_BYTES {
+                        upload.is_too_long.set(true);
+                        return Poll::Ready(Some(Err(BodyError::TooLong)));
                     }
                     self.note_end();
                     return Poll::Ready(Some(Ok(Frame::data(data))));
@@ -209,62 +210,62 @@
     }
 }
 
-/// A long answer on its way to a client; `held` is dropped with it.
-pub struct Download<H> {
-    left: Option<u64>,
+/// Streamed response on its way to a client; `held` is dropped with it.
+pub struct StreamedResponse<H> {
+    remaining: Option<u64>,
     pieces: mpsc::Receiver<Piece>,
-    over: bool,
-    /// Called when it was cut: the client must be able to tell.
-    on_cut: Box<dyn Fn()>,
+    is_finished: bool,
+    /// Called if the body is truncated, so that the client can be made to notice.
+    on_truncated: Box<dyn Fn()>,
     _held: H,
 }
 
-impl<H> Download<H> {
-    /// An answer of that length, if it was told.
+impl<H> StreamedResponse<H> {
+    /// Creates a response body of this length, if known.
     pub fn new(
         length: Option<u64>,
         pieces: mpsc::Receiver<Piece>,
-        on_cut: Box<dyn Fn()>,
+        on_truncated: Box<dyn Fn()>,
         held: H,
-    ) -> Download<H> {
-        Download { left: length, pieces, over: false, on_cut, _held: held }
+    ) -> StreamedResponse<H> {
+        StreamedResponse { remaining: length, pieces, is_finished: false, on_truncated, _held: held }
     }
 }
 
-impl<H: Unpin> Body for Download<H> {
+impl<H: Unpin> Body for StreamedResponse<H> {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        if self.over {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        if self.is_finished {
             return Poll::Ready(None);
         }
         match ready!(self.pieces.poll_recv(cx)) {
             Some(Piece::Data(data)) => {
-                self.left = self.left.map(|left| left.saturating_sub(data.len() as u64));
+                self.remaining = self.remaining.map(|left| left.saturating_sub(data.len() as u64));
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             Some(Piece::End) => {
-                self.over = true;
+                self.is_finished = true;
                 Poll::Ready(None)
             }
             None => {
-                (self.on_cut)();
-                Poll::Ready(Some(Err(Cut::Broken)))
+                (self.on_truncated)();
+                Poll::Ready(Some(Err(BodyError::Aborted)))
             }
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.remaining.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
-/// Reads on without keeping anything, so that a client is done sending when it reads its answer.
-pub async fn drain(mut body: Incoming, time: Duration) {
+/// Reads and discards the rest of a body, so that the client finishes sending and reads its response.
+pub async fn discard_body(mut body: Incoming, time: Duration) {
     let read = async { while let Some(Ok(_)) = body.frame().await {} };
     let _ = tokio::time::timeout(time, read).await;
 }
--- a/src/node/discovery_calls.rs
+++ b/src/node/discovery_calls.rs
@@ -7,7 +7,7 @@
 //! sending side first and reads on for [`FINAL_READ_TIMEOUT`].
 
 use crate::active_settings;
-use crate::body::Outgoing;
+use crate::body::RequestBody;
 use crate::list_parser::{KnownList, ParsedList, parse_response};
 use crate::socket::{Descriptors, Socket};
 use crate::upstream::HttpConnection;
@@ -298,7 +298,7 @@
             format!("/discovery/hosts?after={after}&wait_ms={wait_ms}")
         }
     };
-    let request = Request::get(path).header(HOST, at.to_string()).body(Outgoing::whole(Bytes::new()))?;
+    let request = Request::get(path).header(HOST, at.to_string()).body(RequestBody::whole(Bytes::new()))?;
     let mut conn = match kept.take().filter(HttpConnection::is_reusable) {
         Some(conn) => conn,
         None => HttpConnection::open(at, descriptors.take().await).await?,
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -892,7 +892,7 @@
             report.result = Some(outcome.into());
             return;
         };
-        if open.forwarded.upload.as_ref().is_some_and(|u| u.spent()) {
+        if open.forwarded.upload.as_ref().is_some_and(|u| u.is_spent()) {
             // The body was consumed by a failed attempt and cannot be sent again.
             report.result = Some(Outcome::Skipped.into());
             return;
--- a/src/node/framing.rs
+++ b/src/node/framing.rs
@@ -1,60 +1,65 @@
-//! Follows the requests on a connection just far enough to see two that frame their body twice.
+//! Follows the requests on a connection just far enough to detect a header with two framings of the body.
 //!
-//! A head with both `Transfer-Encoding` and `Content-Length` means one thing to us and perhaps another to whoever
-//! stands before us. The parser behind this one settles for the first of them and does not say so.
+//! A header with both `Transfer-Encoding` and `Content-Length` may mean different things to this node and
+//! to a proxy in front of it (request smuggling). The HTTP parser behind this one uses `Transfer-Encoding`
+//! without reporting the conflict.
 
-/// Of a longer header line the rest says nothing that is of interest here.
-const LINE: usize = 256;
+/// Number of bytes kept of a header line; the rest of a longer line is irrelevant here.
+const MAX_LINE_BYTES: usize = 256;
 
 #[derive(Debug)]
-enum At {
+enum Position {
     Head,
     Body(u64),
     ChunkSize,
-    /// And the line end after it.
+    /// Chunk data including its line end.
     Chunk(u64),
     Trailer,
 }
 
-/// Where in its requests a connection is.
+/// Position of a connection within its requests.
 #[derive(Debug)]
 pub struct Framing {
-    at: At,
+    at: Position,
     line: Vec<u8>,
-    begun: bool,
+    has_line: bool,
     chunked: bool,
     length: Option<u64>,
-    conflict: bool,
+    has_conflict: bool,
 }
 
 impl Framing {
-    /// At the start of a request.
+    /// Starts at the beginning of a request.
     pub fn new() -> Framing {
         Framing {
-            at: At::Head,
+            at: Position::Head,
             line: Vec::new(),
-            begun: false,
+            has_line: false,
             chunked: false,
             length: None,
-            conflict: false,
+            has_conflict: false,
         }
     }
 
-    /// A head was seen that frames its body twice.
-    pub fn conflict(&self) -> bool {
-        self.conflict
+    /// True once a header with two framings was seen.
+    pub fn has_conflict(&self) -> bool {
+        self.has_conflict
     }
 
-    /// Takes in what was read. What cannot be followed is left to the parser, which refuses it.
-    pub fn feed(&mut self, mut bytes: &[u8]) {
-        while !bytes.is_empty() && !self.conflict {
-            if let At::Body(left) | At::Chunk(left) = &mut self.at {
+    /// Processes received bytes. What cannot be followed is left to the HTTP parser, which rejects it.
+    pub fn process(&mut self, mut bytes: &[u8]) {
+        while !bytes.is_empty() && !self.has_conflict {
+            if let Position::Body(left) | Position::Chunk(left) = &mut self.at {
                 let n = usize::try_from(*left).unwrap_or(usize::MAX).min(bytes.len());
                 *left -= n as u64;
                 let over = *left == 0;
                 bytes = &bytes[n..];
                 if over {
-                    self.at = if matches!(self.at, At::Body(_)) { At::Head } else { At::ChunkSize };
+                    self.at = if matches!(self.at, Position::Body(_)) {
+                        Position::Head
+                    } else {
+                        Position::ChunkSize
+                    };
                 }
                 continue;
             }
@@ -62,31 +67,31 @@
                 Some(end) => (&bytes[..end], true),
                 None => (bytes, false),
             };
-            let room = LINE.saturating_sub(self.line.len()).min(piece.len());
-            self.line.extend_from_slice(&piece[..room]);
+            let space = MAX_LINE_BYTES.saturating_sub(self.line.len()).min(piece.len());
+            self.line.extend_from_slice(&piece[..space]);
             bytes = &bytes[piece.len() + usize::from(ended)..];
             if ended {
-                self.line_over();
+                self.finish_line();
                 self.line.clear();
             }
         }
     }
 
-    fn line_over(&mut self) {
+    fn finish_line(&mut self) {
         let line = self.line.trim_ascii();
         match self.at {
-            At::Head if line.is_empty() && !self.begun => {}
-            At::Head if line.is_empty() => {
-                self.conflict = self.chunked && self.length.is_some();
+            Position::Head if line.is_empty() && !self.has_line => {}
+            Position::Head if line.is_empty() => {
+                self.has_conflict = self.chunked && self.length.is_some();
                 self.at = match self.length {
-                    _ if self.chunked => At::ChunkSize,
-                    Some(length) if length > 0 => At::Body(length),
-                    _ => At::Head,
+                    _ if self.chunked => Position::ChunkSize,
+                    Some(length) if length > 0 => Position::Body(length),
+                    _ => Position::Head,
                 };
-                (self.begun, self.chunked, self.length) = (false, false, None);
+                (self.has_line, self.chunked, self.length) = (false, false, None);
             }
-            At::Head => {
-                self.begun = true;
+            Position::Head => {
+                self.has_line = true;
                 let Some(colon) = line.iter().position(|b| *b == b':') else { return };
                 let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
                 if name.eq_ignore_ascii_case(b"transfer-encoding") {
@@ -96,17 +101,17 @@
                     self.length = Some(value.unwrap_or(0));
                 }
             }
-            At::ChunkSize => {
+            Position::ChunkSize => {
                 let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
                 let size = std::str::from_utf8(digits).ok().and_then(|d| u64::from_str_radix(d, 16).ok());
                 self.at = match size {
-                    Some(0) | None => At::Trailer,
-                    // An empty line follows: read as one, it would be a size.
-                    Some(size) => At::Chunk(size.saturating_add(2)),
+                    Some(0) | None => Position::Trailer,
+                    // Includes the line end after the chunk, which would otherwise be parsed as a size.
+                    Some(size) => Position::Chunk(size.saturating_add(2)),
                 };
             }
-            At::Trailer if line.is_empty() => self.at = At::Head,
-            At::Trailer | At::Body(_) | At::Chunk(_) => {}
+            Position::Trailer if line.is_empty() => self.at = Position::Head,
+            Position::Trailer | Position::Body(_) | Position::Chunk(_) => {}
         }
     }
 }
@@ -115,13 +120,13 @@
 mod tests {
     use super::*;
 
-    /// Fed whole, and byte by byte.
-    fn conflict(bytes: &[u8]) -> bool {
+    /// Processes the bytes at once and byte by byte; both must agree.
+    fn has_conflict(bytes: &[u8]) -> bool {
         let (mut whole, mut pieces) = (Framing::new(), Framing::new());
-        whole.feed(bytes);
-        bytes.iter().for_each(|b| pieces.feed(&[*b]));
-        assert_eq!(whole.conflict(), pieces.conflict());
-        whole.conflict()
+        whole.process(bytes);
+        bytes.iter().for_each(|b| pieces.process(&[*b]));
+        assert_eq!(whole.has_conflict(), pieces.has_conflict());
+        whole.has_conflict()
     }
 
     const CHUNKED: &[u8] =
@@ -130,28 +135,28 @@
         b"POST / HTTP/1.1\r\ncontent-length: 35\r\n\r\nTransfer-Encoding: x\r\n\r\nContent-Len";
 
     #[test]
-    fn one_framing_a_request_is_none() {
+    fn single_framing_is_no_conflict() {
         let get = b"\r\nGET / HTTP/1.1\r\nHost: n\r\n\r\n";
-        assert!(!conflict(&[CHUNKED, PLAIN, get, CHUNKED, get, PLAIN].concat()));
-        assert!(!conflict(b"POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\nGET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"));
+        assert!(!has_conflict(&[CHUNKED, PLAIN, get, CHUNKED, get, PLAIN].concat()));
+        assert!(!has_conflict(b"POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\nGET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
 
     #[test]
-    fn two_framings_of_one_request_are_a_conflict_wherever_it_stands() {
+    fn two_framings_conflict_at_any_position() {
         for heads in [
             "Transfer-Encoding: chunked\r\nContent-Length: 5",
             "content-length:5\r\nA: b\r\ntransfer-encoding:gzip",
         ] {
             let twice = format!("POST / HTTP/1.1\r\n{heads}\r\n\r\n");
-            assert!(conflict(twice.as_bytes()));
-            assert!(conflict(&[CHUNKED, PLAIN, CHUNKED, twice.as_bytes()].concat()));
+            assert!(has_conflict(twice.as_bytes()));
+            assert!(has_conflict(&[CHUNKED, PLAIN, CHUNKED, twice.as_bytes()].concat()));
         }
     }
 
     #[test]
-    fn nonsense_is_survived() {
-        conflict(&[0xff; 5000]);
-        conflict(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\nx");
-        conflict(b"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\nx");
+    fn malformed_input_does_not_panic() {
+        has_conflict(&[0xff; 5000]);
+        has_conflict(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\nx");
+        has_conflict(b"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\nx");
     }
 }
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -1,7 +1,7 @@
 //! Client side of the node: connections, requests and responses.
 
 use crate::active_settings::{ActiveSettings, CurrentSettings};
-use crate::body::{Download, LONGEST_BODY, Upload, drain};
+use crate::body::{MAX_BODY_BYTES, StreamedResponse, Upload, discard_body};
 use crate::driver::{Answer, Driver};
 use crate::log::log_event;
 use crate::socket::{Descriptors, Slot, Socket};
@@ -523,7 +523,7 @@
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
         let path = head.uri.path();
-        let mut response = if client.socket.conflict() {
+        let mut response = if client.socket.has_conflict() {
             // A proxy in front of this node may frame this request differently (request smuggling), so
             // nothing after it is read.
             closing_response(StatusCode::BAD_REQUEST, "the body is framed twice\n")
@@ -582,7 +582,7 @@
         };
         // The rest of a finished request's body must be read, or its client may not see the response.
         if let Some(rest) = upload.and_then(|u| u.take_rest()) {
-            spawn_local(drain(rest, DRAIN_TIMEOUT));
+            spawn_local(discard_body(rest, DRAIN_TIMEOUT));
         }
         match answer {
             Answer::Served(BackendResponse {
@@ -592,8 +592,8 @@
                 busy.0.start_transfer();
                 busy.0.socket.limit_send_buffer(SEND_BUFFER_BYTES);
                 let client = busy.0.clone();
-                let on_cut = Box::new(move || client.socket.reset_on_close());
-                let body = Download::new(length, pieces, on_cut, busy);
+                let on_truncated = Box::new(move || client.socket.reset_on_close());
+                let body = StreamedResponse::new(length, pieces, on_truncated, busy);
                 with_content_type(Response::new(Either::Right(body)), content_type)
             }
             answer => buffered_response(answer),
@@ -645,12 +645,12 @@
                 }
                 None => {
                     self.driver.count_early_refusal(active.names.class_name(class));
-                    spawn_local(drain(rest, DRAIN_TIMEOUT));
+                    spawn_local(discard_body(rest, DRAIN_TIMEOUT));
                     return Err(buffered_response(Answer::Refused { retry_after_ms: FULL_RETRY_AFTER_MS }));
                 }
             },
             BodyRead::TooLong(rest) => {
-                spawn_local(drain(rest, DRAIN_TIMEOUT));
+                spawn_local(discard_body(rest, DRAIN_TIMEOUT));
                 return Err(closing_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MB\n"));
             }
             BodyRead::Aborted => {
@@ -698,7 +698,7 @@
 }
 
 /// Body of a response to a client.
-type ClientBody = Either<Full<Bytes>, Download<BusyGuard>>;
+type ClientBody = Either<Full<Bytes>, StreamedResponse<BusyGuard>>;
 
 /// Result of reading a request body, as far as needed before the request is submitted.
 enum BodyRead {
@@ -714,7 +714,7 @@
 }
 
 async fn read_body(client: &ClientConnection, arrived: Instant, mut body: Incoming) -> BodyRead {
-    if body.size_hint().lower() > LONGEST_BODY {
+    if body.size_hint().lower() > MAX_BODY_BYTES {
         return BodyRead::TooLong(body);
     }
     let mut received = BytesMut::new();
@@ -747,7 +747,7 @@
     match read_body(client, arrived, body).await {
         BodyRead::Complete(_) => text_response(status, text),
         BodyRead::Long(_, rest) | BodyRead::TooLong(rest) => {
-            spawn_local(drain(rest, DRAIN_TIMEOUT));
+            spawn_local(discard_body(rest, DRAIN_TIMEOUT));
             closing_response(status, text)
         }
         BodyRead::Aborted | BodyRead::TooSlow => closing_response(StatusCode::BAD_REQUEST, text),
--- a/src/node/socket.rs
+++ b/src/node/socket.rs
@@ -153,8 +153,8 @@
     }
 
     /// A request came in that frames its body twice.
-    pub fn conflict(&self) -> bool {
-        self.0.framing.as_ref().is_some_and(|f| f.borrow().conflict())
+    pub fn has_conflict(&self) -> bool {
+        self.0.framing.as_ref().is_some_and(|f| f.borrow().has_conflict())
     }
 
     /// Bytes written so far.
@@ -190,11 +190,11 @@
     pub fn read_ahead(&self) {
         let mut ahead = self.0.ahead.borrow_mut();
         for _ in 0..MOST_UNREAD / UNREAD_PIECE {
-            let room = AHEAD.saturating_sub(ahead.len()).min(UNREAD_PIECE);
+            let space = AHEAD.saturating_sub(ahead.len()).min(UNREAD_PIECE);
             let mut piece = [0; UNREAD_PIECE];
-            let into = if room > 0 { &mut piece[..room] } else { &mut piece[..] };
+            let into = if space > 0 { &mut piece[..space] } else { &mut piece[..] };
             match self.0.stream.try_read(into) {
-                Ok(n) if n > 0 && room > 0 => ahead.extend_from_slice(&into[..n]),
+                Ok(n) if n > 0 && space > 0 => ahead.extend_from_slice(&into[..n]),
                 Ok(n) if n > 0 => self.0.flooded.set(true),
                 Ok(_) | Err(_) => return,
             }
@@ -282,7 +282,7 @@
 impl Socket {
     fn taken(&self, bytes: &[u8]) {
         if let Some(framing) = &self.0.framing {
-            framing.borrow_mut().feed(bytes);
+            framing.borrow_mut().process(bytes);
         }
         self.0.read.set(self.0.read.get() + bytes.len() as u64);
     }
--- a/src/node/upstream.rs
+++ b/src/node/upstream.rs
@@ -5,7 +5,7 @@
 //! streamed with backpressure: nothing is read from one side before the other side has space, and each
 //! streamed body occupies a transfer slot.
 
-use crate::body::{Outgoing, Piece, Upload};
+use crate::body::{Piece, RequestBody, Upload};
 use crate::socket::{Descriptors, Slot, Socket};
 use crate::transfer_slots::TransferSlots;
 use bytes::{Bytes, BytesMut};
@@ -112,12 +112,12 @@
 }
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
-type PolledConnection = Pin<Box<Connection<TokioIo<Socket>, Outgoing>>>;
+type PolledConnection = Pin<Box<Connection<TokioIo<Socket>, RequestBody>>>;
 
 /// HTTP/1 connection that is polled only during an exchange: no task runs for an idle connection, and
 /// dropping it closes the socket at once.
 pub struct HttpConnection {
-    sender: SendRequest<Outgoing>,
+    sender: SendRequest<RequestBody>,
     connection: Option<PolledConnection>,
     socket: Socket,
 }
@@ -152,7 +152,7 @@
     /// Sends a request and reads the head of the response.
     async fn send_request(
         &mut self,
-        request: Request<Outgoing>,
+        request: Request<RequestBody>,
     ) -> Result<Response<Incoming>, hyper::Error> {
         let sent = self.sender.send_request(request);
         HttpConnection::drive(&mut self.connection, sent).await
@@ -184,7 +184,7 @@
     /// Sends a request and reads the complete response.
     pub async fn exchange(
         &mut self,
-        request: Request<Outgoing>,
+        request: Request<RequestBody>,
         limit: usize,
     ) -> Result<Response<Bytes>, BoxError> {
         let (head, body) = self.send_request(request).await?.into_parts();
@@ -472,12 +472,12 @@
     /// Returns the result of an attempt that failed with an error.
     fn failure_result(&self, spec: &AttemptSpec, never_ran: bool, e: &BoxError) -> AttemptResult {
         match &spec.forwarded.upload {
-            Some(upload) if upload.too_long() => {
+            Some(upload) if upload.is_too_long() => {
                 let rejected = Some(StatusCode::PAYLOAD_TOO_LARGE);
                 return AttemptResult { rejected, ..Outcome::Rejected.into() };
             }
             // The client aborted the upload, which does not count against the backend.
-            Some(upload) if upload.cut() => return Outcome::Cancelled.into(),
+            Some(upload) if upload.is_aborted() => return Outcome::Cancelled.into(),
             _ => {}
         }
         if never_ran {
@@ -597,10 +597,10 @@
 }
 
 impl ForwardedRequest {
-    fn to_http(&self, address: SocketAddr, remaining: Duration) -> Request<Outgoing> {
+    fn to_http(&self, address: SocketAddr, remaining: Duration) -> Request<RequestBody> {
         let mut request = Request::new(match &self.upload {
-            None => Outgoing::whole(self.body.clone()),
-            Some(upload) => Outgoing::long(self.body.clone(), upload.clone()),
+            None => RequestBody::whole(self.body.clone()),
+            Some(upload) => RequestBody::long(self.body.clone(), upload.clone()),
         });
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
