--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -216,7 +216,9 @@
 
     /// Logs the attempts of a request that was not served, sampled, for lookup by trace ID.
     fn log_unserved(&self, answer: &Answer) {
-        if !tracing::event_enabled!(target: "request", tracing::Level::INFO) || !log::admits(log::SAMPLES) {
+        if !tracing::event_enabled!(target: "request", tracing::Level::INFO)
+            || !log::admits(log::SAMPLED_TARGET)
+        {
             return;
         }
         let text =
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -1,7 +1,7 @@
-//! The log: events with names and fields that never change, one line each, on standard error.
+//! Structured log on standard error: one line per event; event and field names are stable.
 //!
-//! Lines are bounded in number and written by a thread of its own, so that nobody who reads slowly, or not at
-//! all, keeps the loop waiting: what finds the queue full is dropped, and how much that was is said.
+//! The rate of lines is limited and a separate thread writes them, so a slow reader of the log, or none at
+//! all, does not block the event loop. Lines that find the queue full are dropped and counted.
 
 use daleturn::options;
 use std::cell::Cell;
@@ -17,57 +17,60 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::{Layer, Registry, reload};
 
-/// Lines that wait for whoever reads the log.
-const QUEUE: usize = 1024;
-/// How often it is said that lines were dropped.
-const TELL_EVERY: Duration = Duration::from_secs(2);
-/// The target whose events are samples, with a bound of their own.
-pub const SAMPLES: &str = "request";
+/// Maximum number of queued lines.
+const MAX_QUEUED_LINES: usize = 1024;
+/// Minimum interval between two reports of dropped lines.
+const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(2);
+/// Target whose events are samples, with a rate limit of their own.
+pub const SAMPLED_TARGET: &str = "request";
 
-/// Lines of one kind: when the second began, how many came in it, and how many may.
-struct Bound {
+/// Rate limit of one kind of lines: the start of the current second, the lines in it, and their maximum.
+struct RateLimit {
     second: Cell<Option<Instant>>,
-    came: Cell<u32>,
-    most: Cell<u32>,
+    count: Cell<u32>,
+    max: Cell<u32>,
 }
 
-impl Bound {
-    const fn new(most: u32) -> Bound {
-        Bound { second: Cell::new(None), came: Cell::new(0), most: Cell::new(most) }
+impl RateLimit {
+    const fn new(max: u32) -> RateLimit {
+        RateLimit { second: Cell::new(None), count: Cell::new(0), max: Cell::new(max) }
     }
 
     fn admits(&self) -> bool {
         let now = Instant::now();
         if self.second.get().is_none_or(|at| now.duration_since(at) >= Duration::from_secs(1)) {
             self.second.set(Some(now));
-            self.came.set(0);
+            self.count.set(0);
         }
-        self.came.set(self.came.get().saturating_add(1));
-        self.came.get() <= self.most.get()
+        self.count.set(self.count.get().saturating_add(1));
+        self.count.get() <= self.max.get()
     }
 }
 
 thread_local! {
-    static LINES: Bound = const { Bound::new(20) };
-    static REQUESTS: Bound = const { Bound::new(4) };
-    /// Lines over the bound since the start, but for samples.
-    static OVER: Cell<u64> = const { Cell::new(0) };
+    static LINES: RateLimit = const { RateLimit::new(20) };
+    static SAMPLES: RateLimit = const { RateLimit::new(4) };
+    /// Lines dropped by the rate limit since the start, without samples.
+    static RATE_LIMITED: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Whether this second still has a line to give.
+/// Counts a line and returns whether the rate limit admits it.
 pub fn admits(target: &str) -> bool {
-    if target == SAMPLES {
-        return REQUESTS.with(Bound::admits);
+    if target == SAMPLED_TARGET {
+        return SAMPLES.with(RateLimit::admits);
     }
-    let admits = LINES.with(Bound::admits);
+    let admits = LINES.with(RateLimit::admits);
     if !admits {
-        OVER.set(OVER.get() + 1);
+        RATE_LIMITED.set(RATE_LIMITED.get() + 1);
     }
     admits
 }
 
-/// Writes an event, unless its level is off or this second has had its share: nothing of it is put together
-/// then. `log_event!(WARN, "discovery", reason = ?e, "discovery.failed")`: level, target, fields, name.
+/// Writes an event unless its level is disabled or the rate limit is reached; its fields are evaluated only
+/// then.
+///
+/// Example: `log_event!(WARN, "discovery", reason = ?e, "discovery.failed")` with the level, target, fields
+/// and event name.
 macro_rules! log_event {
     ($level:ident, $target:literal, $($rest:tt)+) => {
         if tracing::event_enabled!(target: $target, tracing::Level::$level) && $crate::log::admits($target) {
@@ -77,14 +80,14 @@
 }
 pub(crate) use log_event;
 
-/// Text or JSON, whichever is asked for now.
-struct Lines {
+/// Event format that switches between text and JSON at run time.
+struct SwitchableFormat {
     json: Arc<AtomicBool>,
     as_text: Format<Full>,
     as_json: Format<Json>,
 }
 
-impl<S, N> FormatEvent<S, N> for Lines
+impl<S, N> FormatEvent<S, N> for SwitchableFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -103,13 +106,13 @@
     }
 }
 
-/// The log of this process; what is queued is written when it is dropped.
+/// Log of the process. Dropping it writes the queued lines.
 pub struct Log {
     filter: reload::Handle<Targets, Registry>,
     json: Arc<AtomicBool>,
     unwritten: ErrorCounter,
-    told: Cell<(u64, u64)>,
-    told_at: Cell<Option<Instant>>,
+    reported: Cell<(u64, u64)>,
+    reported_at: Cell<Option<Instant>>,
     _writer: WorkerGuard,
 }
 
@@ -126,16 +129,16 @@
 
 fn targets(options: &options::Log) -> Targets {
     let single = options.targets.iter().map(|(target, l)| (target.clone(), level(*l)));
-    // Libraries have logs of their own, of no use to operators.
+    // Debug and trace events of libraries are useless to operators, so the default level is at most INFO.
     Targets::new().with_targets(single).with_default(level(options.level).min(LevelFilter::INFO))
 }
 
 impl Log {
-    /// Opens it for the whole process.
+    /// Initializes the log of the process.
     pub fn open(options: &options::Log) -> Log {
         let (writer, guard) = NonBlockingBuilder::default()
             .lossy(true)
-            .buffered_lines_limit(QUEUE)
+            .buffered_lines_limit(MAX_QUEUED_LINES)
             .thread_name("log")
             .finish(std::io::stderr());
         let unwritten = writer.error_counter();
@@ -143,44 +146,45 @@
         let json = Arc::new(AtomicBool::new(false));
         let as_json =
             fmt::format().json().flatten_event(true).with_current_span(false).with_span_list(false);
-        let lines = Lines {
+        let lines = SwitchableFormat {
             json: json.clone(),
             as_text: fmt::format().with_target(false).with_ansi(false),
             as_json,
         };
         let layer =
             fmt::layer().with_writer(writer).event_format(lines).with_ansi(false).with_filter(filter);
-        // Another one can only be there in tests, which do not look at it.
+        // Fails only in tests, where another log is already set.
         let _ = tracing::subscriber::set_global_default(Registry::default().with(layer));
-        let told = Cell::new((0, 0));
-        let log = Log { filter: handle, json, unwritten, told, told_at: Cell::new(None), _writer: guard };
-        log.retune(options);
+        let reported = Cell::new((0, 0));
+        let log =
+            Log { filter: handle, json, unwritten, reported, reported_at: Cell::new(None), _writer: guard };
+        log.apply_options(options);
         log
     }
 
-    /// Takes other options, for all that follows.
-    pub fn retune(&self, options: &options::Log) {
+    /// Applies new options.
+    pub fn apply_options(&self, options: &options::Log) {
         self.json.store(options.format == options::Format::Json, Ordering::Relaxed);
-        LINES.with(|b| b.most.set(options.lines_per_second));
-        REQUESTS.with(|b| b.most.set(options.requests_per_second));
-        // It fails only once the log is gone.
+        LINES.with(|b| b.max.set(options.lines_per_second));
+        SAMPLES.with(|b| b.max.set(options.requests_per_second));
+        // Fails only once the log has been dropped.
         let _ = self.filter.reload(targets(options));
     }
 
-    /// Lines that nobody took in time, and lines over the bound, since the start.
+    /// Returns the lines dropped since the start because the queue was full, and because of the rate limit.
     pub fn dropped(&self) -> (u64, u64) {
-        (self.unwritten.dropped_lines() as u64, OVER.get())
+        (self.unwritten.dropped_lines() as u64, RATE_LIMITED.get())
     }
 
-    /// Says now and then that lines were dropped.
-    pub fn tell_dropped(&self) {
+    /// Logs the number of dropped lines, if it has changed and not too often.
+    pub fn log_dropped(&self) {
         let dropped = self.dropped();
-        let soon = self.told_at.get().is_some_and(|at| at.elapsed() < TELL_EVERY);
-        if dropped == self.told.get() || soon {
+        let soon = self.reported_at.get().is_some_and(|at| at.elapsed() < DROP_REPORT_INTERVAL);
+        if dropped == self.reported.get() || soon {
             return;
         }
-        self.told.set(dropped);
-        self.told_at.set(Some(Instant::now()));
+        self.reported.set(dropped);
+        self.reported_at.set(Some(Instant::now()));
         let (unwritten, over) = dropped;
         log_event!(WARN, "log", unwritten, over, "log.dropped");
     }
@@ -191,11 +195,11 @@
     use super::*;
 
     #[test]
-    fn samples_and_other_lines_do_not_crowd_each_other_out() {
-        let samples = (0..100).filter(|_| admits(SAMPLES)).count();
+    fn samples_and_other_lines_have_separate_limits() {
+        let samples = (0..100).filter(|_| admits(SAMPLED_TARGET)).count();
         let lines = (0..100).filter(|_| admits("node")).count();
-        // The second may turn while they come.
+        // The second may change during the loops, which allows twice the limit.
         assert!((4..=8).contains(&samples) && (20..=40).contains(&lines), "{samples} and {lines}");
-        assert_eq!(OVER.get(), 100 - lines as u64);
+        assert_eq!(RATE_LIMITED.get(), 100 - lines as u64);
     }
 }
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -32,7 +32,7 @@
 use crate::process_files::{ProcessFiles, memory_from_json, memory_to_json};
 use crate::server::Server;
 use crate::sharing::Sharing;
-use crate::socket::{Descriptors, UNCOUNTED};
+use crate::socket::{Descriptors, UNCOUNTED_DESCRIPTORS};
 use crate::upstream::Upstream;
 use crate::zoning::Zoning;
 use daleturn::Balancer;
@@ -107,7 +107,7 @@
     fn take(&self, read: Reload) -> Value {
         let Reload { file, discovery, settings, names, digest, options } = read;
         let active = self.current_settings.replace(settings, names, digest);
-        self.log.retune(&options.log);
+        self.log.apply_options(&options.log);
         self.driver.set_stats_window(stats_window(&options));
         if let Some(sharing) = &self.sharing {
             sharing.update_settings(&options.share);
@@ -287,7 +287,7 @@
         loop {
             ticks.tick().await;
             sweeping.close_expired();
-            told.tell_dropped();
+            told.log_dropped();
         }
     });
     let server =
@@ -330,7 +330,7 @@
         descriptors,
         upstream.clone(),
         current_settings.clone(),
-        UNCOUNTED + reserved,
+        UNCOUNTED_DESCRIPTORS + reserved,
     );
     spawn_local(handover.clone().run());
     if let Some(sharing) = sharing.clone() {
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -149,7 +149,7 @@
                 Ok((stream, _)) => stream,
                 Err(e) => {
                     log_event!(WARN, "operator", reason = e.to_string().as_str(), "operator.accept_failed");
-                    self.descriptors.relieve();
+                    self.descriptors.reclaim_one();
                     tokio::time::sleep(Duration::from_millis(5)).await;
                     continue;
                 }
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -4,7 +4,7 @@
 use crate::body::{MAX_BODY_BYTES, StreamedResponse, Upload, discard_body};
 use crate::driver::{Answer, Driver};
 use crate::log::log_event;
-use crate::socket::{Descriptors, Slot, Socket};
+use crate::socket::{DescriptorSlot, Descriptors, Socket};
 use crate::upstream::{
     BackendBody, BackendResponse, EXPIRES_HEADER, ForwardedRequest, MAX_BUFFER_BYTES,
     MAX_BUFFERED_BODY_BYTES, Upstream,
@@ -124,7 +124,7 @@
         !fresh
             && !self.is_busy.get()
             && self.socket.read() == self.read_at_idle.get()
-            && self.socket.quiet()
+            && self.socket.is_quiet()
     }
 
     /// True if a partial request header was first noticed longer than `limit` ago. The first call notices it.
@@ -143,7 +143,7 @@
         if self.is_request_complete.get() {
             self.socket.read_ahead();
         }
-        self.is_busy.get() && self.socket.left()
+        self.is_busy.get() && self.socket.is_peer_closed()
     }
 
     /// True if the client has not sent a request, the rest of one, or transfer progress within its time
@@ -328,7 +328,7 @@
                     // Out of descriptors, or the client has already disconnected. Neither may end the
                     // accept loop or make it spin.
                     log_event!(WARN, "clients", reason = e.to_string().as_str(), "clients.accept_failed");
-                    self.descriptors.relieve();
+                    self.descriptors.reclaim_one();
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             }
@@ -352,7 +352,7 @@
                 }
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return,
                 Err(_) if Instant::now() < end => {
-                    self.descriptors.relieve();
+                    self.descriptors.reclaim_one();
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 Err(_) => return,
@@ -446,8 +446,8 @@
         Ok("serving".to_owned())
     }
 
-    fn add_client(self: &Rc<Self>, stream: TcpStream, slot: Slot) {
-        let socket = Socket::of_client(stream, slot);
+    fn add_client(self: &Rc<Self>, stream: TcpStream, slot: DescriptorSlot) {
+        let socket = Socket::for_client(stream, slot);
         let client = Rc::new(ClientConnection {
             socket: socket.clone(),
             accepted_at: Instant::now(),
@@ -506,12 +506,12 @@
         if !was_idle {
             let wanted = async {
                 client.close.notified().await;
-                while !client.socket.quiet() {
+                while !client.socket.is_quiet() {
                     client.close.notified().await;
                 }
             };
             tokio::select! {
-                _ = tokio::time::timeout(LINGER_TIMEOUT, client.socket.farewell()) => {}
+                _ = tokio::time::timeout(LINGER_TIMEOUT, client.socket.finish_sending()) => {}
                 // Close early: the descriptor is needed and no data is unread.
                 () = wanted => {}
             }
@@ -542,7 +542,7 @@
         } else {
             reject(&client, arrived, body, StatusCode::METHOD_NOT_ALLOWED, "").await
         };
-        if self.mode.get() != Mode::Serving || client.socket.flooded() {
+        if self.mode.get() != Mode::Serving || client.socket.has_dropped_data() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/src/node/socket.rs
+++ b/src/node/socket.rs
@@ -1,4 +1,4 @@
-//! One TCP socket that counts what goes through it, and the count of all of them against the limit.
+//! TCP sockets that count their traffic, and the limit on the number of descriptors in use.
 
 use crate::framing::Framing;
 use bytes::BytesMut;
@@ -13,98 +13,100 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Descriptors kept for all that is not counted: standard streams, the poller, the listener, UDP, and a
-/// connection just accepted.
-pub const UNCOUNTED: usize = 24;
+/// Descriptors reserved for everything that is not counted: standard streams, the poller, the listener,
+/// UDP, and a connection just accepted.
+pub const UNCOUNTED_DESCRIPTORS: usize = 24;
 
-/// Of one that goes on sending behind an open request, or after its last answer, so much is read at a time ...
-const MOST_UNREAD: usize = 4 * 1024 * 1024;
-const UNREAD_PIECE: usize = 16 * 1024;
-/// ... and so much is kept.
-const AHEAD: usize = 32 * 1024;
+/// Limits for a client that keeps sending behind an open request or after its last response: the bytes read
+/// at once or discarded, and the size of one read.
+const MAX_DISCARDED_BYTES: usize = 4 * 1024 * 1024;
+const READ_BYTES: usize = 16 * 1024;
+/// Maximum number of bytes kept of what a client sends behind an open request.
+const MAX_READ_AHEAD_BYTES: usize = 32 * 1024;
 
-/// Closes something idle. True: a descriptor was freed at once; false: none was, or it will be soon.
-type Reclaim = Box<dyn Fn() -> bool>;
+/// Closes something idle. Returns true if a descriptor was freed at once; false if none was, or if one will
+/// be freed soon.
+type ReclaimFn = Box<dyn Fn() -> bool>;
 
-/// One count over the sockets of clients, backends and discovery.
+/// Counts the descriptors of client, backend and discovery sockets against a limit.
 pub struct Descriptors {
     used: Cell<usize>,
     limit: Cell<usize>,
     freed: Notify,
-    reclaim: RefCell<Vec<Reclaim>>,
+    reclaim: RefCell<Vec<ReclaimFn>>,
 }
 
 impl Descriptors {
-    /// For a process that may hold `sockets` descriptors.
+    /// Creates the counter of a process that may hold `sockets` descriptors in total.
     pub fn new(sockets: usize) -> Rc<Descriptors> {
         Rc::new(Descriptors {
             used: Cell::new(0),
-            limit: Cell::new(sockets.saturating_sub(UNCOUNTED).max(8)),
+            limit: Cell::new(sockets.saturating_sub(UNCOUNTED_DESCRIPTORS).max(8)),
             freed: Notify::new(),
             reclaim: RefCell::new(Vec::new()),
         })
     }
 
-    /// Adds a way to get a descriptor back; ways are tried in the order they were added.
-    pub fn on_pressure(&self, reclaim: Reclaim) {
+    /// Adds a way to free a descriptor. Ways are tried in the order in which they were added.
+    pub fn on_pressure(&self, reclaim: ReclaimFn) {
         self.reclaim.borrow_mut().push(reclaim);
     }
 
-    /// Frees what can be freed, for when the system itself has run out.
-    pub fn relieve(&self) -> bool {
+    /// Frees a descriptor if possible; also called when the operating system is out of descriptors.
+    pub fn reclaim_one(&self) -> bool {
         self.reclaim.borrow().iter().any(|r| r())
     }
 
-    /// How many are in use.
+    /// Returns the number of descriptors in use.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// How many may be.
+    /// Returns the limit.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
-    /// Sets how many may be; what is over that and can be closed is closed.
+    /// Sets the limit. Idle connections in excess of it are closed.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
         for _ in limit..self.used.get() {
-            if !self.relieve() {
+            if !self.reclaim_one() {
                 break;
             }
         }
         self.freed.notify_one();
     }
 
-    /// Waits for a place: under pressure something idle is closed for it.
-    pub async fn take(self: &Rc<Self>) -> Slot {
+    /// Waits for a free descriptor, closing something idle if the limit is reached.
+    pub async fn take(self: &Rc<Self>) -> DescriptorSlot {
         self.take_below(|limit| limit).await
     }
 
-    /// The same for a new client, to whom the last eighth is closed: an attempt for one that is there is
-    /// better than one client more.
-    pub async fn take_for_client(self: &Rc<Self>) -> Slot {
+    /// Waits for a free descriptor for a new client. The last eighth is not available to new clients: an
+    /// attempt for an existing client takes precedence.
+    pub async fn take_for_client(self: &Rc<Self>) -> DescriptorSlot {
         self.take_below(|limit| limit - limit / 8).await
     }
 
-    async fn take_below(self: &Rc<Self>, part: impl Fn(usize) -> usize) -> Slot {
+    async fn take_below(self: &Rc<Self>, part: impl Fn(usize) -> usize) -> DescriptorSlot {
         loop {
             if self.used.get() < part(self.limit.get()) {
                 self.used.set(self.used.get() + 1);
-                return Slot(self.clone());
+                return DescriptorSlot(self.clone());
             }
-            if !self.relieve() {
-                // The wait is bounded: what was asked to close may have turned busy meanwhile.
+            if !self.reclaim_one() {
+                // The wait is bounded because what was asked to close may have become busy meanwhile.
                 let _ = tokio::time::timeout(Duration::from_millis(10), self.freed.notified()).await;
             }
         }
     }
 }
 
-/// A place in the count, given back when dropped.
-pub struct Slot(Rc<Descriptors>);
+/// One counted descriptor, returned when dropped.
+pub struct DescriptorSlot(Rc<Descriptors>);
 
-impl Drop for Slot {
+impl Drop for DescriptorSlot {
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get().saturating_sub(1));
         self.0.freed.notify_one();
@@ -115,67 +117,77 @@
     stream: TcpStream,
     read: Cell<u64>,
     written: Cell<u64>,
-    /// It has to end by a reset.
-    cut: Cell<bool>,
-    /// Read, and not taken yet.
+    /// True if the socket must be closed with a reset.
+    must_reset: Cell<bool>,
+    /// Data that was read ahead and not consumed yet.
     ahead: RefCell<BytesMut>,
-    flooded: Cell<bool>,
-    /// Of a client: requests come in, and what frames them is looked at.
+    has_dropped_data: Cell<bool>,
+    /// Set for client sockets, whose requests are checked for conflicting framing.
     framing: Option<RefCell<Framing>>,
-    _slot: Slot,
+    _slot: DescriptorSlot,
 }
 
-/// A counted socket. Clones are the same socket; it closes with the last of them.
+/// TCP socket that counts its traffic. Clones share the socket, which closes with the last of them.
 #[derive(Clone)]
 pub struct Socket(Rc<Inner>);
 
 impl Socket {
     /// Wraps a connected stream.
-    pub fn new(stream: TcpStream, slot: Slot) -> Socket {
+    pub fn new(stream: TcpStream, slot: DescriptorSlot) -> Socket {
         Socket::with(stream, slot, None)
     }
 
-    /// The same for one on which requests come in.
-    pub fn of_client(stream: TcpStream, slot: Slot) -> Socket {
+    /// Wraps a connected stream of a client.
+    pub fn for_client(stream: TcpStream, slot: DescriptorSlot) -> Socket {
         Socket::with(stream, slot, Some(RefCell::new(Framing::new())))
     }
 
-    fn with(stream: TcpStream, slot: Slot, framing: Option<RefCell<Framing>>) -> Socket {
-        // Without this small answers wait for acknowledgements; a socket that refuses it still works.
+    fn with(stream: TcpStream, slot: DescriptorSlot, framing: Option<RefCell<Framing>>) -> Socket {
+        // Without this, small responses wait for acknowledgements. A socket that refuses the option still
+        // works.
         let _ = stream.set_nodelay(true);
-        let (read, written, cut, ahead, flooded) = Default::default();
-        Socket(Rc::new(Inner { stream, read, written, cut, ahead, flooded, framing, _slot: slot }))
-    }
-
-    /// Bytes read so far.
+        let (read, written, must_reset, ahead, has_dropped_data) = Default::default();
+        Socket(Rc::new(Inner {
+            stream,
+            read,
+            written,
+            must_reset,
+            ahead,
+            has_dropped_data,
+            framing,
+            _slot: slot,
+        }))
+    }
+
+    /// Returns the number of bytes read.
     pub fn read(&self) -> u64 {
         self.0.read.get()
     }
 
-    /// A request came in that frames its body twice.
+    /// True if a request with conflicting body framing was received.
     pub fn has_conflict(&self) -> bool {
         self.0.framing.as_ref().is_some_and(|f| f.borrow().has_conflict())
     }
 
-    /// Bytes written so far.
+    /// Returns the number of bytes written.
     pub fn written(&self) -> u64 {
         self.0.written.get()
     }
 
-    /// Limits what the system holds of what is written. One that refuses still works.
+    /// Limits the send buffer of the operating system. A socket that refuses the option still works.
     pub fn limit_send_buffer(&self, bytes: usize) {
         let _ = socket2::SockRef::from(&self.0.stream).set_send_buffer_size(bytes);
     }
 
-    /// Whoever reads from it will not take the close for a regular end.
+    /// Makes the close a reset, so that the peer does not mistake it for a regular end.
     pub fn reset_on_close(&self) {
-        self.0.cut.set(true);
+        self.0.must_reset.set(true);
         let _ = socket2::SockRef::from(&self.0.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// The other side has ended its sending or broken off, as far as the poller has heard: also behind bytes that
-    /// nobody has read yet.
-    pub fn left(&self) -> bool {
+    /// True if the peer has ended its sending or broken the connection, as far as the poller knows, even
+    /// behind unread data.
+    pub fn is_peer_closed(&self) -> bool {
         let mut ready = pin!(self.0.stream.ready(Interest::READABLE));
         match ready.as_mut().poll(&mut Context::from_waker(Waker::noop())) {
             Poll::Ready(Ok(ready)) => ready.is_read_closed(),
@@ -184,59 +196,61 @@
         }
     }
 
-    /// Reads what has come behind a request that is open, so that its client's end is noticed behind that: what fits
-    /// is kept for later. Of more than a request or two the rest is dropped, and nothing that follows can be made
-    /// sense of.
+    /// Reads data behind an open request, so that the end of the stream behind it is noticed. Data is kept
+    /// up to the limit of `MAX_READ_AHEAD_BYTES` bytes. The rest is dropped, after which the connection's data cannot be
+    /// parsed any more.
     pub fn read_ahead(&self) {
         let mut ahead = self.0.ahead.borrow_mut();
-        for _ in 0..MOST_UNREAD / UNREAD_PIECE {
-            let space = AHEAD.saturating_sub(ahead.len()).min(UNREAD_PIECE);
-            let mut piece = [0; UNREAD_PIECE];
+        for _ in 0..MAX_DISCARDED_BYTES / READ_BYTES {
+            let space = MAX_READ_AHEAD_BYTES.saturating_sub(ahead.len()).min(READ_BYTES);
+            let mut piece = [0; READ_BYTES];
             let into = if space > 0 { &mut piece[..space] } else { &mut piece[..] };
             match self.0.stream.try_read(into) {
                 Ok(n) if n > 0 && space > 0 => ahead.extend_from_slice(&into[..n]),
-                Ok(n) if n > 0 => self.0.flooded.set(true),
+                Ok(n) if n > 0 => self.0.has_dropped_data.set(true),
                 Ok(_) | Err(_) => return,
             }
         }
     }
 
-    /// Part of what came was dropped: after the answer that is due it has to be closed.
-    pub fn flooded(&self) -> bool {
-        self.0.flooded.get()
+    /// True if received data was dropped; the connection must be closed after the response that is due.
+    pub fn has_dropped_data(&self) -> bool {
+        self.0.has_dropped_data.get()
     }
 
-    /// Ends the sending. What the other side writes can still be read.
+    /// Shuts down the sending side. What the peer writes can still be read.
     pub fn end_sending(&self) {
-        // One that is broken has nothing to end.
+        // Fails only on a connection that is already broken.
         let _ = socket2::SockRef::from(&self.0.stream).shutdown(std::net::Shutdown::Write);
     }
 
-    /// Ends the sending, and reads on without keeping anything until the other side has ended its own: a close over
-    /// unread bytes resets, and the answer under way would be lost. The caller bounds the time.
-    pub async fn farewell(&self) {
-        if self.0.cut.get() {
+    /// Shuts down the sending side and discards received data until the peer has ended its own sending.
+    /// Closing a socket with unread data resets the connection, and the response in transit would be lost.
+    /// The caller limits the time.
+    pub async fn finish_sending(&self) {
+        if self.0.must_reset.get() {
             return;
         }
         self.end_sending();
-        let mut left = MOST_UNREAD;
-        while left > 0 && self.0.stream.readable().await.is_ok() {
-            match self.drop_piece() {
+        let mut remaining = MAX_DISCARDED_BYTES;
+        while remaining > 0 && self.0.stream.readable().await.is_ok() {
+            match self.discard_piece() {
                 Ok(0) => return,
-                Ok(n) => left = left.saturating_sub(n),
+                Ok(n) => remaining = remaining.saturating_sub(n),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 Err(_) => return,
             }
         }
     }
 
-    /// Apart, so that no connection's task holds room for what nobody wants.
-    fn drop_piece(&self) -> io::Result<usize> {
-        self.0.stream.try_read(&mut [0; UNREAD_PIECE])
+    /// A separate function, so that the buffer is not part of every connection's future.
+    fn discard_piece(&self) -> io::Result<usize> {
+        self.0.stream.try_read(&mut [0; READ_BYTES])
     }
 
-    /// Asks the system, not the poller: nothing to read and no end in sight.
-    pub fn quiet(&self) -> bool {
+    /// True if no data is pending and the peer has not closed. Asks the operating system, because the
+    /// poller may lag behind.
+    pub fn is_quiet(&self) -> bool {
         if !self.0.ahead.borrow().is_empty() {
             return false;
         }
@@ -257,11 +271,11 @@
         if !ahead.is_empty() {
             let n = ahead.len().min(buf.remaining());
             buf.put_slice(&ahead.split_to(n));
-            self.taken(&buf.filled()[before..]);
+            self.record_read(&buf.filled()[before..]);
             return Poll::Ready(Ok(()));
         }
-        if self.0.flooded.get() {
-            // Something is missing here. It will be closed.
+        if self.0.has_dropped_data.get() {
+            // Received data was dropped, so the connection cannot continue; it will be closed.
             return Poll::Pending;
         }
         loop {
@@ -269,7 +283,7 @@
             match self.0.stream.try_read(buf.initialize_unfilled()) {
                 Ok(n) => {
                     buf.advance(n);
-                    self.taken(&buf.filled()[before..]);
+                    self.record_read(&buf.filled()[before..]);
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
@@ -280,7 +294,7 @@
 }
 
 impl Socket {
-    fn taken(&self, bytes: &[u8]) {
+    fn record_read(&self, bytes: &[u8]) {
         if let Some(framing) = &self.0.framing {
             framing.borrow_mut().process(bytes);
         }
--- a/src/node/upstream.rs
+++ b/src/node/upstream.rs
@@ -6,7 +6,7 @@
 //! streamed body occupies a transfer slot.
 
 use crate::body::{Piece, RequestBody, Upload};
-use crate::socket::{Descriptors, Slot, Socket};
+use crate::socket::{DescriptorSlot, Descriptors, Socket};
 use crate::transfer_slots::TransferSlots;
 use bytes::{Bytes, BytesMut};
 use daleturn::interface::{BackendId, Load, Outcome};
@@ -126,7 +126,7 @@
     /// Opens a connection. The caller limits the time.
     pub async fn open(
         address: SocketAddr,
-        slot: Slot,
+        slot: DescriptorSlot,
     ) -> Result<HttpConnection, Box<dyn std::error::Error>> {
         let socket = Socket::new(TcpStream::connect(address).await?, slot);
         let builder = http1::Builder::new().max_buf_size(MAX_BUFFER_BYTES).to_owned();
@@ -212,7 +212,7 @@
     /// True if both ends are open and no unread data is pending; unread data would be an unsolicited
     /// response or the close.
     pub fn is_reusable(&self) -> bool {
-        self.connection.is_some() && !self.sender.is_closed() && self.socket.quiet()
+        self.connection.is_some() && !self.sender.is_closed() && self.socket.is_quiet()
     }
 }
 
