--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -9,7 +9,7 @@
 use crate::log::{self, log_event};
 use crate::peers::Peers;
 use crate::process_files::ProcessFiles;
-use crate::stats::{End, Stats};
+use crate::stats::{RequestResult, Stats};
 use crate::upstream::{
     AttemptResult, AttemptSpec, BackendResponse, ForwardedRequest, HttpConnection, Upstream,
 };
@@ -239,12 +239,12 @@
     }
 
     /// Returns the statistics result of this request if it is served now.
-    fn served_result(&self) -> End {
+    fn served_result(&self) -> RequestResult {
         let total = self.received_at.elapsed();
         let late = total.as_secs_f64() * 1000.0 > self.active.settings.aim_ms(self.class);
         let away = self.finished_attempts.iter().map(|(_, _, ms)| ms).sum::<f64>().clamp(0.0, 1e9);
         let through = total.saturating_sub(Duration::from_secs_f64(away / 1000.0));
-        End::Served { late, times: self.forwarded.upload.is_none().then_some((total, through)) }
+        RequestResult::Served { late, times: self.forwarded.upload.is_none().then_some((total, through)) }
     }
 }
 
@@ -482,7 +482,7 @@
 
     /// Sets the length of the statistics window.
     pub fn set_stats_window(&self, window: Duration) {
-        self.core.borrow_mut().stats.retune(window);
+        self.core.borrow_mut().stats.set_window(window);
     }
 
     /// Counts a request that was refused before it reached the balancer.
@@ -506,8 +506,8 @@
         names.extend(core.cordoned.iter().map(|(id, uid)| (uid.as_str(), *id)));
         let mut backends = Vec::with_capacity(names.len());
         for (uid, id) in names {
-            let (sent, done, failed) = core.stats.of_backend(id);
-            let (ms, ms_squared) = core.stats.times_of(id);
+            let (sent, done, failed) = core.stats.attempt_counts(id);
+            let (ms, ms_squared) = core.stats.response_time_sums(id);
             let (listed, b) = (core.listed.get(&id), known.get(&id));
             let state = match listed.map(|l| l.entry.health) {
                 _ if core.cordoned.contains_key(&id) => "cordoned",
@@ -899,7 +899,7 @@
             report.result = Some(Outcome::Skipped.into());
             return;
         }
-        core.stats.sent(backend);
+        core.stats.count_sent(backend);
         let timeout = Duration::from_secs_f64(timeout_ms.clamp(0.0, 1e9) / 1000.0);
         let spec =
             AttemptSpec { backend, address: known.address, forwarded: open.forwarded.clone(), timeout };
@@ -1026,7 +1026,7 @@
             }
             Input::RequestArrived(request, active, forwarded, response_sender) => {
                 let (attempts, finished_attempts) = (Vec::new(), Vec::new());
-                self.stats.asked(active.names.class_name(request.class));
+                self.stats.count_request(active.names.class_name(request.class));
                 let second = monotonic_second();
                 if self.request_counts.0 != second {
                     let before =
@@ -1058,7 +1058,7 @@
                 open.attempts.get_mut(attempt as usize)?.take()?;
                 open.finished_attempts.push((backend, result.outcome, elapsed_ms));
                 open.rejected = result.rejected;
-                self.stats.attempt_ended(backend, result.outcome, elapsed_ms);
+                self.stats.count_attempt_result(backend, result.outcome, elapsed_ms);
                 let late = elapsed_ms > open.active.settings.aim_ms(open.class);
                 if let (Some(zones), Some(target)) = (&mut self.zones, self.listed.get(&backend)) {
                     zones.record_outcome(target.entry.zone, backend.short(), result.outcome, late);
@@ -1066,7 +1066,7 @@
                 if let Some(response) = result.response
                     && let Some(response_sender) = open.response_sender.take()
                 {
-                    self.stats.ended(open.active.names.class_name(open.class), open.served_result());
+                    self.stats.count_result(open.active.names.class_name(open.class), open.served_result());
                     response_sender.send(Answer::Served(response));
                 }
                 let (last, outcome, load) = (open.response_sender.is_none(), result.outcome, result.load);
@@ -1082,7 +1082,7 @@
                     && let Some(response_sender) = open.response_sender.take()
                 {
                     open.finished_attempts.push((backend, Outcome::Done, elapsed_ms));
-                    self.stats.ended(open.active.names.class_name(open.class), open.served_result());
+                    self.stats.count_result(open.active.names.class_name(open.class), open.served_result());
                     response_sender.send(Answer::Served(response));
                 }
                 Event::ResponseStarted { id, attempt, backend, elapsed_ms }
@@ -1106,13 +1106,13 @@
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         if let Some(response_sender) = open.response_sender.take() {
             open.log_unserved(&answer);
-            let end = match &answer {
-                Answer::Refused { .. } => End::Refused,
-                Answer::Rejected(_) => End::Rejected,
-                Answer::Failed if client_left => End::Left,
-                Answer::Failed | Answer::Served(_) => End::Failed,
+            let result = match &answer {
+                Answer::Refused { .. } => RequestResult::Refused,
+                Answer::Rejected(_) => RequestResult::Rejected,
+                Answer::Failed if client_left => RequestResult::Left,
+                Answer::Failed | Answer::Served(_) => RequestResult::Failed,
             };
-            self.stats.ended(open.active.names.class_name(open.class), end);
+            self.stats.count_result(open.active.names.class_name(open.class), result);
             response_sender.send(answer);
         }
         if open.is_finished() {
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -119,7 +119,7 @@
         self.driver.apply_settings(&active);
         self.upstream.apply_timeouts(settings.connect_timeout_ms, settings.conn_idle_ms);
         if let Some(peers) = &self.peers {
-            peers.renumber(settings.slot);
+            peers.set_number(settings.slot);
         }
         let told = (discovery, settings.discovery);
         self.discovery.send_if_modified(|known| std::mem::replace(known, told) != told);
@@ -366,7 +366,7 @@
         sharing.leave();
     }
     if let Some(peers) = peers.filter(|_| successor) {
-        peers.leave();
+        peers.release();
     }
     // Whatever became of the accept loop, what was taken is answered.
     if tokio::time::timeout_at(end.into(), &mut accepting).await.is_err() {
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -160,13 +160,13 @@
             let is_serving = handover.is_serving() && !handover.has_successor();
             if is_serving != self.is_sending.get() {
                 if is_serving {
-                    if let Err(e) = self.peers.join() {
+                    if let Err(e) = self.peers.bind() {
                         log_event!(ERROR, "share", reason = e.to_string().as_str(), "share.no_address");
                         continue;
                     }
                     self.clone().listen();
                 } else {
-                    self.peers.leave();
+                    self.peers.release();
                 }
                 self.is_sending.set(is_serving);
             }
--- a/src/node/stats.rs
+++ b/src/node/stats.rs
@@ -1,5 +1,6 @@
-//! Figures for operators: counts since the start, and times of the last window or two. All of it is bounded: by
-//! the classes that may be told apart, by the listed backends, and by the fixed size of the histograms.
+//! Statistics for operators: counters since the start, and latencies of the last one or two windows. Memory
+//! is bounded by the maximum number of classes, by the listed backends, and by the fixed size of the
+//! histograms.
 
 use daleturn::interface::{BackendId, Outcome};
 use hdrhistogram::Histogram;
@@ -7,32 +8,32 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Classes that are told apart: of more, the one that was asked for the longest ago is forgotten.
-const CLASSES: usize = 64;
-/// The longest time that is told apart from longer ones, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
-/// Name of what no class of the settings is.
-const UNKNOWN: &str = "?";
+/// Maximum number of classes; beyond that, the one with the oldest last request is dropped.
+const MAX_CLASSES: usize = 64;
+/// Maximum latency that the histograms distinguish, in microseconds.
+const MAX_LATENCY_US: u64 = 600_000_000;
+/// Name of requests whose class is not in the settings.
+const UNKNOWN_CLASS: &str = "?";
 
-/// Times in two windows, with two digits.
+/// Latency histograms of two windows, with two significant digits.
 #[derive(Default)]
-struct Times {
+struct LatencyWindows {
     now: Option<Histogram<u32>>,
     before: Option<Histogram<u32>>,
 }
 
-impl Times {
-    fn note(&mut self, time: Duration) {
+impl LatencyWindows {
+    fn record(&mut self, time: Duration) {
         if self.now.is_none() {
-            self.now = Histogram::new_with_bounds(1, LONGEST_US, 2).ok();
+            self.now = Histogram::new_with_bounds(1, MAX_LATENCY_US, 2).ok();
         }
         if let Some(now) = &mut self.now {
             now.saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
         }
     }
 
-    fn turn(&mut self) {
-        // The older one's memory serves again.
+    fn rotate(&mut self) {
+        // Reuses the memory of the older histogram.
         std::mem::swap(&mut self.now, &mut self.before);
         if let Some(now) = &mut self.now {
             now.reset();
@@ -46,7 +47,7 @@
             (None, None) => return json!({"n": 0}),
         };
         if let (Some(_), Some(before)) = (&self.now, &self.before) {
-            // They are of one make.
+            // Cannot fail: both have the same bounds.
             let _ = both.add(before);
         }
         if both.is_empty() {
@@ -59,29 +60,29 @@
     }
 }
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Clone, Copy, Debug)]
-pub enum End {
-    /// Served, within its class's aim or not, with the time to the answer's hand-over and what of it this node
-    /// took itself; no times for a long request, whose sender sets the pace.
+pub enum RequestResult {
+    /// Served, within its class's objective or late.
     Served {
-        /// After the aim.
+        /// True if the response was later than the objective.
         late: bool,
-        /// Both times.
+        /// Time until the response was handed over, and the part of it spent in this node. `None` for a
+        /// streamed request, whose pace the sender determines.
         times: Option<(Duration, Duration)>,
     },
-    /// Refused, with word of when to come back.
+    /// Refused with a retry delay.
     Refused,
     /// Failed.
     Failed,
-    /// A backend found it wrong.
+    /// Rejected by a backend as invalid.
     Rejected,
-    /// Its client had gone, or its time was over.
+    /// The client left, or the deadline had passed.
     Left,
 }
 
 #[derive(Default)]
-struct Class {
+struct ClassStats {
     asked: u64,
     served: u64,
     late: u64,
@@ -90,34 +91,34 @@
     rejected: u64,
     left: u64,
     last: Option<Instant>,
-    answer: Times,
+    answer: LatencyWindows,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Sent {
+struct BackendStats {
     sent: u64,
     done: u64,
     failed: u64,
-    /// Sums of the answers' times, in milliseconds, and of their squares.
+    /// Sums of the response times in milliseconds, and of their squares.
     ms: f64,
     ms_squared: f64,
 }
 
-/// The figures.
+/// Statistics of a node.
 pub struct Stats {
     window: Duration,
-    turned: Instant,
-    classes: BTreeMap<String, Class>,
+    rotated_at: Instant,
+    classes: BTreeMap<String, ClassStats>,
     attempts: [u64; Outcome::COUNT],
-    backends: HashMap<BackendId, Sent>,
-    answer: Times,
-    through: Times,
-    /// Refused before the decisions heard of them.
+    backends: HashMap<BackendId, BackendStats>,
+    answer: LatencyWindows,
+    through: LatencyWindows,
+    /// Requests refused before they reached the balancer.
     early_refusals: u64,
 }
 
-/// Name of an outcome in the figures.
-fn word(outcome: Outcome) -> &'static str {
+/// Returns the name of an outcome in the statistics.
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Done => "done",
         Outcome::Error => "error",
@@ -132,94 +133,94 @@
 }
 
 impl Stats {
-    /// Nothing counted yet; times are kept for `window`, and as long again.
+    /// Creates empty statistics. Latencies are kept for one to two times `window`.
     pub fn new(window: Duration) -> Stats {
         Stats {
             window,
-            turned: Instant::now(),
+            rotated_at: Instant::now(),
             classes: BTreeMap::new(),
             attempts: [0; Outcome::COUNT],
             backends: HashMap::new(),
-            answer: Times::default(),
-            through: Times::default(),
+            answer: LatencyWindows::default(),
+            through: LatencyWindows::default(),
             early_refusals: 0,
         }
     }
 
-    /// Another window, from the next turn on.
-    pub fn retune(&mut self, window: Duration) {
+    /// Sets the window length, effective with the next rotation.
+    pub fn set_window(&mut self, window: Duration) {
         self.window = window;
     }
 
-    fn turn(&mut self) {
-        let windows = self.turned.elapsed().as_secs_f64() / self.window.as_secs_f64();
+    fn rotate(&mut self) {
+        let windows = self.rotated_at.elapsed().as_secs_f64() / self.window.as_secs_f64();
         if windows < 1.0 {
             return;
         }
-        self.turned = Instant::now();
-        // After a pause both are old.
+        self.rotated_at = Instant::now();
+        // After a pause, both histograms are outdated.
         for _ in 0..if windows < 2.0 { 1 } else { 2 } {
-            self.answer.turn();
-            self.through.turn();
-            self.classes.values_mut().for_each(|c| c.answer.turn());
+            self.answer.rotate();
+            self.through.rotate();
+            self.classes.values_mut().for_each(|c| c.answer.rotate());
         }
     }
 
-    fn class(&mut self, name: Option<&str>) -> Option<&mut Class> {
-        let name = name.unwrap_or(UNKNOWN);
+    fn class(&mut self, name: Option<&str>) -> Option<&mut ClassStats> {
+        let name = name.unwrap_or(UNKNOWN_CLASS);
         if !self.classes.contains_key(name) {
-            if self.classes.len() >= CLASSES {
+            if self.classes.len() >= MAX_CLASSES {
                 let oldest = self.classes.iter().min_by_key(|(_, c)| c.last).map(|(n, _)| n.clone());
                 oldest.and_then(|n| self.classes.remove(&n));
             }
-            self.classes.insert(name.to_owned(), Class::default());
+            self.classes.insert(name.to_owned(), ClassStats::default());
         }
         self.classes.get_mut(name)
     }
 
-    /// A request of a class came.
-    pub fn asked(&mut self, class: Option<&str>) {
-        self.turn();
+    /// Counts a request of a class.
+    pub fn count_request(&mut self, class: Option<&str>) {
+        self.rotate();
         if let Some(class) = self.class(class) {
             class.asked += 1;
             class.last = Some(Instant::now());
         }
     }
 
-    /// One was refused before the decisions heard of it.
+    /// Counts a request that was refused before it reached the balancer.
     pub fn count_early_refusal(&mut self, class: Option<&str>) {
-        self.asked(class);
-        self.ended(class, End::Refused);
+        self.count_request(class);
+        self.count_result(class, RequestResult::Refused);
         self.early_refusals += 1;
     }
 
-    /// A request is over.
-    pub fn ended(&mut self, class: Option<&str>, end: End) {
-        let Some(own) = self.class(class) else { return };
-        match end {
-            End::Served { late, times } => {
-                own.served += 1;
-                own.late += u64::from(late);
+    /// Counts the result of a request.
+    pub fn count_result(&mut self, class: Option<&str>, result: RequestResult) {
+        let Some(counts) = self.class(class) else { return };
+        match result {
+            RequestResult::Served { late, times } => {
+                counts.served += 1;
+                counts.late += u64::from(late);
                 if let Some((answer, through)) = times {
-                    own.answer.note(answer);
-                    self.answer.note(answer);
-                    self.through.note(through);
+                    counts.answer.record(answer);
+                    self.answer.record(answer);
+                    self.through.record(through);
                 }
             }
-            End::Refused => own.refused += 1,
-            End::Failed => own.failed += 1,
-            End::Rejected => own.rejected += 1,
-            End::Left => own.left += 1,
+            RequestResult::Refused => counts.refused += 1,
+            RequestResult::Failed => counts.failed += 1,
+            RequestResult::Rejected => counts.rejected += 1,
+            RequestResult::Left => counts.left += 1,
         }
     }
 
-    /// An attempt was sent.
-    pub fn sent(&mut self, backend: BackendId) {
+    /// Counts an attempt that was sent.
+    pub fn count_sent(&mut self, backend: BackendId) {
         self.backends.entry(backend).or_default().sent += 1;
     }
 
-    /// An attempt ended.
-    pub fn attempt_ended(&mut self, backend: BackendId, outcome: Outcome, elapsed_ms: f64) {
+    /// Counts the outcome of an attempt.
+    pub fn count_attempt_result(&mut self, backend: BackendId, outcome: Outcome, elapsed_ms: f64) {
         if let Some(count) = self.attempts.get_mut(outcome as usize) {
             *count += 1;
         }
@@ -238,39 +239,40 @@
         }
     }
 
-    /// Forgets backends that are not listed any more.
+    /// Drops the statistics of backends that are no longer listed.
     pub fn retain_listed(&mut self, listed: impl Fn(BackendId) -> bool) {
         self.backends.retain(|id, _| listed(*id));
     }
 
-    /// Attempts at a backend: sent, done and failed.
-    pub fn of_backend(&self, backend: BackendId) -> (u64, u64, u64) {
-        let Sent { sent, done, failed, .. } = self.backends.get(&backend).copied().unwrap_or_default();
+    /// Returns the number of attempts at a backend: sent, done and failed.
+    pub fn attempt_counts(&self, backend: BackendId) -> (u64, u64, u64) {
+        let BackendStats { sent, done, failed, .. } =
+            self.backends.get(&backend).copied().unwrap_or_default();
         (sent, done, failed)
     }
 
-    /// Sums of a backend's answer times in milliseconds, and of their squares.
-    pub fn times_of(&self, backend: BackendId) -> (f64, f64) {
+    /// Returns the sum of a backend's response times in milliseconds, and of their squares.
+    pub fn response_time_sums(&self, backend: BackendId) -> (f64, f64) {
         let sent = self.backends.get(&backend).copied().unwrap_or_default();
         (sent.ms, sent.ms_squared)
     }
 
-    /// Refused before the decisions heard of them.
+    /// Returns the number of requests refused before they reached the balancer.
     pub fn early_refusals(&self) -> u64 {
         self.early_refusals
     }
 
-    /// Classes, attempts and times.
+    /// Returns classes, attempts and latencies as JSON.
     pub fn json(&mut self) -> Value {
-        self.turn();
-        let class = |c: &Class| {
+        self.rotate();
+        let class = |c: &ClassStats| {
             json!({"asked": c.asked, "served": c.served, "late": c.late, "refused": c.refused,
                    "failed": c.failed, "rejected": c.rejected, "left": c.left, "answer_ms": c.answer.json()})
         };
         let classes: BTreeMap<&str, Value> =
             self.classes.iter().map(|(n, c)| (n.as_str(), class(c))).collect();
         let attempts: BTreeMap<&str, u64> =
-            Outcome::ALL.into_iter().map(|o| (word(o), self.attempts[o as usize])).collect();
+            Outcome::ALL.into_iter().map(|o| (outcome_name(o), self.attempts[o as usize])).collect();
         json!({"classes": classes, "attempts": attempts, "answer_ms": self.answer.json(),
                "through_ms": self.through.json(), "window_s": self.window.as_secs()})
     }
@@ -280,17 +282,17 @@
 mod tests {
     use super::*;
 
-    fn served(ms: u64) -> End {
+    fn served(ms: u64) -> RequestResult {
         let time = Duration::from_millis(ms);
-        End::Served { late: false, times: Some((time, time / 10)) }
+        RequestResult::Served { late: false, times: Some((time, time / 10)) }
     }
 
     #[test]
-    fn times_are_of_the_last_windows_and_counts_of_all() {
+    fn latencies_cover_two_windows_and_counters_everything() {
         let mut stats = Stats::new(Duration::from_secs(3600));
         for n in 1..=100 {
-            stats.asked(Some("a"));
-            stats.ended(Some("a"), served(n));
+            stats.count_request(Some("a"));
+            stats.count_result(Some("a"), served(n));
         }
         let json = stats.json();
         assert_eq!(json["classes"]["a"]["served"], 100);
@@ -299,21 +301,21 @@
         let through = json["through_ms"]["p50"].as_f64().unwrap();
         assert!((4.9..=5.2).contains(&through), "{through}");
         for n in [100, 0] {
-            stats.classes.values_mut().for_each(|c| c.answer.turn());
+            stats.classes.values_mut().for_each(|c| c.answer.rotate());
             assert_eq!(stats.json()["classes"]["a"]["answer_ms"]["n"], n);
         }
         assert_eq!(stats.json()["classes"]["a"]["served"], 100);
     }
 
     #[test]
-    fn a_class_may_vanish_and_none_of_many_fills_the_memory() {
+    fn number_of_classes_is_bounded() {
         let mut stats = Stats::new(Duration::from_secs(60));
         for n in 0..200 {
-            stats.asked(Some(&format!("c{n}")));
-            stats.ended(Some(&format!("c{n}")), served(5));
+            stats.count_request(Some(&format!("c{n}")));
+            stats.count_result(Some(&format!("c{n}")), served(5));
         }
-        stats.ended(None, End::Failed);
-        assert_eq!(stats.classes.len(), CLASSES);
+        stats.count_result(None, RequestResult::Failed);
+        assert_eq!(stats.classes.len(), MAX_CLASSES);
         let json = stats.json();
         assert_eq!(json["classes"]["c199"]["asked"], 1);
         assert!(json["classes"]["c0"].is_null());
@@ -321,18 +323,18 @@
     }
 
     #[test]
-    fn a_backend_that_is_gone_is_forgotten() {
+    fn statistics_of_unlisted_backends_are_dropped() {
         let mut stats = Stats::new(Duration::from_secs(60));
         let (a, b) = (BackendId(1), BackendId(2));
-        stats.sent(a);
-        stats.sent(b);
-        stats.attempt_ended(a, Outcome::Done, 5.0);
-        stats.attempt_ended(b, Outcome::Reset, 5.0);
-        assert_eq!((stats.of_backend(a), stats.of_backend(b)), ((1, 1, 0), (1, 0, 1)));
+        stats.count_sent(a);
+        stats.count_sent(b);
+        stats.count_attempt_result(a, Outcome::Done, 5.0);
+        stats.count_attempt_result(b, Outcome::Reset, 5.0);
+        assert_eq!((stats.attempt_counts(a), stats.attempt_counts(b)), ((1, 1, 0), (1, 0, 1)));
         stats.retain_listed(|id| id == a);
-        assert_eq!(stats.of_backend(b), (0, 0, 0));
-        // One that ends later brings it back no more.
-        stats.attempt_ended(b, Outcome::Done, 5.0);
+        assert_eq!(stats.attempt_counts(b), (0, 0, 0));
+        // An attempt that ends later does not add the backend again.
+        stats.count_attempt_result(b, Outcome::Done, 5.0);
         assert_eq!(stats.backends.len(), 1);
     }
 }
