--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -1191,7 +1191,7 @@
 
     fn update_addresses(&mut self, kind: ListKind, targets: &[Target], upstream: &Upstream) {
         if matches!(kind, ListKind::Full | ListKind::Saved) {
-            // Backends that a full list omits have departed.
+            // Backends that a full list omits have left.
             for known in self.addresses.values_mut() {
                 known.is_up = false;
             }
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -1,4 +1,4 @@
-//! One node: the decisions of the crate `daleturn` on real sockets.
+//! Node process: runs the balancer of the crate `daleturn` on real sockets.
 
 mod active_settings;
 mod body;
@@ -52,31 +52,32 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Connections that may wait while this node is busy or out of descriptors.
+/// Length of the accept backlog, for times when this node is busy or out of descriptors.
 const BACKLOG: u32 = 1024;
-/// How often idle connections to backends are looked through.
-const SWEEP: Duration = Duration::from_millis(500);
-/// How often it is looked what is to be stored, at least; and how many such looks apart what was learned is.
-const KEEP: Duration = Duration::from_secs(1);
-const LEARN_EVERY: u64 = 3;
-/// SIGKILL follows SIGTERM by the longest deadline, this at most, and 0.7 s; what has no answer shortly
-/// before that is failed.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-const LAST_ANSWERS: Duration = Duration::from_millis(400);
-/// Time for those failures to be written.
-const FAREWELL: Duration = Duration::from_millis(100);
+/// Interval at which idle connections to backends are checked.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum interval at which state is checked for changes to store, and the number of such intervals
+/// between two writes of the learned state.
+const STORE_INTERVAL: Duration = Duration::from_secs(1);
+const INTERVALS_PER_MEMORY_WRITE: u64 = 3;
+/// SIGKILL follows SIGTERM after the longest deadline, up to this limit, plus 0.7 s. Requests that are
+/// unanswered after the deadline plus `FINAL_ANSWER_TIME` are failed.
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+const FINAL_ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Time for sending those failure responses.
+const FLUSH_TIME: Duration = Duration::from_millis(100);
 
 fn bind(at: SocketAddr, shared: bool) -> std::io::Result<TcpSocket> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
-    // The next process of this node binds it too, before this one ends.
+    // The next process of this node binds the same address before this one ends.
     socket.set_reuseport(shared)?;
     socket.bind(at)?;
     Ok(socket)
 }
 
-/// All that takes new settings.
-struct Reloading {
+/// Everything that new settings are applied to.
+struct SettingsReload {
     current_settings: Rc<CurrentSettings>,
     driver: Rc<Driver>,
     upstream: Rc<Upstream>,
@@ -87,10 +88,10 @@
     zoning: Option<Rc<Zoning>>,
 }
 
-impl Reloading {
-    /// Reads the file again and takes all of it or nothing; hands back the file that runs from here on.
+impl SettingsReload {
+    /// Reads the configuration again and applies all of it or nothing. Returns the configuration in effect.
     async fn reload(&self, running: Value) -> Value {
-        // Off this loop: a long file must not stall who is being served.
+        // On a blocking thread: a long file must not stall serving.
         let running = Arc::new(running);
         let held = running.clone();
         let read = tokio::task::spawn_blocking(move || Reload::read(&held)).await;
@@ -100,7 +101,7 @@
             Err(e) => e.to_string(),
         };
         log_event!(ERROR, "config", reason = turned_down.as_str(), "config.refused");
-        // The reader is done with it.
+        // The reading thread has ended, so this is the only reference.
         Arc::unwrap_or_clone(running)
     }
 
@@ -121,31 +122,37 @@
         if let Some(peers) = &self.peers {
             peers.set_number(settings.slot);
         }
-        let told = (discovery, settings.discovery);
-        self.discovery.send_if_modified(|known| std::mem::replace(known, told) != told);
+        let target = (discovery, settings.discovery);
+        self.discovery.send_if_modified(|known| std::mem::replace(known, target) != target);
         let taken = active.generation;
         log_event!(INFO, "config", taken, %discovery, ?settings, "config.taken");
         file
     }
 }
 
-/// Stores what was learned, and who is out, once a second at most, each node at a moment of its own.
-async fn keep(durable: Rc<Durable>, driver: Rc<Driver>, current_settings: Rc<CurrentSettings>) {
+/// Stores the learned state and the cordons, at most once a second and with jitter, so that nodes do not
+/// write at the same time.
+async fn store_periodically(
+    durable: Rc<Durable>,
+    driver: Rc<Driver>,
+    current_settings: Rc<CurrentSettings>,
+) {
     let mut out = driver.cordoned_backends();
-    let mut had = durable.status().incarnation.is_some();
-    for turn in 0_u64.. {
-        tokio::time::sleep(KEEP.mul_f64(1.0 + 0.5 * fastrand::f64())).await;
-        let has = durable.status().incarnation.is_some();
+    let mut had_lock = durable.status().incarnation.is_some();
+    for iteration in 0_u64.. {
+        tokio::time::sleep(STORE_INTERVAL.mul_f64(1.0 + 0.5 * fastrand::f64())).await;
+        let has_lock = durable.status().incarnation.is_some();
         let now = driver.cordoned_backends();
-        // A call may have reached another process of this node, or this one has just got the directory.
-        if now != out || has != had {
+        // An operator may have called another process of this node, or this process has just locked the
+        // directory.
+        if now != out || has_lock != had_lock {
             durable.store_cordons(now.clone());
         }
-        (out, had) = (now, has);
-        if turn % LEARN_EVERY == 0 {
+        (out, had_lock) = (now, has_lock);
+        if iteration % INTERVALS_PER_MEMORY_WRITE == 0 {
             let active = current_settings.get();
             let learned = memory_to_json(&driver.memory(), &active.names);
-            durable.store_learned(driver.list_version(), turn, || driver.list_json(&active), learned);
+            durable.store_learned(driver.list_version(), iteration, || driver.list_json(&active), learned);
         }
     }
 }
@@ -171,7 +178,8 @@
         }
     };
     for uid in restored.cordons.keys() {
-        // So that another process of this node knows it, too; without a place for that it holds here.
+        // Makes the cordon known to other processes of this node. If it cannot be written, it still holds
+        // in this process.
         let _ = process_files.cordon(uid);
     }
     let current_settings = CurrentSettings::new(config.settings, config.names, config.digest);
@@ -193,14 +201,14 @@
         None => None,
     };
     let balancer = Balancer::new(settings.clone(), config.seed)?;
-    let (wish, watch_requests) = mpsc::unbounded_channel();
+    let (watch_sender, watch_requests) = mpsc::unbounded_channel();
     let driver = Driver::new(
         balancer,
         &current_settings.get(),
         upstream.clone(),
         peers.clone(),
         process_files.clone(),
-        wish,
+        watch_sender,
         &options,
     );
     driver.restore_cordons(restored.cordons.keys());
@@ -209,7 +217,7 @@
     let known = list_parser::parse_list(&config.known, names);
     let last = restored.list.as_deref().and_then(|text| serde_json::from_str(text).ok());
     let last = last.and_then(|json| list_parser::parse_list(&json, names));
-    // Of two the one that was made later, as far as their versions tell.
+    // Use the newer of the two lists, by their versions.
     let known = match (known, last) {
         (Some(known), Some(last)) if known.rev >= last.rev => Some(known),
         (known, None) => known,
@@ -247,7 +255,7 @@
         sharing.set_zoning(zoning);
     }
     let (discovery, address) = watch::channel((config.discovery, settings.discovery));
-    let reloading = Reloading {
+    let settings_reload = SettingsReload {
         current_settings: current_settings.clone(),
         driver: driver.clone(),
         upstream: upstream.clone(),
@@ -260,7 +268,7 @@
     spawn_local(async move {
         let mut running = config.file;
         while hangup.recv().await.is_some() {
-            running = reloading.reload(running).await;
+            running = settings_reload.reload(running).await;
         }
     });
     let list_sync = ListSync::new(settings.discovery, settings.must_ask_in_ms, version, config.seed);
@@ -280,14 +288,14 @@
             async move { peers.listen(|from, bytes| driver.handle_peer_message(from, bytes)).await },
         );
     }
-    let (sweeping, told) = (upstream.clone(), log.clone());
+    let (pool, log_handle) = (upstream.clone(), log.clone());
     spawn_local(async move {
-        let mut ticks = tokio::time::interval(SWEEP);
+        let mut ticks = tokio::time::interval(IDLE_CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            sweeping.close_expired();
-            told.log_dropped();
+            pool.close_expired();
+            log_handle.log_dropped();
         }
     });
     let server =
@@ -296,7 +304,7 @@
         log_event!(INFO, "operator", backend = uid.as_str(), "operator.still_out");
     }
     if let Some(durable) = durable.clone() {
-        spawn_local(keep(durable, driver.clone(), current_settings.clone()));
+        spawn_local(store_periodically(durable, driver.clone(), current_settings.clone()));
     }
     if let Some(listener) = operators {
         let descriptors = descriptors.clone();
@@ -338,7 +346,7 @@
     }
     tokio::select! {
         () = handover.wait_until_ready() => {}
-        // Nobody has come yet, and nobody will.
+        // No client has connected yet.
         _ = terminate.recv() => return Ok(()),
     }
     let listener = listener.listen(BACKLOG).map_err(|e| format!("listen: {}: {e}", config.listen))?;
@@ -349,7 +357,7 @@
         spawn_local(async move { server.accept(listener).await })
     };
     if restored.is_quiesced {
-        // Once it takes clients, and before it has answered any.
+        // After the accept loop has started, and before any request is answered.
         tokio::task::yield_now().await;
         if let Err(why) = server.quiesce() {
             log_event!(ERROR, "operator", why, "operator.not_quiesced");
@@ -357,8 +365,8 @@
     }
     terminate.recv().await;
     let longest = current_settings.get().settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-    let longest = Duration::from_secs_f64(longest.clamp(0.0, 1e6) / 1000.0).min(LONGEST_DEADLINE);
-    let end = Instant::now() + longest + LAST_ANSWERS;
+    let longest = Duration::from_secs_f64(longest.clamp(0.0, 1e6) / 1000.0).min(MAX_DEADLINE);
+    let end = Instant::now() + longest + FINAL_ANSWER_TIME;
     let successor = handover.begin_stopping();
     log_event!(INFO, "node", successor, "node.stopping");
     server.stop(successor);
@@ -368,13 +376,13 @@
     if let Some(peers) = peers.filter(|_| successor) {
         peers.release();
     }
-    // Whatever became of the accept loop, what was taken is answered.
+    // Accepted requests are answered even if the accept loop has not ended by itself.
     if tokio::time::timeout_at(end.into(), &mut accepting).await.is_err() {
         accepting.abort();
     }
     server.close_clients(end).await;
     server.fail_remaining();
-    server.close_clients(Instant::now() + FAREWELL).await;
+    server.close_clients(Instant::now() + FLUSH_TIME).await;
     if let Some(durable) = durable {
         durable.close();
     }
