--- a/src/balancer_state.rs
+++ b/src/balancer_state.rs
@@ -5,7 +5,7 @@
 use crate::interface::{
     Action, BackendMemory, BackendSnapshot, BalancerSnapshot, LogNote, Memory, Settings,
 };
-use crate::policy::{Balancer, Cap};
+use crate::policy::{Balancer, ConcurrencyCap};
 use crate::request_table::Backend;
 use crate::statistics::ClassStatistics;
 
@@ -13,13 +13,13 @@
     /// Takes settings on, first or new ones. A class whose number stood for another is learned anew.
     pub(crate) fn apply_settings(&mut self, s: Settings) {
         let same = |i: usize| self.settings.classes.get(i) == s.classes.get(i);
-        let learned = |i| self.learned.get(i).filter(|_| same(i)).cloned().unwrap_or_default();
-        self.learned = (0..s.classes.len()).map(learned).collect();
+        let kept = |i| self.class_statistics.get(i).filter(|_| same(i)).cloned().unwrap_or_default();
+        self.class_statistics = (0..s.classes.len()).map(kept).collect();
         let a = &mut self.admission;
         a.offered.resize(s.classes.len(), [0.0; 2]);
-        a.chance.resize(s.classes.len(), [1.0; 2]);
-        a.part.resize(s.classes.len(), [1.0; 2]);
-        a.tenants.resize(s.tenants.len());
+        a.admit_probability.resize(s.classes.len(), [1.0; 2]);
+        a.allowance_part.resize(s.classes.len(), [1.0; 2]);
+        a.tenant_rates.resize(s.tenants.len());
         self.settings = s;
     }
 
@@ -29,41 +29,52 @@
     }
 
     /// Says now and then how many requests were refused, by what, and how the fleet looked from here.
-    pub(crate) fn log_counters(&mut self, now: f64, out: &mut Vec<Action>) {
+    pub(crate) fn log_counters(&mut self, now: f64, actions: &mut Vec<Action>) {
         let Some(counters) = self.counters.take(now) else { return };
-        out.push(Action::Log(LogNote::Stopped(Box::new((counters, self.load_snapshot(now))))));
+        actions.push(Action::Log(LogNote::Stopped(Box::new((counters, self.load_snapshot(now))))));
     }
 
     /// What the next process of this node can go on from.
     pub fn memory(&self) -> Memory {
-        let known = |b: &Backend| {
-            let prat = b.record.congested.then_some(b.record.prat);
+        let of_backend = |b: &Backend| {
+            let prat = b.failure_record.congested.then_some(b.failure_record.prat);
             BackendMemory { backend: b.id, limit: b.cap.limit, cut_at: b.cap.cut_at, prat }
         };
-        let times =
-            |l: &ClassStatistics| if l.seen < 20 { [0.0; 4] } else { [l.mean, l.spread, l.high, l.usual] };
-        let classes = self.learned.iter().map(times).collect();
-        Memory { warm_rate: self.warm.most, backends: self.backends.iter().map(known).collect(), classes }
+        let times = |l: &ClassStatistics| {
+            if l.answers < 20 { [0.0; 4] } else { [l.mean_ms, l.deviation_ms, l.p80_ms, l.usual_ms] }
+        };
+        let classes = self.class_statistics.iter().map(times).collect();
+        Memory {
+            warm_rate: self.warm_rate.peak,
+            backends: self.backends.iter().map(of_backend).collect(),
+            classes,
+        }
     }
 
     /// Goes on from that.
     pub(crate) fn restore_memory(&mut self, memory: &Memory) {
-        self.warm.most = self.warm.most.max(memory.warm_rate);
-        for k in &memory.backends {
-            let Some(i) = self.find(k.backend) else { continue };
+        self.warm_rate.peak = self.warm_rate.peak.max(memory.warm_rate);
+        for remembered in &memory.backends {
+            let Some(i) = self.backend_index(remembered.backend) else { continue };
             let b = &mut self.backends[i];
-            b.cap = Cap { limit: k.limit, cut_at: k.cut_at, ..Cap::default() };
-            (b.record.congested, b.record.prat) = (k.prat.is_some(), k.prat.unwrap_or(0.0));
+            b.cap = ConcurrencyCap {
+                limit: remembered.limit,
+                cut_at: remembered.cut_at,
+                ..ConcurrencyCap::default()
+            };
+            (b.failure_record.congested, b.failure_record.prat) =
+                (remembered.prat.is_some(), remembered.prat.unwrap_or(0.0));
         }
-        for (l, times) in self.learned.iter_mut().zip(&memory.classes).filter(|(_, t)| t[0] > 0.0) {
-            [l.mean, l.spread, l.high, l.usual] = *times;
-            l.seen = 20;
+        for (l, times) in self.class_statistics.iter_mut().zip(&memory.classes).filter(|(_, t)| t[0] > 0.0)
+        {
+            [l.mean_ms, l.deviation_ms, l.p80_ms, l.usual_ms] = *times;
+            l.answers = 20;
         }
     }
 
     /// Requests a second that each tenant asks of this node, by index.
     pub fn tenant_request_rates(&self) -> Vec<f64> {
-        (0..self.settings.tenants.len()).map(|t| self.admission.tenants.at(t)).collect()
+        (0..self.settings.tenants.len()).map(|t| self.admission.tenant_rates.rate(t)).collect()
     }
 
     /// How the fleet looks from here.
@@ -73,31 +84,31 @@
             level: self.admission.level,
             strain: self.admission.strain,
             pressure: self.pressure,
-            room: self.admission.room,
-            spill: self.admission.spill,
-            out: count(&|b| b.record.congested),
-            capped: count(&|b| b.cap.blocks(now, b.in_flight)),
+            in_flight_allowance: self.admission.in_flight_allowance,
+            spill_tokens: self.admission.spill_tokens,
+            congested: count(&|b| b.failure_record.congested),
+            capped: count(&|b| b.cap.is_blocked(now, b.in_flight)),
             in_flight: self.in_flight,
         }
     }
 
     /// What the decisions know, for whoever is on call.
     pub fn snapshot(&self, now: f64) -> BalancerSnapshot {
-        let backend = |b: &Backend| BackendSnapshot {
+        let of_backend = |b: &Backend| BackendSnapshot {
             backend: b.id,
             zone: b.zone,
             up: b.up,
-            trial_at_ms: b.record.congested.then_some(b.record.prat),
+            trial_at_ms: b.failure_record.congested.then_some(b.failure_record.prat),
             cap: b.cap.limit,
             in_flight: b.in_flight,
             cold: now - b.cold_since < self.settings.cold_ms,
-            pressure: b.load.at(now, self.pressure),
+            pressure: b.pressure.estimate(now, self.pressure),
         };
         BalancerSnapshot {
             load: self.load_snapshot(now),
             refusals: self.counters.refusals(),
-            warm_rate: self.warm.most,
-            backends: self.backends.iter().map(backend).collect(),
+            warm_rate: self.warm_rate.peak,
+            backends: self.backends.iter().map(of_backend).collect(),
         }
     }
 }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 /// Least time between two lines, in milliseconds.
-const SPAN_MS: f64 = 2000.0;
+const LOG_INTERVAL_MS: f64 = 2000.0;
 
 /// What stopped a request before an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,43 +31,43 @@
 pub struct AdmissionCounters {
     since: f64,
     /// Requests that came.
-    pub asked: u32,
+    pub requests: u32,
     /// Requests and further attempts that were stopped, in the order of [`StopReason`].
     pub stopped: [u32; 3],
     /// Ends of attempts, in the order of [`Outcome::ALL`].
     pub ended: [u32; Outcome::COUNT],
     /// What stopped the request that is looked at.
-    last: Option<StopReason>,
+    last_stop: Option<StopReason>,
     refusals: RefusalCounts,
 }
 
 impl AdmissionCounters {
     /// A request came.
-    pub(crate) fn ask(&mut self) {
-        self.asked = self.asked.saturating_add(1);
-        self.last = None;
+    pub(crate) fn count_request(&mut self) {
+        self.requests = self.requests.saturating_add(1);
+        self.last_stop = None;
     }
 
     /// A request, or its next attempt, was stopped.
-    pub(crate) fn stop(&mut self, by: StopReason) {
-        let count = &mut self.stopped[by as usize];
+    pub(crate) fn count_stop(&mut self, reason: StopReason) {
+        let count = &mut self.stopped[reason as usize];
         *count = count.saturating_add(1);
-        self.last = Some(by);
+        self.last_stop = Some(reason);
     }
 
     /// It was refused, by what last stopped it.
-    pub(crate) fn refuse(&mut self) {
-        match self.last.take() {
-            Some(by) => self.refusals.stopped[by as usize] += 1,
+    pub(crate) fn count_refusal(&mut self) {
+        match self.last_stop.take() {
+            Some(reason) => self.refusals.stopped[reason as usize] += 1,
             None => self.refusals.given_up += 1,
         }
     }
 
     /// An attempt ended.
-    pub(crate) fn end(&mut self, outcome: Outcome) {
+    pub(crate) fn count_attempt_end(&mut self, outcome: Outcome) {
         let count = &mut self.ended[outcome as usize];
         *count = count.saturating_add(1);
-        self.last = None;
+        self.last_stop = None;
     }
 
     /// Why requests were refused.
@@ -77,17 +77,17 @@
 
     /// The counts, to be told at `now` and begun anew: none while nothing was stopped, nor soon after others.
     pub(crate) fn take(&mut self, now: f64) -> Option<AdmissionCounters> {
-        let due = now - self.since >= SPAN_MS && self.stopped != [0; 3];
-        let fresh =
+        let due = now - self.since >= LOG_INTERVAL_MS && self.stopped != [0; 3];
+        let reset =
             AdmissionCounters { since: now, refusals: self.refusals, ..AdmissionCounters::default() };
-        due.then(|| std::mem::replace(self, fresh))
+        due.then(|| std::mem::replace(self, reset))
     }
 }
 
 impl fmt::Display for AdmissionCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [level, room, backend] = self.stopped;
-        write!(f, "asked {}, stopped by level {level}, room {room}, ", self.asked)?;
+        write!(f, "asked {}, stopped by level {level}, room {room}, ", self.requests)?;
         write!(f, "no usable backend {backend}; attempts ended")?;
         for (count, outcome) in self.ended.iter().zip(Outcome::ALL).filter(|(count, _)| **count > 0) {
             write!(f, " {outcome:?} {count}")?;
@@ -106,11 +106,11 @@
     /// Mean pressure that answers report.
     pub pressure: f64,
     /// How much more than the first estimate this node may have in flight.
-    pub room: f64,
+    pub in_flight_allowance: f64,
     /// Budget of spills.
-    pub spill: f64,
+    pub spill_tokens: f64,
     /// Backends that are congested.
-    pub out: usize,
+    pub congested: usize,
     /// Backends that are at their cap.
     pub capped: usize,
     /// Attempts that are out and not answered yet.
@@ -119,9 +119,24 @@
 
 impl fmt::Display for LoadSnapshot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let LoadSnapshot { level, strain, pressure, room, spill, out, capped, in_flight } = self;
-        write!(f, "level {level:.2} strain {strain:.2} pressure {pressure:.2} room {room:.2} ")?;
-        write!(f, "spill {spill:.1}; backends out {out}, at cap {capped}, in flight {in_flight}")
+        let LoadSnapshot {
+            level,
+            strain,
+            pressure,
+            in_flight_allowance,
+            spill_tokens,
+            congested,
+            capped,
+            in_flight,
+        } = self;
+        write!(
+            f,
+            "level {level:.2} strain {strain:.2} pressure {pressure:.2} room {in_flight_allowance:.2} "
+        )?;
+        write!(
+            f,
+            "spill {spill_tokens:.1}; backends out {congested}, at cap {capped}, in flight {in_flight}"
+        )
     }
 }
 
@@ -130,35 +145,35 @@
     use super::*;
 
     #[test]
-    fn a_line_tells_what_stopped_requests_and_starts_the_counts_anew() {
+    fn a_log_line_names_what_stopped_requests_and_resets_the_counters() {
         let mut counters = AdmissionCounters::default();
-        counters.ask();
-        counters.end(Outcome::Reset);
-        assert!(counters.take(SPAN_MS).is_none(), "nothing was stopped");
-        counters.stop(StopReason::Room);
-        assert!(counters.take(SPAN_MS - 1.0).is_none(), "too soon");
-        let text = counters.take(SPAN_MS).map(|t| t.to_string());
-        let wanted = "asked 1, stopped by level 0, room 1, no usable backend 0; attempts ended Reset 1";
-        assert_eq!(text.as_deref(), Some(wanted));
-        counters.stop(StopReason::Level);
-        assert!(counters.take(SPAN_MS + 1.0).is_none(), "told a moment ago");
+        counters.count_request();
+        counters.count_attempt_end(Outcome::Reset);
+        assert!(counters.take(LOG_INTERVAL_MS).is_none(), "nothing was stopped");
+        counters.count_stop(StopReason::Room);
+        assert!(counters.take(LOG_INTERVAL_MS - 1.0).is_none(), "too soon");
+        let text = counters.take(LOG_INTERVAL_MS).map(|t| t.to_string());
+        let expected = "asked 1, stopped by level 0, room 1, no usable backend 0; attempts ended Reset 1";
+        assert_eq!(text.as_deref(), Some(expected));
+        counters.count_stop(StopReason::Level);
+        assert!(counters.take(LOG_INTERVAL_MS + 1.0).is_none(), "told a moment ago");
     }
 
     #[test]
-    fn a_refusal_counts_for_what_stopped_it_and_outlives_the_line() {
+    fn refusals_are_counted_by_reason_and_are_not_reset_by_a_log_line() {
         let mut counters = AdmissionCounters::default();
-        counters.ask();
-        counters.stop(StopReason::Level);
-        counters.refuse();
-        counters.ask();
-        counters.end(Outcome::TimedOut);
-        counters.refuse();
-        assert!(counters.take(SPAN_MS).is_some());
+        counters.count_request();
+        counters.count_stop(StopReason::Level);
+        counters.count_refusal();
+        counters.count_request();
+        counters.count_attempt_end(Outcome::TimedOut);
+        counters.count_refusal();
+        assert!(counters.take(LOG_INTERVAL_MS).is_some());
         assert_eq!(counters.refusals(), RefusalCounts { stopped: [1, 0, 0], given_up: 1 });
     }
 
     #[test]
-    fn every_outcome_has_its_count() {
+    fn each_outcome_is_the_index_of_its_count() {
         for (n, outcome) in Outcome::ALL.into_iter().enumerate() {
             assert_eq!(outcome as usize, n);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -22,15 +22,15 @@
 use crate::request_table::{Backend, OpenRequest};
 use crate::statistics::{ClassStatistics, DecayingPeak, KeyCounts};
 use admission::Admission;
-pub(crate) use concurrency_cap::Cap;
+pub(crate) use concurrency_cap::ConcurrencyCap;
 pub(crate) use failure_record::FailureRecord;
 use locality::Locality;
-use selection::Place;
-use shared_state::Shared;
+use selection::RendezvousEntry;
+use shared_state::SharedState;
 use std::collections::HashMap;
 
-const TICK: u64 = 1;
-const ASK: u64 = 2;
+const TICK_TIMER: u64 = 1;
+const LIST_TIMER: u64 = 2;
 
 /// The decisions of one node. Feed it events, carry out its actions.
 ///
@@ -40,28 +40,28 @@
     pub(crate) settings: Settings,
     rng: fastrand::Rng,
     pub(crate) backends: Vec<Backend>,
-    places: Vec<Place>,
-    open: HashMap<RequestId, OpenRequest>,
-    pub(crate) learned: Vec<ClassStatistics>,
-    keys: KeyCounts,
-    near: Locality,
+    rendezvous_table: Vec<RendezvousEntry>,
+    open_requests: HashMap<RequestId, OpenRequest>,
+    pub(crate) class_statistics: Vec<ClassStatistics>,
+    key_counts: KeyCounts,
+    locality: Locality,
     /// Part of its usual weight that each zone has.
-    zones: Vec<f64>,
-    shared: Shared,
+    zone_weights: Vec<f64>,
+    shared_state: SharedState,
     pub(crate) admission: Admission,
     pub(crate) counters: AdmissionCounters,
     /// Share of recent attempts, over all backends, that failed to connect or answer.
-    fleet_failing: f64,
+    fleet_failure_share: f64,
     /// Attempts that are out and not answered yet.
     pub(crate) in_flight: u32,
     /// Mean pressure that answers report, over all backends.
     pub(crate) pressure: f64,
     /// Mean pressure above which the fleet is too full.
-    full_at: f64,
+    full_pressure: f64,
     /// The most requests a second that a warm backend was lately seen to serve for this node.
-    pub(crate) warm: DecayingPeak,
-    ticked: f64,
-    ask_failures: u32,
+    pub(crate) warm_rate: DecayingPeak,
+    last_tick: f64,
+    list_failures: u32,
 }
 
 impl Balancer {
@@ -75,22 +75,28 @@
         let mut balancer = Balancer {
             rng: fastrand::Rng::with_seed(seed),
             backends: Vec::new(),
-            places: Vec::new(),
-            open: HashMap::new(),
-            learned: Vec::new(),
-            keys: KeyCounts::new(),
-            near: Locality::default(),
-            zones: Vec::new(),
-            shared: Shared::default(),
-            admission: Admission { level: 1.0, room: 1.0, retry: 3.0, spill: 3.0, ..Admission::default() },
+            rendezvous_table: Vec::new(),
+            open_requests: HashMap::new(),
+            class_statistics: Vec::new(),
+            key_counts: KeyCounts::new(),
+            locality: Locality::default(),
+            zone_weights: Vec::new(),
+            shared_state: SharedState::default(),
+            admission: Admission {
+                level: 1.0,
+                in_flight_allowance: 1.0,
+                retry_tokens: 3.0,
+                spill_tokens: 3.0,
+                ..Admission::default()
+            },
             counters: AdmissionCounters::default(),
-            fleet_failing: 0.0,
+            fleet_failure_share: 0.0,
             in_flight: 0,
             pressure: 0.0,
-            full_at: admission::FILLING,
-            warm: DecayingPeak::default(),
-            ticked: 0.0,
-            ask_failures: 0,
+            full_pressure: admission::MIN_FULL_PRESSURE,
+            warm_rate: DecayingPeak::default(),
+            last_tick: 0.0,
+            list_failures: 0,
             settings: settings.clone(),
         };
         balancer.apply_settings(settings);
@@ -98,40 +104,42 @@
     }
 
     /// Takes one event at the time `now` and adds what is to be done to `out`.
-    pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => {
-                self.ticked = now;
-                out.push(Action::Timer { token: TICK, at_ms: now + self.tick_span() });
+                self.last_tick = now;
+                actions.push(Action::Timer { token: TICK_TIMER, at_ms: now + self.tick_interval_ms() });
                 if self.settings.discovery == Discovery::OnRequest {
                     // The list that is known serves meanwhile.
-                    let wait = self.ask_spread() * self.rng.f64();
-                    out.push(Action::Timer { token: ASK, at_ms: now + wait });
+                    let wait = self.list_call_spread_ms() * self.rng.f64();
+                    actions.push(Action::Timer { token: LIST_TIMER, at_ms: now + wait });
                 }
             }
-            Event::List { kind, entries } => self.on_list(now, kind, &entries, out),
-            Event::Request(r) => self.on_request(now, r, out),
-            Event::AttemptEnded(e) => self.on_ended(now, &e, out),
+            Event::List { kind, entries } => self.on_list(now, kind, &entries, actions),
+            Event::Request(r) => self.on_request(now, r, actions),
+            Event::AttemptEnded(e) => self.on_attempt_ended(now, &e, actions),
             Event::Memory(memory) => self.restore_memory(&memory),
-            Event::ClientLeft(id) => self.on_left(id, out),
-            Event::Timer(TICK) => self.on_tick(now, out),
-            Event::Timer(ASK) => out.push(Action::Watch(true)),
+            Event::ClientLeft(id) => self.on_client_left(id, actions),
+            Event::Timer(TICK_TIMER) => self.on_tick(now, actions),
+            Event::Timer(LIST_TIMER) => actions.push(Action::Watch(true)),
             Event::ProbeEnded { backend, outcome, .. } => {
-                if let Some(i) = self.find(backend).filter(|&i| self.backends[i].record.trial_out) {
-                    let live = outcome == Outcome::Done;
-                    self.trial_over(
+                if let Some(i) =
+                    self.backend_index(backend).filter(|&i| self.backends[i].failure_record.trial_in_flight)
+                {
+                    let succeeded = outcome == Outcome::Done;
+                    self.finish_trial(
                         now,
                         i,
-                        if live { PeerMessage::TrialSucceeded } else { PeerMessage::TrialFailed },
-                        out,
+                        if succeeded { PeerMessage::TrialSucceeded } else { PeerMessage::TrialFailed },
+                        actions,
                     );
                 }
             }
-            Event::ZoneWeights(weights) => self.on_zones(now, weights, out),
-            Event::Shared(news) => self.on_fleet(now, news, out),
-            Event::PeerMessage { bytes, .. } => self.on_news(now, &bytes, out),
+            Event::ZoneWeights(weights) => self.on_zone_weights(now, weights, actions),
+            Event::Shared(update) => self.on_shared_update(now, update, actions),
+            Event::PeerMessage { bytes, .. } => self.on_peer_message(now, &bytes, actions),
             Event::ResponseStarted { id, attempt, elapsed_ms, .. } => {
-                self.on_started(now, id, attempt, elapsed_ms)
+                self.on_response_started(now, id, attempt, elapsed_ms)
             }
             Event::Settings(s) if s.check().is_ok() => self.apply_settings(*s),
             Event::Timer(_) | Event::Settings(_) => {}
@@ -139,45 +147,46 @@
     }
 
     /// Housekeeping comes ten times within a fall window or so, never faster than twenty batches.
-    fn tick_span(&self) -> f64 {
+    fn tick_interval_ms(&self) -> f64 {
         (self.settings.fall_ms / 6.0).max(20.0 * self.settings.tick_ms).max(1.0)
     }
 
-    fn on_tick(&mut self, now: f64, out: &mut Vec<Action>) {
-        let seconds = ((now - self.ticked) / 1000.0).max(1e-3);
-        out.push(Action::Timer { token: TICK, at_ms: now + self.tick_span() });
+    fn on_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
+        let seconds = ((now - self.last_tick) / 1000.0).max(1e-3);
+        actions.push(Action::Timer { token: TICK_TIMER, at_ms: now + self.tick_interval_ms() });
         let cold = |b: &Backend| now - b.cold_since < self.settings.cold_ms;
         // What a warm backend can serve for this node is the yardstick of the cold budget. What it serves
         // now may be less, where little is asked or where time-outs are all that a crowd leaves of it: the
         // most that was seen counts, and fades within a cold time.
-        let warm = self.backends.iter().filter(|b| b.up && !b.record.congested && !cold(b)).count();
-        self.warm.tick(seconds, warm, self.settings.cold_ms);
+        let warm = self.backends.iter().filter(|b| b.up && !b.failure_record.congested && !cold(b)).count();
+        self.warm_rate.tick(seconds, warm, self.settings.cold_ms);
         for i in 0..self.backends.len() {
-            let gain = self.cold_gain(now, i);
+            let gained = self.cold_tokens_gained(now, i);
             let b = &mut self.backends[i];
-            b.cold_tokens = (b.cold_tokens + gain).min(1.0);
+            b.cold_tokens = (b.cold_tokens + gained).min(1.0);
         }
-        self.ticked = now;
-        self.keys.fade(seconds);
-        self.near.tick(seconds, self.settings.prices.cross_zone);
-        self.place(now);
+        self.last_tick = now;
+        self.key_counts.decay(seconds);
+        self.locality.tick(seconds, self.settings.prices.cross_zone);
+        self.rebuild_rendezvous_table(now);
         let up = self.backends.iter().filter(|b| b.up).count().max(1) as f64;
-        let shut = |b: &&Backend| b.up && (b.record.congested || b.cap.blocks(now, b.in_flight));
-        self.admission.blocked = self.backends.iter().filter(shut).count() as f64 / up;
-        self.admission_tick(seconds);
-        out.extend(self.shared.spilled.drain(..).map(Action::ShareObservation));
-        self.log_counters(now, out);
-        out.extend(
+        let blocked =
+            |b: &&Backend| b.up && (b.failure_record.congested || b.cap.is_blocked(now, b.in_flight));
+        self.admission.blocked_share = self.backends.iter().filter(blocked).count() as f64 / up;
+        self.update_admission(seconds);
+        actions.extend(self.shared_state.spilled_keys.drain(..).map(Action::ShareObservation));
+        self.log_counters(now, actions);
+        actions.extend(
             self.backends
                 .iter()
-                .filter(|b| now < b.close_until)
+                .filter(|b| now < b.closing_until)
                 .map(|b| Action::CloseIdleConnections(b.id)),
         );
         // Trials by probe, one at a time, for backends past their PRAT.
         if self.settings.probes {
-            for b in self.backends.iter_mut().filter(|b| b.up && b.record.trial_due(now)) {
-                b.record.trial_out = true;
-                out.push(Action::Probe(b.id));
+            for b in self.backends.iter_mut().filter(|b| b.up && b.failure_record.is_trial_due(now)) {
+                b.failure_record.trial_in_flight = true;
+                actions.push(Action::Probe(b.id));
             }
         }
     }
--- a/src/policy/refusal.rs
+++ b/src/policy/refusal.rs
@@ -5,32 +5,32 @@
 
 impl Balancer {
     /// The gate of every refusal: refused where that promise holds, failed where it does not.
-    pub(super) fn answer(&mut self, now: f64, id: RequestId, out: &mut Vec<Action>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        if open.finished || open.out() {
+    pub(super) fn refuse_or_fail(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        if open.finished || open.has_attempt_in_flight() {
             return;
         }
         open.finished = true;
         let effect = self.settings.effect(open.request.class);
         let none_ran = open.may_have_run().is_none();
         let harmless = none_ran || matches!(effect, Effect::Safe | Effect::Keyed(Group::All));
-        let aim = (open.aim_at - open.arrived).max(1.0);
-        self.open.remove(&id);
+        let aim = (open.aim_at - open.arrived_at).max(1.0);
+        self.open_requests.remove(&id);
         if !harmless {
-            out.push(Action::Fail(id));
+            actions.push(Action::Fail(id));
             return;
         }
-        self.counters.refuse();
-        let retry_after_ms = self.crat(now, aim);
-        out.push(Action::Refuse { id, retry_after_ms });
+        self.counters.count_refusal();
+        let retry_after_ms = self.client_retry_after_ms(now, aim);
+        actions.push(Action::Refuse { id, retry_after_ms });
     }
 
     /// CRAT: earliest PRAT - now + T + chance when every backend is congested, T + chance when caps block.
-    pub(super) fn crat(&mut self, now: f64, aim: f64) -> f64 {
+    pub(super) fn client_retry_after_ms(&mut self, now: f64, aim: f64) -> f64 {
         let up = || self.backends.iter().filter(|b| b.up);
-        let open = up().any(|b| !b.record.congested);
-        let prat = up().map(|b| b.record.prat).fold(f64::INFINITY, f64::min);
-        let wait = if open || !prat.is_finite() { 0.0 } else { (prat - now).max(0.0) };
+        let any_live = up().any(|b| !b.failure_record.congested);
+        let prat = up().map(|b| b.failure_record.prat).fold(f64::INFINITY, f64::min);
+        let wait = if any_live || !prat.is_finite() { 0.0 } else { (prat - now).max(0.0) };
         let t = aim.min(self.settings.max_retry_after_ms / 2.0);
         (wait + t * (1.0 + self.rng.f64())).min(self.settings.max_retry_after_ms)
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -9,25 +9,26 @@
 
 impl Balancer {
     /// Budget that a cold backend has gained since the last tick; one that is whole need not wait.
-    pub(super) fn cold_gain(&self, now: f64, index: usize) -> f64 {
-        self.cold_rate(now, index) * (now - self.ticked).max(0.0) / 1000.0
+    pub(super) fn cold_tokens_gained(&self, now: f64, index: usize) -> f64 {
+        self.cold_rate_per_s(now, index) * (now - self.last_tick).max(0.0) / 1000.0
     }
 
     /// Requests a second that this node may send a cold backend. All nodes together may send
     /// `fall_multiple` times its present capacity; chance is allowed for: the mean plus three
     /// deviations stay below.
-    pub(super) fn cold_rate(&self, now: f64, index: usize) -> f64 {
-        let part = ramp(&self.settings, now - self.backends[index].cold_since);
+    pub(super) fn cold_rate_per_s(&self, now: f64, index: usize) -> f64 {
+        let part = capacity_part(&self.settings, now - self.backends[index].cold_since);
         let seconds = self.settings.fall_ms / 1000.0;
         let all = f64::from(self.settings.nodes_per_backend());
-        let budget = self.settings.fall_multiple * part * self.warm.most * all * seconds / COLD_KEY_WORK;
+        let budget =
+            self.settings.fall_multiple * part * self.warm_rate.peak * all * seconds / COLD_KEY_WORK;
         let root = ((18.0 + 4.0 * budget).sqrt() - 18.0_f64.sqrt()) / 2.0;
-        (root * root / seconds / all).min(part * self.warm.most)
+        (root * root / seconds / all).min(part * self.warm_rate.peak)
     }
 }
 
 /// A cold backend's present part of its capacity, by the slowest ramp the settings allow.
-pub(super) fn ramp(s: &Settings, age: f64) -> f64 {
+pub(super) fn capacity_part(s: &Settings, age: f64) -> f64 {
     let start = s.start_capacity.clamp(0.01, 1.0);
     if age >= s.cold_ms { 1.0 } else { start + (1.0 - start) * (age / s.cold_ms).clamp(0.0, 1.0) }
 }
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -2,7 +2,7 @@
 //! back. It decides nothing.
 
 use crate::interface::{Action, BackendId, Request};
-use crate::policy::{Cap, FailureRecord};
+use crate::policy::{ConcurrencyCap, FailureRecord};
 use crate::statistics::Pressure;
 
 /// One backend as this node knows it.
@@ -16,15 +16,15 @@
     pub(crate) up: bool,
     /// Until when idle connections are closed again at each tick: one whose handshake was under way at the
     /// notice, or at the last outcome, turns idle later. 0 where nothing is to be closed.
-    pub(crate) close_until: f64,
+    pub(crate) closing_until: f64,
     pub(crate) in_flight: u32,
     /// Start of its cold time, by the list or by its silence.
     pub(crate) cold_since: f64,
     /// Work that the cold budget allowed at the last tick, less what was sent since, in mean requests.
     pub(crate) cold_tokens: f64,
-    pub(crate) record: FailureRecord,
-    pub(crate) cap: Cap,
-    pub(crate) load: Pressure,
+    pub(crate) failure_record: FailureRecord,
+    pub(crate) cap: ConcurrencyCap,
+    pub(crate) pressure: Pressure,
 }
 
 /// An attempt that was sent.
@@ -33,27 +33,27 @@
     pub(crate) backend: BackendId,
     pub(crate) zone: u16,
     pub(crate) cell: u32,
-    pub(crate) sent: f64,
-    pub(crate) timeout: f64,
-    pub(crate) out: bool,
+    pub(crate) sent_at: f64,
+    pub(crate) timeout_ms: f64,
+    pub(crate) in_flight: bool,
     /// Its answer is being passed on.
-    pub(crate) begun: bool,
+    pub(crate) response_started: bool,
     pub(crate) never_ran: bool,
-    pub(crate) trial: bool,
+    pub(crate) is_trial: bool,
 }
 
 impl Attempt {
     /// One that has just been sent, to nobody yet.
-    pub(crate) const OUT: Attempt = Attempt {
+    pub(crate) const IN_FLIGHT: Attempt = Attempt {
         backend: BackendId(0),
         zone: 0,
         cell: 0,
-        sent: 0.0,
-        timeout: 0.0,
-        out: true,
-        begun: false,
+        sent_at: 0.0,
+        timeout_ms: 0.0,
+        in_flight: true,
+        response_started: false,
         never_ran: false,
-        trial: false,
+        is_trial: false,
     };
 }
 
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
     pub(crate) request: Request,
-    pub(crate) arrived: f64,
+    pub(crate) arrived_at: f64,
     pub(crate) aim_at: f64,
     pub(crate) worth: f64,
     pub(crate) finished: bool,
@@ -70,24 +70,24 @@
 
 impl OpenRequest {
     /// An attempt of it has not ended.
-    pub(crate) fn out(&self) -> bool {
-        self.attempts.iter().any(|a| a.out)
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|a| a.in_flight)
     }
 
     /// Calls off the attempts that are out and that `which` is true of.
-    pub(crate) fn cancel(&self, which: impl Fn(&Attempt) -> bool) -> impl Iterator<Item = Action> {
+    pub(crate) fn cancel_attempts(&self, which: impl Fn(&Attempt) -> bool) -> impl Iterator<Item = Action> {
         let id = self.request.id;
-        let attempts = self.attempts.iter().enumerate().filter(move |(_, a)| a.out && which(a));
+        let attempts = self.attempts.iter().enumerate().filter(move |(_, a)| a.in_flight && which(a));
         attempts.map(move |(n, _)| Action::Cancel { id, attempt: n as u32 })
     }
 
     /// The first attempt that may have run.
     pub(crate) fn may_have_run(&self) -> Option<&Attempt> {
-        self.may_have_run_beside(usize::MAX)
+        self.may_have_run_except(usize::MAX)
     }
 
     /// The same of all attempts but one.
-    pub(crate) fn may_have_run_beside(&self, attempt: usize) -> Option<&Attempt> {
+    pub(crate) fn may_have_run_except(&self, attempt: usize) -> Option<&Attempt> {
         let others = self.attempts.iter().enumerate().filter(|(n, _)| *n != attempt);
         others.map(|(_, a)| a).find(|a| !a.never_ran)
     }
