--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,57 +1,61 @@
-//! Admission: how much of what is asked may go in, what is worth least going first.
+//! Admission control: decides which part of the offered requests is admitted, shedding the least worth first.
 
 use super::Balancer;
 use crate::counters::StopReason;
 use crate::interface::{Reporting, Request};
 use crate::statistics::{ClassStatistics, DecayingRates, OutcomeBalance};
 
-/// Strain that the learned cap and admission settle at.
+/// Strain at which the concurrency caps and the admission level settle (share of outcomes that were late or failed).
 pub(super) const TARGET_STRAIN: f64 = 0.2;
-/// Mean reported pressure from which admission holds it for strain.
+/// Lowest mean reported pressure that admission counts as strain.
 pub(super) const MIN_FULL_PRESSURE: f64 = 0.85;
-/// Requests in flight at a backend, of all nodes together, that none is held to be too small for.
+/// Requests of all nodes together that any backend is assumed to hold in flight.
 const MIN_BACKEND_IN_FLIGHT: f64 = 4.0;
 
-/// Admission: how much of what is asked may go in, what is worth least going first.
+/// State of admission control.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
-    /// Part of the offered work that is let in.
+    /// Part of the offered work that is admitted, 0 to 1.
     pub(crate) level: f64,
-    /// How much more than the first estimate this node may have in flight at all backends together.
+    /// Factor on the first estimate of the requests that this node may have in flight at all backends together.
     pub(crate) in_flight_allowance: f64,
-    /// A request has found that full since the last tick.
+    /// True if a request was stopped by the allowance since the last tick.
     pub(super) allowance_reached: bool,
+    /// Recent outcomes, weighted by worth.
     pub(super) outcomes: OutcomeBalance,
-    /// Share of backends that are congested or capped.
+    /// Share of the backends that are congested or at their cap.
     pub(super) blocked_share: f64,
-    /// Share of strain in recent outcomes.
+    /// Strain: share of recent outcomes that were late or failed, 0 to 1.
     pub(crate) strain: f64,
-    /// Offered work and worth by class, within and over share.
+    /// Offered work by class: within the tenant's share, and over it or late.
     pub(crate) offered: Vec<[f64; 2]>,
-    /// Chance of being let in.
+    /// Probability of admission, by class as in `offered`.
     pub(crate) admit_probability: Vec<[f64; 2]>,
-    /// Part of the room that it may fill: less for what is worth least.
+    /// Part of the in-flight allowance that a class may fill, as in `offered`: the less, the less it is worth.
     pub(crate) allowance_part: Vec<[f64; 2]>,
-    /// Requests a second of each tenant at this node.
+    /// Requests per second of each tenant at this node.
     pub(crate) tenant_rates: DecayingRates,
-    /// Tokens for further attempts and for spills.
+    /// Tokens for further attempts.
     pub(super) retry_tokens: f64,
+    /// Tokens for spills: sends to a backend that is none of the key's candidates.
     pub(crate) spill_tokens: f64,
 }
 
 impl Balancer {
+    /// Updates the strain, the admission level and each class's probability of admission, at every tick.
     pub(super) fn update_admission(&mut self, seconds: f64) {
-        // After this node's own stall one tick spans seconds; it must not slam admission shut or open.
+        // A stall of this node makes one tick span several seconds. The limit keeps such a tick from closing or
+        // opening admission all at once.
         let seconds = seconds.min(1.0);
         let keep = (-seconds / 2.0_f64).exp();
         let a = &mut self.admission;
         a.tenant_rates.tick(seconds);
-        // Few outcomes are little evidence: without this, a node that admits next to nothing would hold
-        // on to the strain that made it so.
+        // The estimate shrinks with the number of outcomes: a node that admits next to nothing would otherwise
+        // keep the strain that closed it.
         a.strain = a.outcomes.bad_share();
-        // Reports show the fleet filling up before answers come late; some backends that are crowded for a
-        // second or two slow down for long. Where a full fleet still answers well within the aim, that much
-        // is learned to be no strain.
+        // Load reports show that the fleet is filling up before answers become late, and some backends stay slow
+        // long after one or two seconds of overload. High pressure therefore counts as strain. Where a full
+        // fleet still answers well within the aim, the threshold rises.
         if self.pressure > self.full_pressure && a.strain < TARGET_STRAIN {
             self.full_pressure += 0.03 * seconds;
         } else if a.strain > 2.0 * TARGET_STRAIN {
@@ -71,6 +75,7 @@
         }
         a.allowance_reached = false;
         a.outcomes.decay(seconds);
+        // Orders the classes by what the goal gains per unit of work.
         let mut order: Vec<(f64, usize, usize)> = Vec::new();
         let served_share = |l: &ClassStatistics| if l.requests > 0.0 { l.served / l.requests } else { 1.0 };
         let worst = self.class_statistics.iter().map(served_share).fold(1.0, f64::min);
@@ -92,6 +97,7 @@
             }
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0));
+        // Admits classes in that order until the admitted part of the offered work is used up.
         let a = &mut self.admission;
         let mut left = a.level * a.offered.iter().map(|o| o[0] + o[1]).sum::<f64>();
         let last = order.len().max(2) as f64 - 1.0;
@@ -106,8 +112,9 @@
         self.class_statistics.iter_mut().for_each(|l| l.decay(seconds));
     }
 
-    /// Whether a request goes in: by its class's chance, and where there is room. `over`: worth less than its
-    /// class, since its tenant is over its share or it comes late.
+    /// Decides whether a request is admitted: by its class's probability, and only while this node's in-flight
+    /// allowance is not used up. `over`: the request is worth less than its class, because its tenant is over its
+    /// share or because it is late.
     pub(super) fn admit(&mut self, request: &Request, cost: f64, worth: f64, over: bool) -> bool {
         let (class, over) = (request.class, usize::from(over));
         let Some(offered) = self.admission.offered.get_mut(class) else { return worth > 0.0 };
@@ -118,7 +125,7 @@
         let allowance =
             self.admission.in_flight_allowance * MIN_BACKEND_IN_FLIGHT * self.rendezvous_table.len() as f64
                 / nodes;
-        // Where that is a few requests, chance alone exceeds it.
+        // Three standard deviations are added, because random arrivals alone exceed a small allowance.
         let allowance =
             (allowance + 3.0 * allowance.sqrt()).max(1.0) * self.admission.allowance_part[class][over];
         let no_allowance =
@@ -130,7 +137,8 @@
         admitted && !no_allowance
     }
 
-    /// Over its share: by chance, as often as the tenant's traffic exceeds this node's part of its quota.
+    /// Counts a tenant's request and decides by chance whether it is over the tenant's share, as often as the
+    /// tenant's traffic exceeds its quota at this node. The share known of the whole fleet goes first.
     pub(super) fn is_over_share(&mut self, tenant: Option<usize>) -> bool {
         let Some((i, quota)) = tenant.and_then(|t| self.settings.tenants.get(t).map(|q| (t, q.quota_rps)))
         else {
--- a/src/policy/concurrency_cap.rs
+++ b/src/policy/concurrency_cap.rs
@@ -1,27 +1,34 @@
-//! The in-flight cap of a backend, learned from the strain that outcomes show.
+//! The cap on this node's requests in flight at a backend, learned from the strain that outcomes show.
 
 use super::admission::TARGET_STRAIN;
 
-/// The in-flight cap, learned from outcomes. Below 1 it is a duty: one at a time, with pauses between.
+/// Cap on the requests in flight at one backend. Below 1 it is a duty cycle: one request at a time, with pauses
+/// between.
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyCap {
+    /// Requests that may be in flight.
     pub(crate) limit: f64,
-    /// When cuts last took the whole limit; attempts sent before say nothing new. 0 until the first cut.
+    /// Time of the last cut: the first reduction, or the time at which the reductions since the last cut exceeded the
+    /// whole limit; 0 before that. Strain of attempts sent earlier is ignored, because the cut answers it already.
     pub(crate) cut_at: f64,
-    /// What cuts have taken since.
+    /// Sum of the reductions since `cut_at`.
     pub(crate) reduced: f64,
+    /// End of the pause after a request, where the limit is below 1.
     pub(crate) blocked_until: f64,
 }
 
 impl ConcurrencyCap {
-    /// Growth for an answer without strain; what strain takes away balances it at the strain aimed for.
+    /// Growth for an answer without strain. Reductions balance it at the target strain.
     const GROWTH_STEP: f64 = 0.1;
 
+    /// True if the cap allows no further request at `now`.
     pub(crate) fn is_blocked(&self, now: f64, in_flight: u32) -> bool {
         f64::from(in_flight) + 1.0 > self.limit.max(1.0) || now < self.blocked_until
     }
 
-    /// Learns from one outcome's strain, 0 for well within the aim to 1 for late.
+    /// Updates the limit by the strain of one outcome: 0 for an answer well within the aim, 1 for a late one.
+    /// `elapsed` is the attempt's time in milliseconds, `shrink` the part of the unused limit that strain removes,
+    /// and `floor` the lowest limit.
     pub(super) fn record_outcome(
         &mut self,
         now: f64,
@@ -33,8 +40,8 @@
     ) {
         let step = ConcurrencyCap::GROWTH_STEP * self.limit.min(1.0) * (1.0 - strain / TARGET_STRAIN);
         if step < 0.0 && now - elapsed >= self.cut_at {
-            // Room that was not in use when strain showed is no room: part of it goes at once, the more the
-            // more the fleet is strained. One late answer in easy times takes next to nothing.
+            // The part of the limit that was unused when strain showed is unproven. Some of it goes at once, the
+            // more the more the fleet is strained; one late answer in a fleet at ease removes next to nothing.
             let unused = (self.limit - f64::from(in_flight) - 1.0).max(0.0);
             self.limit = (self.limit + step - shrink * unused).max(floor.min(self.limit));
             self.reduced -= step;
@@ -42,7 +49,7 @@
                 (self.cut_at, self.reduced) = (now, 0.0);
             }
         } else if step > 0.0 && f64::from(in_flight) + 1.0 >= self.limit / 2.0 {
-            // Until strain first shows, doubling: a small start must not last.
+            // Grows faster until strain first shows, so that a low initial limit does not last.
             self.limit += if self.cut_at == 0.0 { step * 5.0 } else { step };
         }
         if self.limit < 1.0 {
@@ -51,8 +58,8 @@
     }
 }
 
-/// The cap of a backend that nothing is known of: two, or eight over all nodes where they are few; where they
-/// are many, their share of 32, lest all of them together flood it before any has learned.
+/// Initial cap of a backend without history: 8 over all nodes where they are few, 2 where there are more. Many nodes
+/// share 32, because 2 from each would overload the backend before any node has learned.
 pub(super) fn initial_cap(nodes_per_backend: u32) -> f64 {
     let nodes = f64::from(nodes_per_backend.max(1));
     (32.0 / nodes).clamp(0.4, 2.0).max(8.0 / nodes)
