--- a/src/policy/backend_list.rs
+++ b/src/policy/backend_list.rs
@@ -1,23 +1,26 @@
-//! The list of backends: who is on it, when it is asked for again, and when what drains is let go of.
+//! The list of backends: applies updates, schedules the next call to discovery, and closes idle connections to
+//! backends that drain.
 
 use super::concurrency_cap::{ConcurrencyCap, initial_cap};
 use super::{Balancer, LIST_TIMER};
 use crate::interface::{Action, BackendId, Health, ListEntry, ListKind};
 use crate::request_table::Backend;
 
-/// Time that discovery, one service for all nodes, is left for each node's call.
+/// Time that discovery, which serves all nodes, has for each node's call.
 const LIST_CALL_SPACING_MS: f64 = 25.0;
 
 impl Balancer {
-    /// The calls of all nodes that start at once are spread over this long.
+    /// Time over which the calls of all nodes that start at once are spread.
     pub(super) fn list_call_spread_ms(&self) -> f64 {
         (LIST_CALL_SPACING_MS * f64::from(self.settings.instances)).min(self.settings.must_ask_in_ms / 2.0)
     }
 
+    /// Returns the index of a backend, if it is known.
     pub(crate) fn backend_index(&self, id: BackendId) -> Option<usize> {
         self.backends.binary_search_by_key(&id, |b| b.id).ok()
     }
 
+    /// Applies an update of the list, or schedules the next call after a failed one.
     pub(super) fn on_list(
         &mut self,
         now: f64,
@@ -26,8 +29,9 @@
         actions: &mut Vec<Action>,
     ) {
         if kind == ListKind::Failed {
-            // Asked again at a jittered pace that backs off, but often enough not to count as deaf: that time
-            // is four times as long after a failed call. What waits in vain keeps the service busy too.
+            // Exponential back-off with jitter. The wait stays within the time after which discovery counts a
+            // silent node as informed, which is four times as long after a failed call. Even calls that time out
+            // cost the service work.
             self.list_failures = (self.list_failures + 1).min(5);
             let least = self.tick_interval_ms().max(self.list_call_spread_ms());
             let most = (self.settings.must_ask_in_ms / 2.0)
@@ -67,7 +71,7 @@
             });
             let b = &mut self.backends[index];
             if ready_at > b.cold_since {
-                // A new start: what the old process did says nothing of this one.
+                // The backend restarted: the old process's failures say nothing about the new one.
                 if now - ready_at < self.settings.cold_ms {
                     b.cold_tokens = self.rng.f64();
                 }
@@ -89,8 +93,8 @@
         self.rebuild_rendezvous_table(now);
     }
 
-    /// Gives back the idle connections to a backend that drains, where a time is set for that: at the notice
-    /// and at every outcome there, and at each tick for half the time allowed after either.
+    /// Closes the idle connections to a backend that drains or is gone, where the settings give a time for that: at
+    /// the notice, at each outcome there, and at each tick for half of that time after either.
     pub(super) fn close_idle_connections(&mut self, now: f64, index: usize, actions: &mut Vec<Action>) {
         let b = &mut self.backends[index];
         if let Some(within) = self.settings.drain_close_ms.filter(|_| !b.up) {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! Every decision of the balancer, a file for each. Events and actions are in `src/interface.rs`.
+//! All decisions of the balancer, one file for each subject. Events and actions are defined in `src/interface.rs`.
 //!
-//! [`Balancer`] owns what they know and hands each event to them. Two gates keep the rules: every send passes
-//! `may_send`, every refusal `answer`.
+//! [`Balancer`] owns the state and dispatches each event. The operators' rules are kept in two places: every send
+//! passes `may_send`, and every refusal passes `refuse_or_fail`.
 
 mod admission;
 mod backend_list;
@@ -29,47 +29,53 @@
 use shared_state::SharedState;
 use std::collections::HashMap;
 
+/// Token of the timer for periodic work.
 const TICK_TIMER: u64 = 1;
+/// Token of the timer for the next call to discovery.
 const LIST_TIMER: u64 = 2;
 
-/// The decisions of one node. Feed it events, carry out its actions.
+/// The decisions of one node. The host passes events in and carries out the returned actions.
 ///
-/// See the crate's page for an example.
+/// See the crate's documentation for an example.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
     rng: fastrand::Rng,
+    /// Known backends, ordered by id.
     pub(crate) backends: Vec<Backend>,
+    /// Entries for rendezvous hashing, one for each backend that is up.
     rendezvous_table: Vec<RendezvousEntry>,
     open_requests: HashMap<RequestId, OpenRequest>,
+    /// What is learned of each class, by the class's number.
     pub(crate) class_statistics: Vec<ClassStatistics>,
     key_counts: KeyCounts,
     locality: Locality,
-    /// Part of its usual weight that each zone has.
+    /// Part of its usual weight that each zone has, by the zone's number.
     zone_weights: Vec<f64>,
     shared_state: SharedState,
     pub(crate) admission: Admission,
     pub(crate) counters: AdmissionCounters,
-    /// Share of recent attempts, over all backends, that failed to connect or answer.
+    /// Share of recent attempts, over all backends, that failed to connect or to answer.
     fleet_failure_share: f64,
-    /// Attempts that are out and not answered yet.
+    /// Attempts in flight whose answer has not begun.
     pub(crate) in_flight: u32,
-    /// Mean pressure that answers report, over all backends.
+    /// Mean pressure that answers report, over all backends, 0 to 1.
     pub(crate) pressure: f64,
-    /// Mean pressure above which the fleet is too full.
+    /// Mean pressure above which admission counts the fleet as strained.
     full_pressure: f64,
-    /// The most requests a second that a warm backend was lately seen to serve for this node.
+    /// Highest rate, in requests per second, that a warm backend was lately seen to serve for this node.
     pub(crate) warm_rate: DecayingPeak,
+    /// Time of the last tick.
     last_tick: f64,
+    /// Failed calls to discovery in a row, counted up to 5.
     list_failures: u32,
 }
 
 impl Balancer {
-    /// A balancer that knows its settings and nothing else. The same seed and events give the same
-    /// actions.
+    /// Creates a balancer without a list of backends. The same seed and the same events give the same actions.
     ///
     /// # Errors
-    /// Settings that cannot be run on: no class, or a figure outside its range.
+    /// Returns [`SettingsError`] if the settings have no class, or a value outside its range.
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         settings.check()?;
         let mut balancer = Balancer {
@@ -103,14 +109,14 @@
         Ok(balancer)
     }
 
-    /// Takes one event at the time `now` and adds what is to be done to `out`.
+    /// Handles one event at the time `now`, in milliseconds, and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => {
                 self.last_tick = now;
                 actions.push(Action::Timer { token: TICK_TIMER, at_ms: now + self.tick_interval_ms() });
                 if self.settings.discovery == Discovery::OnRequest {
-                    // The list that is known serves meanwhile.
+                    // The node works with the list that it has until the call is answered.
                     let wait = self.list_call_spread_ms() * self.rng.f64();
                     actions.push(Action::Timer { token: LIST_TIMER, at_ms: now + wait });
                 }
@@ -146,18 +152,20 @@
         }
     }
 
-    /// Housekeeping comes ten times within a fall window or so, never faster than twenty batches.
+    /// Time between ticks: a sixth of the time in which an overloaded cold backend falls over, and at least twenty
+    /// times the time between the host's batches.
     fn tick_interval_ms(&self) -> f64 {
         (self.settings.fall_ms / 6.0).max(20.0 * self.settings.tick_ms).max(1.0)
     }
 
+    /// Does the periodic work: statistics, budgets, admission, logging and trials by probe.
     fn on_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
         let seconds = ((now - self.last_tick) / 1000.0).max(1e-3);
         actions.push(Action::Timer { token: TICK_TIMER, at_ms: now + self.tick_interval_ms() });
         let cold = |b: &Backend| now - b.cold_since < self.settings.cold_ms;
-        // What a warm backend can serve for this node is the yardstick of the cold budget. What it serves
-        // now may be less, where little is asked or where time-outs are all that a crowd leaves of it: the
-        // most that was seen counts, and fades within a cold time.
+        // The budget of cold backends is measured by the rate that a warm backend serves for this node. The present
+        // rate may be lower, where few requests arrive or where most of them time out under overload. The highest
+        // rate seen counts, and decays within `cold_ms`.
         let warm = self.backends.iter().filter(|b| b.up && !b.failure_record.congested && !cold(b)).count();
         self.warm_rate.tick(seconds, warm, self.settings.cold_ms);
         for i in 0..self.backends.len() {
@@ -182,7 +190,7 @@
                 .filter(|b| now < b.closing_until)
                 .map(|b| Action::CloseIdleConnections(b.id)),
         );
-        // Trials by probe, one at a time, for backends past their PRAT.
+        // One trial at a time, by probe, for each congested backend whose PRAT is over.
         if self.settings.probes {
             for b in self.backends.iter_mut().filter(|b| b.up && b.failure_record.is_trial_due(now)) {
                 b.failure_record.trial_in_flight = true;
--- a/src/policy/send_rules.rs
+++ b/src/policy/send_rules.rs
@@ -1,11 +1,12 @@
-//! The gate of every send, and what it goes by: the operators' four rules, whatever the picking wants.
+//! The rules that every send must keep, whatever backend selection prefers: the operators' limits on attempts,
+//! repeats, draining backends and cold backends.
 
 use super::Balancer;
 use crate::interface::{Class, Effect, Group, Outcome, RequestId, Settings};
 use crate::request_table::{Backend, OpenRequest};
 
 impl Balancer {
-    /// The gate of every send: the four rules, whatever the picking wants.
+    /// Checks the rules for one more attempt of a request at a backend. Every send passes here.
     pub(super) fn may_send(&self, now: f64, open: &OpenRequest, index: usize) -> bool {
         let b = &self.backends[index];
         (open.attempts.len() as u32) < self.settings.max_attempts
@@ -15,8 +16,8 @@
             && self.rules_hold(now, open, usize::MAX, b)
     }
 
-    /// The last look, after every wait and right before an attempt's first byte: none where it goes, else
-    /// how it ends unsent.
+    /// Checks the rules again right before an attempt's first byte is sent, after it waited for a connection.
+    /// Returns `None` if the attempt may be sent, else the outcome with which it ends unsent.
     pub fn check_before_send(&self, now: f64, id: RequestId, attempt: u32) -> Option<Outcome> {
         let Some(open) = self.open_requests.get(&id) else { return Some(Outcome::Skipped) };
         let n = attempt as usize;
@@ -26,8 +27,9 @@
         (!self.rules_hold(now, open, n, b)).then_some(Outcome::Skipped)
     }
 
-    /// What may end while an attempt waits for its connection: its backend's stay, its client's, its time,
-    /// and the window of a repeat.
+    /// True if none of what may change while an attempt waits for its connection forbids it: the backend is up, the
+    /// request is not finished, its deadline is not over, and a repeat is still allowed. `attempt` is the attempt's
+    /// number, `usize::MAX` for one that is not made yet.
     fn rules_hold(&self, now: f64, open: &OpenRequest, attempt: usize, b: &Backend) -> bool {
         let key_ttl_ms = self.settings.classes.get(open.request.class).map_or(0.0, |c| c.key_ttl_ms);
         let repeat_allowed =
@@ -47,13 +49,13 @@
     }
 }
 
-/// A second try of this class may do no harm; a class nobody knows is held to be unsafe.
+/// True if a repeat of a request of this class can be harmless. An unknown class counts as unsafe.
 pub(super) fn may_repeat(class: Option<&Class>) -> bool {
     class.is_some_and(|c| c.effect != Effect::Unsafe)
 }
 
-/// Proof that an attempt never ran: the one place that sends, refusals and the retry budget go by. Where
-/// backends shed work late, "full" is none.
+/// True if the outcome proves that the attempt never ran. Sends, refusals and the retry budget all rely on this
+/// function. Where backends shed work late, `Full` is no proof.
 pub(super) fn never_ran(s: &Settings, outcome: Outcome) -> bool {
     match outcome {
         Outcome::NotConnected | Outcome::Skipped => true,
