--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,27 +1,32 @@
-//! Picking: two candidates by the request's key, the freer of them, and the spill where both are blocked.
+//! Backend selection: two candidates by the request's key, the less loaded of them, and the spill to another backend
+//! where both are blocked.
 
 use super::{Balancer, send_rules, slow_start};
 use crate::interface::{Observation, RequestId};
 use crate::request_table::{Backend, OpenRequest};
 use crate::statistics::mix_bits;
 
-/// Pressure up to which a backend is at ease.
+/// Pressure up to which the first candidate always keeps its keys.
 const LOW_PRESSURE: f64 = 0.6;
-/// Odds that the less pressed of two candidates is taken, by unit of difference: all of them from 0.4 on.
+/// Probability of taking the second candidate, for each unit of pressure that it has less than the first: certain from a
+/// difference of 0.4 on.
 const SWITCH_PER_PRESSURE: f64 = 2.5;
-/// Keys that one with a backend's mean share of the traffic counts as, beyond the first.
+/// Further keys into which a key with a backend's mean share of the traffic is split.
 const HOT_KEY_SPLIT: f64 = 4.0;
 
-/// A backend's place in rendezvous hashing: small, since each request walks all of them.
+/// One backend in rendezvous hashing. The entry is small because every request reads all of them.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RendezvousEntry {
+    /// Mixed bits of the backend's id.
     pub(super) salt: u64,
+    /// 1 divided by the backend's weight.
     pub(super) inverse_weight: f64,
+    /// Index into the backends.
     pub(super) index: usize,
 }
 
 impl Balancer {
-    /// Rebuilds the table that keyed candidates are looked up in.
+    /// Rebuilds the table in which candidates are looked up, from the backends that are up and their weights.
     pub(super) fn rebuild_rendezvous_table(&mut self, now: f64) {
         let locality =
             |b: &Backend| if self.is_priced_crossing(b.zone) { self.locality.remote_weight } else { 1.0 };
@@ -40,14 +45,14 @@
             .collect();
     }
 
-    /// The two keyed candidates and, if both are blocked, the spill: the usable backend with the fewest
-    /// in flight, nearest to the key among equals, so that spilled keys too keep to few backends.
+    /// Selects a backend for the next attempt of a request: one of the key's two candidates or, if both are blocked,
+    /// the spill. The spill is the usable backend with the fewest requests in flight and, among equals, the highest
+    /// rank for the key, so that spilled keys too keep to few backends.
     pub(super) fn select_backend(&mut self, now: f64, id: RequestId) -> Option<usize> {
         let draw = self.rng.f64();
         let open = self.open_requests.get(&id)?;
-        // A key that asks for more than one backend's part of the traffic counts as several keys, drawn by
-        // chance: two candidates could not carry it, and nodes that each hold next to nothing in flight
-        // cannot see that they do not.
+        // A key with more than one backend's part of the traffic is split at random into several keys: its two
+        // candidates could not carry it, and nodes that each have next to nothing in flight do not notice that.
         let given_key = open.request.key;
         let key = given_key.map_or_else(|| self.rng.u64(..), mix_bits);
         let sparse =
@@ -61,7 +66,7 @@
         let rank = |entry: &RendezvousEntry| -unit(entry).ln() * entry.inverse_weight;
         let mut best = [(f64::INFINITY, usize::MAX); 2];
         for entry in &self.rendezvous_table {
-            // 1 - u is never more than -ln u: what that alone puts behind needs no logarithm.
+            // 1 - u is never more than -ln u: an entry that it rules out needs no logarithm.
             let possible = (1.0 - unit(entry)) * entry.inverse_weight < best[1].0;
             let r = if possible { rank(entry) } else { f64::INFINITY };
             if r < best[1].0 {
@@ -85,8 +90,8 @@
         if candidate.is_some() {
             return candidate;
         }
-        // A spilled key is work anew at a backend that has not met it: spills keep to a budget.
-        // It is strain on its zone, too, though no outcome shows it.
+        // A backend that has not met the key needs more work for a spilled request: spills take tokens of a budget.
+        // A spill also counts as strain on the first candidate's zone, since no outcome shows it.
         let remote = self.backends.get(first).is_none_or(|b| self.is_priced_crossing(b.zone));
         if self.settings.warm_keys && self.admission.spill_tokens < 1.0 {
             self.locality.record(remote, 1.0);
@@ -115,21 +120,22 @@
         spill
     }
 
-    /// Whether the second candidate has fewer of this node's requests in flight or, where both have as many
-    /// (with many nodes, nearly always none), the less pressed of the two by their reports. The odds grow
-    /// with the difference, so that nodes which heard the same report do not all turn at once.
+    /// True if the second candidate is to be taken: it has fewer of this node's requests in flight or, where both
+    /// have as many (with many nodes, nearly always none), it reports less pressure. The probability grows with
+    /// the difference in pressure, so that nodes that received the same report do not all switch at once.
     pub(super) fn prefers_second(&self, now: f64, first: usize, second: usize, draw: f64) -> bool {
         let (a, b) = (&self.backends[first], &self.backends[second]);
         if a.in_flight != b.in_flight {
             return b.in_flight < a.in_flight;
         }
-        // A first candidate with cores to spare keeps its keys, however idle the second.
+        // A first candidate with spare capacity keeps its keys, however idle the second one is.
         let (first, second) =
             (a.pressure.estimate(now, self.pressure), b.pressure.estimate(now, self.pressure));
         first > LOW_PRESSURE && draw < (first - second) * SWITCH_PER_PRESSURE
     }
 
-    /// Neither congested, nor capped, nor out of cold budget, nor tried before by this request.
+    /// True if the backend is not congested (or due for a trial by request), below its cap, within its cold budget,
+    /// not tried before by this request, and allowed by the send rules.
     pub(super) fn is_usable(&self, now: f64, open: &OpenRequest, index: usize) -> bool {
         let b = &self.backends[index];
         let may_repeat = || send_rules::may_repeat(self.settings.classes.get(open.request.class));
--- a/src/policy/shared_state.rs
+++ b/src/policy/shared_state.rs
@@ -1,30 +1,32 @@
-//! What the fleet shares: what is heard of backends, where keys have gone, and what is found here that others
-//! should know. All of it is past its time some seconds later; then the node decides as it does alone.
+//! State that nodes share: reports about backends, the locations of keys, and tenants' shares. Each item expires some
+//! seconds after it was received; without it the node decides alone.
 
 use super::Balancer;
 use crate::interface::{Action, BackendId, Observation, SharedUpdate};
 use std::collections::HashMap;
 
-/// Nodes whose word against a backend is kept: more tell nothing new.
+/// Most nodes whose report on one backend is kept. More would add nothing.
 const MAX_PEER_REPORTS: usize = 6;
-/// So many are believed without a failure of one's own; one is never enough.
+/// Reports that count without a failure of this node's own. A single report never does.
 const MIN_REPORTS_WITHOUT_FAILURE: usize = 3;
-/// A backend that serves others again is tried here within this time, in milliseconds, not by all at once.
+/// Time over which nodes spread their next trial of a backend that serves another node again.
 const RETRY_SPREAD_MS: f64 = 1000.0;
 
-/// What is known by way of others.
+/// What this node knows through others.
 #[derive(Debug, Default)]
 pub(super) struct SharedState {
-    /// Findings are wanted.
+    /// True once the host has passed a shared update: observations are then wanted.
     pub(super) enabled: bool,
-    /// What part of each tenant's requests is within its share.
+    /// Part of each tenant's requests that is within its share, by the tenant's number; `None` where unknown.
     pub(super) tenant_shares: Vec<Option<f64>>,
+    /// Backend that knows a key, and the time until which that counts, by the key's short hash.
     key_locations: HashMap<u32, (BackendId, f64)>,
-    /// Keys that went elsewhere than to their candidates, to be told.
+    /// Keys that were spilled to a backend that is none of their candidates, to be shared at the next tick.
     pub(super) spilled_keys: Vec<Observation>,
 }
 
 impl Balancer {
+    /// Applies an update that another node shared.
     pub(super) fn on_shared_update(&mut self, now: f64, update: SharedUpdate, actions: &mut Vec<Action>) {
         self.shared_state.enabled = true;
         match update {
@@ -48,8 +50,9 @@
         }
     }
 
-    /// Nodes whose word against a backend counts: where this one's own failures bear them out, or they are
-    /// plenty; but their word never takes away more than half of what is up.
+    /// Number of nodes whose report against a backend counts. Reports count if this node has seen a failure there
+    /// too, or if there are enough of them, and only while more than half of the backends that are up are not
+    /// congested.
     pub(super) fn credible_peer_reports(&self, now: f64, i: usize) -> f64 {
         let record = &self.backends[i].failure_record;
         let reports = record.peer_reports.iter().filter(|report| report.1 > now).count();
@@ -60,7 +63,7 @@
         if enough && most_live() { reports as f64 } else { 0.0 }
     }
 
-    /// Tells the others what is found here of a backend, if that is another than was told before.
+    /// Shares with the other nodes that a backend fails or serves again, if that differs from what was shared last.
     pub(super) fn share_observation(&mut self, i: usize, failing: bool, actions: &mut Vec<Action>) {
         let b = &mut self.backends[i];
         if self.shared_state.enabled && b.failure_record.shared_failing != failing {
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Where a key is known to be, if a candidate, none or one that is cold, would have to learn it.
+    /// Returns the warm backend that knows a key by what nodes share, unless `candidate` is warm itself.
     pub(super) fn known_key_location(
         &self,
         now: f64,
