--- a/src/policy/failure_record.rs
+++ b/src/policy/failure_record.rs
@@ -1,43 +1,49 @@
-//! The failure record of a backend: failures and tries in a window, the congested state with its PRAT, and
-//! the trials that end it. It knows outcomes, not requests.
+//! The failure record of a backend: failures and tries in a sliding window, the congested state with its PRAT, and
+//! the trials that end that state. PRAT (proxy retry-after time) is the congestion paper's term for the time at which a
+//! node may try a congested backend again.
 
 use super::Balancer;
 use crate::interface::{Action, LogNote};
 use crate::peer_message::PeerMessage;
 use crate::statistics::FailureWindow;
 
-/// Part of attempts that fail at a backend which serves hardly anybody.
+/// Share of failing attempts that makes a backend congested where nodes report failures to each other.
 const PEER_FAILURE_SHARE: f64 = 0.75;
-/// Time between the trials of nodes that tripped together: about what a message takes.
+/// Time between the trials of nodes that marked a backend at once: about what a message takes.
 const TRIAL_SPACING_MS: f64 = 20.0;
 
-/// The failure record: failures and tries in a window of buckets, and the congested state with its PRAT.
+/// Failures and tries in a sliding window, and the congested state with its PRAT.
 #[derive(Debug, Default)]
 pub(crate) struct FailureRecord {
     pub(super) window: FailureWindow,
     /// Failures since the last answer of any kind.
     pub(super) consecutive_failures: u32,
+    /// True if the backend gets no requests but trials.
     pub(crate) congested: bool,
+    /// PRAT: time of the next trial, where the backend is congested.
     pub(crate) prat: f64,
-    /// Trials failed in a row.
+    /// Failed trials in a row.
     pub(super) failed_trials: u32,
     pub(super) trial_in_flight: bool,
-    /// Nodes that say that it fails, and until when each is believed.
+    /// Nodes that report the backend as failing, and the time until which each report counts.
     pub(super) peer_reports: Vec<(u16, f64)>,
-    /// The others were told that it fails.
+    /// True if this node has shared that the backend fails.
     pub(super) shared_failing: bool,
 }
 
 impl FailureRecord {
+    /// Records the end of one attempt, at `now` in a window of `window` milliseconds.
     pub(super) fn record(&mut self, now: f64, window: f64, failed: bool) {
         self.window.record(now, window, failed);
         self.consecutive_failures = if failed { self.consecutive_failures.saturating_add(1) } else { 0 };
     }
 
+    /// True if the backend is congested, its PRAT is over, and no trial is in flight.
     pub(super) fn is_trial_due(&self, now: f64) -> bool {
         self.congested && !self.trial_in_flight && now >= self.prat
     }
 
+    /// Clears the record, for a backend that restarted or answered a trial.
     pub(super) fn reset(&mut self) {
         self.window.clear();
         *self = FailureRecord {
@@ -49,16 +55,19 @@
 }
 
 impl Balancer {
-    /// N: half of the time a restart takes to warm, so that a failure is forgotten before its cause recurs.
+    /// Length of the failure window (N in the paper): half of the time in which a restarted backend becomes warm, so
+    /// that a failure is forgotten before its cause recurs.
     pub(super) fn failure_window_ms(&self) -> f64 {
         (self.settings.cold_ms / 2.0).max(2.0 * self.settings.max_aim_ms())
     }
 
-    /// t: the longest aim at first, doubled by each failed trial, a quarter of the cold time at most.
+    /// Time to the next trial (t in the paper): the longest aim at first, doubled by each failed trial, and at most a
+    /// quarter of `cold_ms`.
     pub(super) fn trial_pause_ms(&mut self, failed_trials: u32) -> f64 {
         let most = (self.settings.cold_ms / 4.0).max(self.settings.max_aim_ms());
         let t = (self.settings.max_aim_ms() * f64::from(1_u32 << failed_trials.min(6))).min(most);
-        // Nodes that tell each other trip together: whoever tries first spares the others their trial.
+        // Nodes that report to each other mark a backend at the same time. Spreading their trials lets the first
+        // result spare the others theirs.
         let spread = if self.relies_on_peers() {
             TRIAL_SPACING_MS * f64::from(self.settings.nodes_per_backend())
         } else {
@@ -73,12 +82,13 @@
         let record = &self.backends[i].failure_record;
         let (own, tries) = record.window.totals();
         let (failures, tries) = (own + reports, tries + reports);
-        // M grows with traffic and with what the whole fleet suffers: a shared failure says little of one.
-        // Where nodes tell each other, it is for what serves hardly anybody: the crowded still serve some.
+        // The allowed number of failures (M in the paper) grows with the tries and with the fleet's failure share: a
+        // failure that the whole fleet shares says little about one backend. Where nodes report to each other, only
+        // a backend that answers hardly any request is marked: an overloaded one still answers some.
         let part = 0.25 + 3.0 * self.fleet_failure_share;
         let most = 1.0 + tries * if self.relies_on_peers() { part.max(PEER_FAILURE_SHARE) } else { part };
-        // A backend that has just fallen silent has a window full of old answers: a run of failures
-        // that chance would bring once in two hundred trips it too.
+        // A backend that has just stopped answering still has a window full of answers. A run of failures with a
+        // probability of 0.005 at the fleet's failure share marks it too.
         let run = 1.0 + 0.005_f64.ln() / self.fleet_failure_share.clamp(0.02, 0.95).ln();
         if !record.congested && (failures > most || f64::from(record.consecutive_failures) + reports > run)
         {
@@ -93,6 +103,7 @@
         }
     }
 
+    /// Reports the result of this node's own trial to the other nodes, and applies it.
     pub(super) fn finish_trial(
         &mut self,
         now: f64,
@@ -105,6 +116,8 @@
         self.apply_trial_result(now, i, result, actions);
     }
 
+    /// Applies the result of a trial of this node or another one: a failed trial postpones the next one, a
+    /// successful one ends the congested state.
     pub(super) fn apply_trial_result(
         &mut self,
         now: f64,
@@ -120,7 +133,8 @@
             b.failure_record.prat = now + t;
             return;
         }
-        // Back from a silence that outlasted a trial: it may have restarted, and the list is late to say so.
+        // A backend that did not answer at least one trial may have restarted before the list says so: it counts as
+        // cold.
         if failed_trials > 0 {
             b.cold_since = now;
             b.cold_tokens = self.rng.f64();
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a request: it comes, is tried, fails, is tried again, and ends; and what each end teaches.
+//! The life cycle of a request: arrival, attempts, retries and end, and what the outcome of each attempt updates.
 
 use super::admission::TARGET_STRAIN;
 use super::peer_messages::REPORT_ANSWERS_FROM;
@@ -9,10 +9,11 @@
 use crate::request_table::{Attempt, OpenRequest};
 use crate::statistics::{mix_bits, reported_pressure};
 
-/// Cap of a backend that answers nothing but errors: a request every thirty usual times shows when it mends.
+/// Lowest cap of a backend that answers only errors: one request in 32 usual answer times shows when it recovers.
 const ERROR_CAP_FLOOR: f64 = 1.0 / 32.0;
 
 impl Balancer {
+    /// Admits a request and sends its first attempt, or refuses it.
     pub(super) fn on_request(&mut self, now: f64, request: Request, actions: &mut Vec<Action>) {
         let given_ms = (request.deadline_ms - now).max(0.0);
         let class = self.settings.classes.get(request.class);
@@ -21,8 +22,9 @@
         let late_worth = class.map_or(0.0, |c| c.late_worth);
         let mut age = 0.0;
         if let Some(l) = self.class_statistics.get_mut(request.class) {
-            // A client in a hurry looks like one at its last try. Where a late answer still has worth, the
-            // doubt is the client's: held for old, such clients were all shed in easy times.
+            // A client with a short time limit looks like one at its last try. Where a late answer still has worth,
+            // the request counts as a first try: otherwise these clients would all be refused, even by a fleet at
+            // ease.
             age = if late_worth > 0.0 { 0.0 } else { l.request_age(given_ms, deadline) };
             l.requests += if age > 0.0 { 0.0 } else { 1.0 };
         }
@@ -40,7 +42,7 @@
         if let Some(key) = request.key {
             self.key_counts.record(mix_bits(key));
         }
-        // Budgets guard a strained fleet: one at ease can bear more.
+        // The budgets for retries and spills grow more slowly under strain: a fleet at ease can bear more of both.
         let a = &mut self.admission;
         let share = 0.1 + 0.2 * (1.0 - a.strain / TARGET_STRAIN).max(0.0);
         (a.retry_tokens, a.spill_tokens) =
@@ -57,11 +59,12 @@
         }
     }
 
-    /// Sends an attempt, or answers when there is nowhere to send it.
+    /// Sends an attempt, or ends the request where no backend is usable or too little time is left.
     pub(super) fn send_attempt(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(index) = self.select_backend(now, id) else {
-            // What finds every way blocked is pressure too: admission must shed by worth, not by chance.
-            // It counts as far as backends are blocked at large: a hot key's two are no matter of the fleet.
+            // A request that finds every backend blocked counts as strain, so that admission sheds by worth rather
+            // than by chance. It counts by the share of blocked backends: a hot key's two blocked candidates say
+            // nothing about the fleet.
             let worth = self.open_requests.get(&id).map_or(0.0, |o| o.worth);
             self.counters.count_stop(StopReason::NoBackend);
             let blocked = self.admission.blocked_share;
@@ -76,7 +79,8 @@
         let mut timeout_ms = end.min(open.request.deadline_ms) - now;
         let b = &mut self.backends[index];
         if let Some(l) = self.class_statistics.get(open.request.class).filter(|l| l.answers >= 20) {
-            // n is short where the backend is in doubt and a repeat is allowed: a silent one costs little.
+            // The time-out is short where the backend may be failing and a repeat is allowed, so that a backend
+            // that does not answer costs little time.
             let suspect = b.failure_record.congested || b.failure_record.consecutive_failures > 0;
             if suspect && send_rules::may_repeat(class) && self.admission.retry_tokens >= 1.0 {
                 timeout_ms = timeout_ms.min(l.mean_ms + 4.0 * l.deviation_ms);
@@ -105,7 +109,8 @@
         actions.push(Action::Send { id, backend, timeout_ms });
     }
 
-    /// The first bytes are what is timed; the last may come when they will, and crowd nobody out.
+    /// Records the first bytes of a streamed answer. They decide whether the answer is in time; the rest of the
+    /// answer has no time limit and no longer counts as in flight.
     pub(super) fn on_response_started(&mut self, now: f64, id: RequestId, attempt: u32, elapsed: f64) {
         let Some(o) = self.open_requests.get_mut(&id) else { return };
         o.aim_at = if elapsed <= o.aim_at - o.arrived_at { f64::INFINITY } else { now };
@@ -116,6 +121,7 @@
         }
     }
 
+    /// Ends a request whose client has left, and cancels its attempts where that is allowed.
     pub(super) fn on_client_left(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         open.finished = true;
@@ -127,11 +133,12 @@
         }
     }
 
+    /// Records the end of an attempt and, where the request has no answer, sends the next attempt or ends the request.
     pub(super) fn on_attempt_ended(&mut self, now: f64, e: &AttemptEnded, actions: &mut Vec<Action>) {
         let (id, outcome) = (e.id, e.outcome);
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         let Some(a) = open.attempts.get_mut(e.attempt as usize).filter(|a| a.in_flight) else { return };
-        // A time that is no number must not spoil what is learned.
+        // A time that is not finite must not enter the statistics.
         let elapsed = if e.elapsed_ms.is_finite() { e.elapsed_ms } else { now - a.sent_at }.max(0.0);
         a.in_flight = false;
         self.in_flight = self.in_flight.saturating_sub(u32::from(!a.response_started));
@@ -142,13 +149,13 @@
             (a.backend, a.timeout_ms, a.is_trial, open.request.class);
         let in_aim = outcome == Outcome::Done && now <= open.aim_at;
         let worth = open.worth;
-        // A time-out that was noticed long after it was due is this node's own stall.
+        // A time-out noticed long after it was due is a stall of this node, not of the backend.
         let own_stall = elapsed > timeout_ms + 20.0 * self.settings.tick_ms;
         if let Some(i) = self.backend_index(backend) {
             self.backends[i].in_flight = self.backends[i].in_flight.saturating_sub(1);
             self.close_idle_connections(now, i, actions);
-            // A backend that fails or refuses fast looks idle: its failures count as full pressure, but only
-            // where answers bring reports, which alone lower it again.
+            // A backend that fails or refuses quickly looks idle. Its failures count as full pressure, but only
+            // where answers carry load reports: nothing else would lower the pressure again.
             let reported = match outcome {
                 Outcome::Done => reported_pressure(&e.load, self.settings.aim_ms(class)),
                 Outcome::Cancelled | Outcome::Skipped | Outcome::Rejected => None,
@@ -159,7 +166,7 @@
                 self.pressure += 0.05 * (value - self.pressure);
             }
             if is_trial {
-                // Any answer at all shows that it can be reached; called off says nothing.
+                // Any answer shows that the backend can be reached. A cancelled or unsent trial shows nothing.
                 match outcome {
                     Outcome::Cancelled | Outcome::Skipped => {
                         self.backends[i].failure_record.trial_in_flight = false
@@ -176,15 +183,17 @@
         if in_aim && let Some(l) = self.class_statistics.get_mut(class) {
             l.served += 1.0;
         }
-        let Some(open) = self.open_requests.get(&id).filter(|o| !o.has_attempt_in_flight()) else { return };
+        let Some(open) = self.open_requests.get(&id).filter(|o| !o.has_attempt_in_flight()) else {
+            return;
+        };
         if open.finished || outcome == Outcome::Rejected {
-            // What is wrong here is wrong everywhere.
+            // A request that one backend rejects as wrong would be rejected by any other.
             if self.open_requests.remove(&id).is_some_and(|o| !o.finished) {
                 actions.push(Action::Fail(id));
             }
             return;
         }
-        // Further attempts multiply load: each takes from a budget, less where nothing ran.
+        // Further attempts multiply the load. Each takes tokens, fewer where the last attempt never ran.
         let price = if send_rules::never_ran(&self.settings, outcome) { 0.25 } else { 1.0 };
         if self.admission.retry_tokens >= price && outcome != Outcome::Skipped && now < open.aim_at {
             self.admission.retry_tokens -= price;
@@ -194,7 +203,7 @@
         }
     }
 
-    /// What an attempt's end says of its backend and of the fleet.
+    /// Updates the statistics of the class, the backend and the fleet by the outcome of an attempt.
     pub(super) fn record_outcome(
         &mut self,
         now: f64,
@@ -208,7 +217,8 @@
         if matches!(outcome, Outcome::Cancelled | Outcome::Skipped | Outcome::Rejected) {
             return;
         }
-        // Time-outs count as answers that took at least so long: left out, they would make n ever shorter.
+        // A time-out counts as an answer that took at least that long. Without it each time-out would make the
+        // next time-out shorter.
         if matches!(outcome, Outcome::Done | Outcome::TimedOut)
             && let Some(l) = self.class_statistics.get_mut(class)
         {
@@ -220,8 +230,8 @@
         let aim = self.settings.aim_ms(class);
         let strain = match outcome {
             Outcome::Done if in_aim => {
-                // Strain starts half-way, as ratios go, from the class's usual time to its aim: holding
-                // more in flight than that serves nobody sooner, long before the aim itself is missed.
+                // Strain starts at the geometric mean of the class's usual time and its aim. From there on, more
+                // requests in flight make no answer faster, long before the aim itself is missed.
                 let usual = self.class_statistics.get(class).map_or(0.0, |l| l.usual_ms).min(0.8 * aim);
                 let from = (usual * aim).sqrt();
                 ((elapsed - from) / (aim - from)).clamp(0.0, 1.0)
@@ -235,13 +245,14 @@
         if !broken {
             self.locality.record(remote, strain);
         }
-        // A full or unreachable backend is its own matter; the request goes elsewhere.
+        // A full or unreachable backend says nothing about the fleet: the request goes elsewhere.
         if !broken && outcome != Outcome::Full && !b.failure_record.congested {
             self.admission.outcomes.record(worth * (1.0 - strain), worth * strain, 1.0);
         }
-        // Caps tell backends apart: what the whole fleet suffers is admission's matter.
-        // At the floor all nodes together keep half a request in flight; far less where errors come, none of
-        // which counts as quicker than an answer: a quick one would look idle and draw more.
+        // Caps react to what distinguishes backends; strain of the whole fleet is left to admission.
+        // At the floor, all nodes together keep half a request in flight. The floor is far lower for errors, and an
+        // error counts as no quicker than an answer: otherwise a backend of quick errors would look idle and draw
+        // more requests.
         let mean = self.class_statistics.get(class).map_or(0.0, |l| l.mean_ms);
         let (floor, elapsed) = match outcome {
             Outcome::Error => (ERROR_CAP_FLOOR, elapsed.max(mean)),
@@ -249,7 +260,7 @@
         };
         let fleet_strain = self.admission.strain;
         let shrink = 0.5 * strain * (2.0 * fleet_strain / TARGET_STRAIN).min(1.0);
-        // A broken connection is the failure record's matter: it tells nothing of what a backend can hold.
+        // A broken connection is left to the failure record: it says nothing about what a backend can hold.
         if !broken {
             b.cap.record_outcome(now, elapsed, b.in_flight, strain * (1.0 - fleet_strain), shrink, floor);
         }
