--- a/src/balancer_state.rs
+++ b/src/balancer_state.rs
@@ -1,5 +1,5 @@
-//! What others may see of a balancer, and what it takes over from another or from new settings: it reads and restores
-//! state, and decides nothing.
+//! State of a balancer as others see it: snapshots for operators, the memory that the next process of the node restores,
+//! and changes of settings. Nothing is decided here.
 
 use crate::counters::LoadSnapshot;
 use crate::interface::{
@@ -10,7 +10,8 @@
 use crate::statistics::ClassStatistics;
 
 impl Balancer {
-    /// Takes settings on, first or new ones. A class whose number stood for another is learned anew.
+    /// Applies settings, the first or new ones. The statistics of a class whose number stood for another class are
+    /// reset.
     pub(crate) fn apply_settings(&mut self, s: Settings) {
         let same = |i: usize| self.settings.classes.get(i) == s.classes.get(i);
         let kept = |i| self.class_statistics.get(i).filter(|_| same(i)).cloned().unwrap_or_default();
@@ -23,18 +24,18 @@
         self.settings = s;
     }
 
-    /// The settings that hold.
+    /// Returns the current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Says now and then how many requests were refused, by what, and how the fleet looked from here.
+    /// Logs the counters with the load of the fleet, if requests were stopped since the last line.
     pub(crate) fn log_counters(&mut self, now: f64, actions: &mut Vec<Action>) {
         let Some(counters) = self.counters.take(now) else { return };
         actions.push(Action::Log(LogNote::Stopped(Box::new((counters, self.load_snapshot(now))))));
     }
 
-    /// What the next process of this node can go on from.
+    /// Returns what the next process of this node can restore.
     pub fn memory(&self) -> Memory {
         let of_backend = |b: &Backend| {
             let prat = b.failure_record.congested.then_some(b.failure_record.prat);
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Goes on from that.
+    /// Restores what another process of this node has learned, for the backends and classes that are known here.
     pub(crate) fn restore_memory(&mut self, memory: &Memory) {
         self.warm_rate.peak = self.warm_rate.peak.max(memory.warm_rate);
         for remembered in &memory.backends {
@@ -72,12 +73,12 @@
         }
     }
 
-    /// Requests a second that each tenant asks of this node, by index.
+    /// Returns the requests per second of each tenant at this node, by the tenant's number.
     pub fn tenant_request_rates(&self) -> Vec<f64> {
         (0..self.settings.tenants.len()).map(|t| self.admission.tenant_rates.rate(t)).collect()
     }
 
-    /// How the fleet looks from here.
+    /// Returns the load of the fleet as this node sees it at `now`.
     pub(crate) fn load_snapshot(&self, now: f64) -> LoadSnapshot {
         let count = |f: &dyn Fn(&Backend) -> bool| self.backends.iter().filter(|b| b.up && f(b)).count();
         LoadSnapshot {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// What the decisions know, for whoever is on call.
+    /// Returns the state at `now`, for operators.
     pub fn snapshot(&self, now: f64) -> BalancerSnapshot {
         let of_backend = |b: &Backend| BackendSnapshot {
             backend: b.id,
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,61 +1,63 @@
-//! Counts for whoever is on call: what was asked, what refused it, and how attempts ended. Decides nothing.
+//! Counters for the log and for operators: requests, what stopped them, and how attempts ended.
 
 use crate::interface::Outcome;
 use std::fmt;
 
-/// Least time between two lines, in milliseconds.
+/// Least time between two log lines of the counters, in milliseconds.
 const LOG_INTERVAL_MS: f64 = 2000.0;
 
 /// What stopped a request before an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// Admission's level.
+    /// The admission level.
     Level,
-    /// More in flight than this node has room for.
+    /// This node's allowance of requests in flight.
     Room,
-    /// No backend is usable.
+    /// No backend was usable.
     NoBackend,
 }
 
-/// Why requests were refused, counted since the start.
+/// Refused requests by reason, counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RefusalCounts {
-    /// By what stopped them, in the order of [`StopReason`].
+    /// Requests refused because something stopped them, in the order of [`StopReason`].
     pub stopped: [u64; 3],
-    /// Given up on for other reasons: no time was left, or nothing for another attempt, or it is worth nothing.
+    /// Requests refused for other reasons: too little time was left, there were no tokens for another attempt, or the
+    /// request was worth nothing.
     pub given_up: u64,
 }
 
-/// Counts since the last line.
+/// Counters since the last log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AdmissionCounters {
+    /// Time of the last log line.
     since: f64,
-    /// Requests that came.
+    /// Requests that arrived.
     pub requests: u32,
     /// Requests and further attempts that were stopped, in the order of [`StopReason`].
     pub stopped: [u32; 3],
-    /// Ends of attempts, in the order of [`Outcome::ALL`].
+    /// Ended attempts, in the order of [`Outcome::ALL`].
     pub ended: [u32; Outcome::COUNT],
-    /// What stopped the request that is looked at.
+    /// What stopped the request that is being handled.
     last_stop: Option<StopReason>,
     refusals: RefusalCounts,
 }
 
 impl AdmissionCounters {
-    /// A request came.
+    /// Counts a request that arrived.
     pub(crate) fn count_request(&mut self) {
         self.requests = self.requests.saturating_add(1);
         self.last_stop = None;
     }
 
-    /// A request, or its next attempt, was stopped.
+    /// Counts a request, or its next attempt, that was stopped.
     pub(crate) fn count_stop(&mut self, reason: StopReason) {
         let count = &mut self.stopped[reason as usize];
         *count = count.saturating_add(1);
         self.last_stop = Some(reason);
     }
 
-    /// It was refused, by what last stopped it.
+    /// Counts the refusal of the request that is being handled, by what stopped it last.
     pub(crate) fn count_refusal(&mut self) {
         match self.last_stop.take() {
             Some(reason) => self.refusals.stopped[reason as usize] += 1,
@@ -63,19 +65,20 @@
         }
     }
 
-    /// An attempt ended.
+    /// Counts an attempt that ended.
     pub(crate) fn count_attempt_end(&mut self, outcome: Outcome) {
         let count = &mut self.ended[outcome as usize];
         *count = count.saturating_add(1);
         self.last_stop = None;
     }
 
-    /// Why requests were refused.
+    /// Returns the refused requests since the start.
     pub(crate) fn refusals(&self) -> RefusalCounts {
         self.refusals
     }
 
-    /// The counts, to be told at `now` and begun anew: none while nothing was stopped, nor soon after others.
+    /// Returns the counters for a log line at `now` and resets them. Returns `None` if nothing was stopped, or soon
+    /// after the last line.
     pub(crate) fn take(&mut self, now: f64) -> Option<AdmissionCounters> {
         let due = now - self.since >= LOG_INTERVAL_MS && self.stopped != [0; 3];
         let reset =
@@ -96,24 +99,24 @@
     }
 }
 
-/// How the fleet looks to a node that tells its counts.
+/// Load of the fleet as one node sees it, logged with its counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadSnapshot {
-    /// Part of the offered work that admission lets in.
+    /// Part of the offered work that is admitted, 0 to 1.
     pub level: f64,
-    /// Share of strain in recent outcomes.
+    /// Strain: share of recent outcomes that were late or failed, 0 to 1.
     pub strain: f64,
-    /// Mean pressure that answers report.
+    /// Pressure: mean load that backends report, 0 to 1.
     pub pressure: f64,
-    /// How much more than the first estimate this node may have in flight.
+    /// Factor on the first estimate of the requests that this node may have in flight.
     pub in_flight_allowance: f64,
-    /// Budget of spills.
+    /// Tokens for spills.
     pub spill_tokens: f64,
     /// Backends that are congested.
     pub congested: usize,
     /// Backends that are at their cap.
     pub capped: usize,
-    /// Attempts that are out and not answered yet.
+    /// Attempts in flight whose answer has not begun.
     pub in_flight: u32,
 }
 
@@ -156,7 +159,7 @@
         let expected = "asked 1, stopped by level 0, room 1, no usable backend 0; attempts ended Reset 1";
         assert_eq!(text.as_deref(), Some(expected));
         counters.count_stop(StopReason::Level);
-        assert!(counters.take(LOG_INTERVAL_MS + 1.0).is_none(), "told a moment ago");
+        assert!(counters.take(LOG_INTERVAL_MS + 1.0).is_none(), "too soon after the last line");
     }
 
     #[test]
