--- a/src/operator_call.rs
+++ b/src/operator_call.rs
@@ -1,5 +1,5 @@
-//! What operators call a node, and how it is asked: one line to a connection, one line back that begins with
-//! `OK` or `ERR`.
+//! Operators' calls to a node: how they are written and parsed, and a client. A connection carries one call: a line, and
+//! an answer that begins with `OK` or `ERR`.
 
 use std::fmt;
 use std::io::{Read, Write};
@@ -7,133 +7,132 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// A longer line is no call.
+/// Most bytes in a call, without the end of its line.
 pub const MAX_CALL_BYTES: usize = 512;
-/// A longer answer is none of a node's.
+/// Most bytes in an answer. No node writes a longer one.
 const MAX_ANSWER_BYTES: u64 = 8 * 1024 * 1024;
 
-/// A longer reason is none.
+/// Most bytes in the reason of a cordon.
 pub const MAX_REASON_BYTES: usize = 200;
 
-/// Holder of a lease that is given up.
+/// Holder of a lease that was given up.
 pub const NO_HOLDER: &str = "-";
 
-/// What an operator wants.
+/// A call of an operator, a controller or a supervisor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
-    /// Whether it takes clients.
+    /// Whether the node takes clients.
     Health,
-    /// Take a backend out.
+    /// Take a backend out of use at this node.
     Cordon {
-        /// The backend.
+        /// The backend's id.
         id: String,
-        /// Why, in the operator's words; may be empty.
+        /// The operator's reason; may be empty.
         reason: String,
     },
-    /// Put it back.
+    /// Put a backend back into use at this node.
     Uncordon(String),
-    /// The same at every node of the fleet.
+    /// Take a backend out of use at every node of the fleet.
     FleetCordon(String),
-    /// See above.
+    /// Put a backend back into use at every node of the fleet.
     FleetUncordon(String),
-    /// The same of a controller that holds the lease of that number.
+    /// Cordon or uncordon a backend for the controller that holds a lease.
     Leased {
-        /// Out; else back.
+        /// True for a cordon, false for an uncordon.
         cordon: bool,
-        /// The backend.
+        /// The backend's id.
         id: String,
-        /// The number.
+        /// Number of the lease.
         lease: u64,
     },
-    /// A controller takes the lease, renews it, or gives it up.
+    /// Take, renew or give up the lease of a controller.
     Lease {
-        /// Its name; [`NO_HOLDER`] gives it up.
+        /// The controller's name; [`NO_HOLDER`] gives the lease up.
         holder: String,
-        /// Its number: the greater one holds.
+        /// Number of the lease. The greatest number holds.
         number: u64,
     },
-    /// Of a supervisor: bring the node to that version.
+    /// To a supervisor: run the node at this version.
     Upgrade(String),
-    /// Of a supervisor: which versions there are.
+    /// To a supervisor: list the versions.
     Versions,
-    /// Leave a zone, whatever its health, for so many seconds or until it may return; `force`: also where the rest is
-    /// not known to carry what is asked.
+    /// Send no traffic to a zone, whatever its health, for a time or until it may return.
     ZoneLeave {
-        /// Its name.
+        /// The zone's name.
         zone: String,
-        /// Seconds.
+        /// Time in seconds; none until the zone may return.
         for_s: Option<u32>,
-        /// See above.
+        /// True to leave the zone even where the others are not known to carry its traffic.
         force: bool,
     },
-    /// Keep a zone out, even if it is healthy, until it may return.
+    /// Keep a zone out of use, even if it is healthy, until it may return.
     ZoneHold(String),
-    /// Let it return, along the ramp.
+    /// Let a zone return gradually.
     ZoneReturn(String),
-    /// Where each zone stands.
+    /// State of each zone.
     Zones,
-    /// Send clients away.
+    /// Send clients away: the health check fails, and connections are closed after their answers.
     Quiesce,
-    /// End that.
+    /// Take clients again.
     Resume,
-    /// Its figures.
+    /// Statistics of the node.
     Stats,
 }
 
-/// Why a line is no call.
+/// Why a line is not a valid call.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OperatorCallError {
-    /// It does not end in time.
+    /// The line is too long.
     #[error("a call is a line of at most {MAX_CALL_BYTES} bytes")]
     TooLong,
     /// The connection ended before the line did.
     #[error("the line was not ended")]
     Unterminated,
-    /// No whole line came in time.
+    /// No whole line came within this time, in seconds.
     #[error("no whole call within {0} s")]
     TimedOut(u64),
-    /// It cannot be read.
+    /// The line is not UTF-8.
     #[error("the line is not UTF-8")]
     NotUtf8,
-    /// There is nothing in it.
+    /// The line has no words.
     #[error("the line is empty")]
     Empty,
-    /// Nobody knows it.
+    /// The first word is no known call.
     #[error(
         "unknown call; there are health, cordon [--fleet] ID, uncordon [--fleet] ID, zone, zones, quiesce, resume, stats"
     )]
     UnknownCall,
-    /// What follows `zone` is none of its forms.
+    /// The words after `zone` are invalid.
     #[error("zone takes leave NAME [--for TIME] [--force], hold NAME, or return NAME")]
     InvalidZoneCall,
-    /// What follows `lease` is no name and number.
+    /// The number of a lease is missing or invalid.
     #[error("{0} takes a number above 0")]
     InvalidNumber(&'static str),
-    /// Not a time.
+    /// The time is invalid.
     #[error("{0:?} is no time such as 90s, 30m or 2h, of a day at most")]
     InvalidTime(String),
-    /// What follows `--why` is no reason.
+    /// The reason after `--why` is empty or too long.
     #[error("--why takes a reason of 1 to {MAX_REASON_BYTES} bytes, and comes last")]
     InvalidReason,
-    /// It takes one word more.
+    /// The call takes exactly one backend's id.
     #[error("{0} takes one backend's ID")]
     NeedsId(&'static str),
-    /// It takes no word more.
+    /// The call takes no further words.
     #[error("{0} takes nothing more")]
     TakesNothing(&'static str),
 }
 
 impl OperatorCall {
-    /// Reads a line, without its end.
+    /// Parses a call from a line without its line end.
     ///
     /// # Errors
-    /// It is no call.
+    /// Returns [`OperatorCallError`] if the line is not a valid call.
     pub fn parse(line: &[u8]) -> Result<OperatorCall, OperatorCallError> {
         let line = std::str::from_utf8(line).map_err(|_| OperatorCallError::NotUtf8)?;
         let mut words = line.split_ascii_whitespace();
         let call = words.next().ok_or(OperatorCallError::Empty)?;
         if call == "zone" {
-            return OperatorCall::zone(&words.collect::<Vec<_>>());
+            return OperatorCall::parse_zone(&words.collect::<Vec<_>>());
         }
         let mut id = words.next();
         if call == "lease" {
@@ -162,9 +161,9 @@
         if fleet {
             id = words.next();
         }
-        let more = words.next().is_some();
+        let has_more = words.next().is_some();
         let with_id =
-            |name| id.filter(|_| !more).map(str::to_owned).ok_or(OperatorCallError::NeedsId(name));
+            |name| id.filter(|_| !has_more).map(str::to_owned).ok_or(OperatorCallError::NeedsId(name));
         let alone =
             |name, call| if id.is_none() { Ok(call) } else { Err(OperatorCallError::TakesNothing(name)) };
         match call {
@@ -186,7 +185,8 @@
         }
     }
 
-    fn zone(words: &[&str]) -> Result<OperatorCall, OperatorCallError> {
+    /// Parses the words after `zone`.
+    fn parse_zone(words: &[&str]) -> Result<OperatorCall, OperatorCallError> {
         match words {
             ["hold", zone] => Ok(OperatorCall::ZoneHold((*zone).to_owned())),
             ["return", zone] => Ok(OperatorCall::ZoneReturn((*zone).to_owned())),
@@ -210,10 +210,10 @@
         }
     }
 
-    /// Reads a time as people write it, in seconds.
+    /// Parses a time such as `90s` or `2h` and returns it in seconds.
     ///
     /// # Errors
-    /// It is none, or longer than a day.
+    /// Returns [`OperatorCallError::InvalidTime`] if the text is no time, or the time is below a second or above a day.
     pub fn parse_time_s(text: &str) -> Result<u32, OperatorCallError> {
         let read = humantime::parse_duration(text).ok().map(|d| d.as_secs());
         let read = read.and_then(|s| u32::try_from(s).ok()).filter(|s| (1..=86_400).contains(s));
@@ -253,55 +253,55 @@
     }
 }
 
-/// Why no answer came.
+/// Why a call got no answer.
 #[derive(Debug, Error)]
 pub enum CallFailure {
-    /// Nobody there, or gone meanwhile.
+    /// The connection failed, or the time was over.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// What came is no answer.
+    /// The answer is too long, or begins with neither `OK` nor `ERR`. Holds its first characters.
     #[error("the answer is neither OK nor ERR: {0:?}")]
     Unreadable(String),
 }
 
-/// Calls the node at `address` and hands back its answer: what follows `OK`, or what follows `ERR`. All of it
-/// takes `limit` at most.
+/// Calls the node at `address` and returns its answer: the text after `OK`, or as an inner error the text after `ERR`.
+/// The whole exchange takes `limit` at most.
 ///
 /// # Errors
-/// There was no answer, or none that can be read.
+/// Returns [`CallFailure`] if no answer came in time, or the answer cannot be read.
 pub fn call_node(
     address: SocketAddr,
     call: &OperatorCall,
     limit: Duration,
 ) -> Result<Result<String, String>, CallFailure> {
     let end = Instant::now() + limit;
-    // A time of zero would wait for ever.
+    // A socket timeout of zero would mean none.
     let left = || end.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
     let mut stream = TcpStream::connect_timeout(&address, left())?;
     stream.set_write_timeout(Some(left()))?;
     stream.write_all(format!("{call}\n").as_bytes())?;
     stream.shutdown(Shutdown::Write)?;
     let mut answer = Vec::new();
-    let mut piece = [0; 16 * 1024];
+    let mut buffer = [0; 16 * 1024];
     loop {
         if Instant::now() >= end {
             return Err(std::io::Error::from(std::io::ErrorKind::TimedOut).into());
         }
         stream.set_read_timeout(Some(left()))?;
-        match stream.read(&mut piece)? {
+        match stream.read(&mut buffer)? {
             0 => break,
-            n => answer.extend_from_slice(piece.get(..n).unwrap_or_default()),
+            n => answer.extend_from_slice(buffer.get(..n).unwrap_or_default()),
         }
         if answer.len() as u64 > MAX_ANSWER_BYTES {
-            return Err(CallFailure::Unreadable("longer than any".to_owned()));
+            return Err(CallFailure::Unreadable("longer than 8 MiB".to_owned()));
         }
     }
     let text = String::from_utf8_lossy(&answer);
     let text = text.trim_end();
     let rest = |word: &str| text.strip_prefix(word).filter(|r| r.is_empty() || r.starts_with(' '));
     match (rest("OK"), rest("ERR")) {
-        (Some(said), _) => Ok(Ok(said.trim_start().to_owned())),
-        (_, Some(why)) => Ok(Err(why.trim_start().to_owned())),
+        (Some(reply), _) => Ok(Ok(reply.trim_start().to_owned())),
+        (_, Some(reason)) => Ok(Err(reason.trim_start().to_owned())),
         _ => Err(CallFailure::Unreadable(text.chars().take(80).collect())),
     }
 }
@@ -312,7 +312,7 @@
     use std::net::TcpListener;
 
     #[test]
-    fn calls_are_read_as_they_are_written() {
+    fn each_call_is_parsed_from_the_text_that_it_is_written_as() {
         let id = || "s-1".to_owned();
         let all = [
             OperatorCall::Health,
@@ -342,15 +342,15 @@
     }
 
     #[test]
-    fn what_is_no_call_is_told_why() {
-        let why = |line: &[u8]| OperatorCall::parse(line).unwrap_err();
-        assert_eq!(why(b""), OperatorCallError::Empty);
-        assert_eq!(why(b" \t"), OperatorCallError::Empty);
-        assert_eq!(why(b"HEALTH"), OperatorCallError::UnknownCall);
-        assert_eq!(why(b"health now"), OperatorCallError::TakesNothing("health"));
-        assert_eq!(why(b"cordon"), OperatorCallError::NeedsId("cordon"));
-        assert_eq!(why(b"cordon --fleet"), OperatorCallError::NeedsId("cordon"));
-        assert_eq!(why(b"uncordon --fleet a b"), OperatorCallError::NeedsId("uncordon"));
+    fn each_invalid_line_gives_the_error_of_its_cause() {
+        let error = |line: &[u8]| OperatorCall::parse(line).unwrap_err();
+        assert_eq!(error(b""), OperatorCallError::Empty);
+        assert_eq!(error(b" \t"), OperatorCallError::Empty);
+        assert_eq!(error(b"HEALTH"), OperatorCallError::UnknownCall);
+        assert_eq!(error(b"health now"), OperatorCallError::TakesNothing("health"));
+        assert_eq!(error(b"cordon"), OperatorCallError::NeedsId("cordon"));
+        assert_eq!(error(b"cordon --fleet"), OperatorCallError::NeedsId("cordon"));
+        assert_eq!(error(b"uncordon --fleet a b"), OperatorCallError::NeedsId("uncordon"));
         for line in [
             &b"zone"[..],
             b"zone a",
@@ -359,34 +359,34 @@
             b"zone hold a b",
             b"zone leave a b",
         ] {
-            assert_eq!(why(line), OperatorCallError::InvalidZoneCall, "{line:?}");
+            assert_eq!(error(line), OperatorCallError::InvalidZoneCall, "{line:?}");
         }
-        assert_eq!(why(b"lease a"), OperatorCallError::InvalidNumber("lease NAME"));
-        assert_eq!(why(b"lease a 0"), OperatorCallError::InvalidNumber("lease NAME"));
-        assert_eq!(why(b"cordon a --lease x"), OperatorCallError::InvalidNumber("--lease"));
-        assert_eq!(why(b"zone leave a --for 9"), OperatorCallError::InvalidTime("9".to_owned()));
-        assert_eq!(why(b"zone leave a --for 25h"), OperatorCallError::InvalidTime("25h".to_owned()));
+        assert_eq!(error(b"lease a"), OperatorCallError::InvalidNumber("lease NAME"));
+        assert_eq!(error(b"lease a 0"), OperatorCallError::InvalidNumber("lease NAME"));
+        assert_eq!(error(b"cordon a --lease x"), OperatorCallError::InvalidNumber("--lease"));
+        assert_eq!(error(b"zone leave a --for 9"), OperatorCallError::InvalidTime("9".to_owned()));
+        assert_eq!(error(b"zone leave a --for 25h"), OperatorCallError::InvalidTime("25h".to_owned()));
         assert_eq!(
             OperatorCall::parse(b"zone leave a --for 30m"),
             OperatorCall::parse(b"zone leave a --for 1800s")
         );
-        assert_eq!(why(b"health --fleet"), OperatorCallError::TakesNothing("health"));
-        assert_eq!(why(b"uncordon a b"), OperatorCallError::NeedsId("uncordon"));
-        assert_eq!(why(b"quiesce 5"), OperatorCallError::TakesNothing("quiesce"));
-        assert_eq!(why(b"cordon \xff"), OperatorCallError::NotUtf8);
+        assert_eq!(error(b"health --fleet"), OperatorCallError::TakesNothing("health"));
+        assert_eq!(error(b"uncordon a b"), OperatorCallError::NeedsId("uncordon"));
+        assert_eq!(error(b"quiesce 5"), OperatorCallError::TakesNothing("quiesce"));
+        assert_eq!(error(b"cordon \xff"), OperatorCallError::NotUtf8);
     }
 
     #[test]
-    fn an_answer_is_told_from_what_is_none() {
+    fn an_answer_must_begin_with_the_whole_word_ok_or_err() {
         let answered = |bytes: &'static [u8]| {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             let address = listener.local_addr().unwrap();
             let peer = std::thread::spawn(move || {
                 let (mut stream, _) = listener.accept().unwrap();
-                let mut said = String::new();
-                stream.read_to_string(&mut said).unwrap();
+                let mut received = String::new();
+                stream.read_to_string(&mut received).unwrap();
                 stream.write_all(bytes).unwrap();
-                said
+                received
             });
             let answer = call_node(address, &OperatorCall::Health, Duration::from_secs(5));
             assert_eq!(peer.join().unwrap(), "health\n");
