--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,9 @@
-//! What goes into a [`Balancer`](crate::Balancer) and what comes out: settings, events and actions. No logic but
-//! the check of the settings.
+//! The input and output of a [`Balancer`](crate::Balancer): settings, events and actions. The only logic here is the
+//! validation of settings.
 //!
-//! All times are milliseconds of one monotonic clock with an arbitrary origin, handed in with each event.
-//! A host feeds [`Event`]s in the order they happened and carries out the [`Action`]s in the order given.
+//! All times are milliseconds of one monotonic clock with an arbitrary origin, and are passed in with each event. A host
+//! passes [`Event`]s in the order in which they happened and carries out the [`Action`]s in the order in which they are
+//! returned.
 
 use crate::counters::{AdmissionCounters, LoadSnapshot, RefusalCounts};
 use std::fmt;
@@ -13,7 +14,7 @@
 pub struct BackendId(pub u64);
 
 impl BackendId {
-    /// Enough of it to tell listed backends apart in a short message.
+    /// Returns the upper half of the id, which distinguishes listed backends in short messages.
     pub fn short(self) -> u32 {
         (self.0 >> 32) as u32
     }
@@ -23,109 +24,109 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// How often a class may take effect.
+/// How often a request of a class may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat.
+    /// Any number of times: repeats are safe.
     Safe,
-    /// Repeats are dropped inside a group of backends for a time.
+    /// Once: backends of a group drop repeats with the same key for a time.
     Keyed(Group),
-    /// Must never run twice.
+    /// Once: a repeat must never run.
     Unsafe,
 }
 
-/// Which backends drop a keyed repeat together.
+/// Group of backends within which repeats of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// Every backend.
+    /// All backends.
     All,
-    /// Those of one zone.
+    /// The backends of one zone.
     Zone,
-    /// Those of one cell.
+    /// The backends of one cell.
     Cell,
 }
 
 /// How the list of backends arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come unasked.
+    /// Updates arrive without a request.
     Pushed,
-    /// Only after [`Action::Watch`].
+    /// Updates arrive only after [`Action::Watch`].
     OnRequest,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Answers within this earn full worth.
+    /// Aim: an answer within this time earns full worth.
     pub aim_ms: f64,
-    /// The client's total wait across its tries.
+    /// Longest total wait of a client, over all its tries.
     pub deadline_ms: f64,
     /// Worth of a request.
     pub worth: f64,
-    /// Part of the worth kept by an answer after the aim.
+    /// Part of the worth that an answer after the aim earns.
     pub late_worth: f64,
-    /// How often it may take effect.
+    /// How often a request may take effect.
     pub effect: Effect,
-    /// How long a keyed repeat is dropped, from the first send that may have run.
+    /// Time in which repeats of a keyed request are dropped, from the first send that may have run.
     pub key_ttl_ms: f64,
-    /// The aim is longer by this multiple of the request's own work, up to the deadline; 0 for none.
+    /// Multiple of the request's own work by which the aim is longer, up to the deadline; 0 for none.
     pub aim_stretch: f64,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, over all nodes; 0 for no quota.
+    /// Requests per second within the tenant's share, over all nodes; 0 for no quota.
     pub quota_rps: f64,
 }
 
-/// Weights of what the operators count.
+/// Weights of the operators' goals.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Goal {
-    /// The whole run.
+    /// Worth served over the whole run.
     pub whole: f64,
-    /// The worst stretch of ten seconds.
+    /// Worth served in the worst window of ten seconds.
     pub worst_window: f64,
-    /// The worst-served class.
+    /// Worth served of the worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant.
+    /// Worth served of the worst-served tenant.
     pub worst_tenant: f64,
-    /// The nines: how small the part not served in time is, on a logarithmic scale.
+    /// Nines: the part not served in time, on a logarithmic scale.
     pub nines: f64,
-    /// Nines that count in full.
+    /// Number of nines that earns this weight in full.
     pub full_at_nines: f64,
 }
 
-/// Points that the operators take off for each unit of a thing.
+/// Prices in the operators' points, for each unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// An attempt that crosses zones, by first try.
+    /// An attempt that crosses zones, per first try.
     pub cross_zone: f64,
-    /// A new connection, by first try.
+    /// A new connection, per first try.
     pub handshake: f64,
     /// Connections held open.
     pub connection: f64,
-    /// Worth that ended unserved after its aim.
+    /// Worth of requests that failed after their aim.
     pub late_fail: f64,
-    /// Backend work that gave no answer, by work offered.
+    /// Backend work that gave no answer, per work offered.
     pub waste: f64,
-    /// A probe, by first try.
+    /// A probe, per first try.
     pub probe: f64,
-    /// A full message (256 bytes), by first try.
+    /// A message between nodes of 256 bytes, per first try.
     pub peer: f64,
 }
 
-/// What the list's size figure means.
+/// Meaning of [`ListEntry::units`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing: it is always 1.
+    /// No meaning: the value is always 1.
     None,
     /// The registered size.
     Nominal,
-    /// Roughly the size.
+    /// Approximately the size.
     Rough,
-    /// The size over 1 + requests held a core, some time ago.
+    /// The size divided by 1 + requests per core, as of some time ago.
     Live,
 }
 
@@ -140,140 +141,142 @@
     Probes,
 }
 
-/// A backend's report of its load: some time old, not exact, and seldom complete.
+/// A backend's report of its load. Reports are some time old, approximate and often incomplete.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests in hand.
+    /// Requests that the backend has accepted and not answered.
     pub in_hand: Option<f64>,
-    /// Requests that wait.
+    /// Requests in the queue.
     pub queue: Option<f64>,
-    /// Busy share of its cores, 0 to 1.
+    /// Busy share of the cores, 0 to 1.
     pub busy: Option<f64>,
     /// Recent service time.
     pub latency_ms: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub rate: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors: Option<f64>,
 }
 
-/// What one node is told at its start.
+/// Settings of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Request classes; a request names one by its index.
+    /// Request classes; a request names its class by the index.
     pub classes: Vec<Class>,
-    /// Tenants; a request names one by its index.
+    /// Tenants; a request names its tenant by the index.
     pub tenants: Vec<Tenant>,
-    /// Weights of the result.
+    /// Weights of the operators' goals.
     pub goal: Goal,
-    /// What each thing costs.
+    /// Prices of resources and failures.
     pub prices: Prices,
-    /// How many nodes there are.
+    /// Number of nodes.
     pub instances: u32,
-    /// How many of them hold a backend, where that is not all: the list is longer than a node's subset.
+    /// Number of nodes that send to one backend, where the list is longer than a node's subset; `None`: all nodes.
     pub held_by: Option<u32>,
-    /// This node's number among them, from 0.
+    /// This node's number among the nodes, from 0.
     pub slot: u32,
-    /// This node's zone, if it was told; comparable with [`ListEntry::zone`].
+    /// This node's zone, if known; comparable with [`ListEntry::zone`].
     pub zone: Option<u16>,
-    /// What [`ListEntry::units`] means.
+    /// Meaning of [`ListEntry::units`].
     pub weights: Weights,
-    /// How load is reported.
+    /// How backends report their load.
     pub reporting: Reporting,
     /// How the list arrives.
     pub discovery: Discovery,
-    /// Attempts for one request.
+    /// Most attempts for one request.
     pub max_attempts: u32,
-    /// Cancelling is allowed.
+    /// True if attempts may be cancelled.
     pub may_cancel: bool,
-    /// Two attempts of one request may be out at once.
+    /// True if two attempts of one request may be in flight at once.
     pub second_copies: bool,
-    /// The longest Retry-After that a client honours.
+    /// Longest Retry-After that a client honours.
     pub max_retry_after_ms: f64,
-    /// Probing is allowed.
+    /// True if probes are allowed.
     pub probes: bool,
-    /// Messages between nodes are allowed.
+    /// True if messages between nodes are allowed.
     pub peer_messages: bool,
-    /// Requests that this node may hold open.
+    /// Most requests that this node may hold open.
     pub open_cap: u32,
-    /// Attempts that one connection carries at once.
+    /// Most attempts that one connection carries at once.
     pub max_streams: u32,
-    /// Idle connections are closed after this.
+    /// Time after which idle connections are closed.
     pub conn_idle_ms: f64,
-    /// A connection not made by then is not made.
+    /// Time limit for making a connection.
     pub connect_timeout_ms: f64,
-    /// CPU that this node may use in a second, in microseconds; 0 for no limit told.
+    /// CPU time in microseconds that this node may use per second; 0 if no limit is known.
     pub cpu_us_per_s: f64,
-    /// The part of its worth that a request over its tenant's share keeps.
+    /// Part of its worth that a request over its tenant's share keeps.
     pub over_share_worth: f64,
-    /// Worth is counted by work rather than by request.
+    /// True if worth is counted by work rather than by request.
     pub worth_by_work: bool,
-    /// Backends that met a key lately need less work for it.
+    /// True if a backend that met a key lately needs less work for it.
     pub warm_keys: bool,
-    /// A cold backend is warm after this at the latest.
+    /// Time after its start at which a cold backend is warm at the latest.
     pub cold_ms: f64,
-    /// It comes up at this part of its capacity or above.
+    /// Least part of its capacity that a backend has at its start.
     pub start_capacity: f64,
-    /// Sent more than this multiple of its present capacity ...
+    /// Multiple of its present capacity at which a cold backend falls over, if it is sent more for `fall_ms`.
     pub fall_multiple: f64,
-    /// ... for this long, a cold backend falls over.
+    /// Time of overload after which a cold backend falls over.
     pub fall_ms: f64,
-    /// "Full" is no proof that the attempt never ran.
+    /// True if backends shed work late: then [`Outcome::Full`] is no proof that the attempt never ran.
     pub late_shedding: bool,
-    /// Sends to a backend end within this of the notice that it drains or is gone.
+    /// Time within which sends to a backend end after the notice that it drains or is gone.
     pub drain_grace_ms: f64,
-    /// Idle connections to one that drains are closed within this, if told.
+    /// Time within which idle connections to a draining backend are closed; `None`: no limit.
     pub drain_close_ms: Option<f64>,
-    /// Asked discovery: a node silent for this long is deemed told.
+    /// With discovery on request: time without a call after which a node counts as informed of every change.
     pub must_ask_in_ms: f64,
-    /// Batches come at most this often.
+    /// Least time between the host's batches.
     pub tick_ms: f64,
 }
 
-/// No figure of the settings is larger: in milliseconds, eleven days.
-const MOST: f64 = 1e9;
+/// Largest valid value of a setting; in milliseconds, eleven days.
+const MAX_VALUE: f64 = 1e9;
 
-/// Settings that no balancer can run on.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// There must be a class.
+    /// There is no class.
     #[error("classes: at least one is needed")]
     NoClass,
-    /// A figure is not a number, or outside its range.
+    /// A value is not a number, or outside its range.
     #[error("{field}: {value:e} is outside its range")]
     Range {
-        /// The setting.
+        /// Name of the setting, as in the settings file.
         field: String,
-        /// What it held.
+        /// The invalid value.
         value: f64,
     },
 }
 
 impl Settings {
-    /// How many nodes send to a backend: what all may send it together each divides by them.
+    /// Returns the number of nodes that send to one backend. Each node's part of a budget for a backend is the budget
+    /// divided by this number.
     pub fn nodes_per_backend(&self) -> u32 {
         self.held_by.unwrap_or(self.instances).max(1)
     }
 
-    /// The longest aim of all classes.
+    /// Returns the longest aim of all classes, in milliseconds.
     pub fn max_aim_ms(&self) -> f64 {
         self.classes.iter().map(|c| c.aim_ms).fold(0.0, f64::max)
     }
 
-    /// The aim of a class; none is missed by one that is not there.
+    /// Returns the aim of a class in milliseconds; infinite for an unknown class.
     pub fn aim_ms(&self, class: usize) -> f64 {
         self.classes.get(class).map_or(f64::INFINITY, |c| c.aim_ms)
     }
 
-    /// How often a class may take effect; one that is not there is held to the strictest rules.
+    /// Returns how often a request of a class may take effect. An unknown class counts as unsafe.
     pub fn effect(&self, class: usize) -> Effect {
         self.classes.get(class).map_or(Effect::Unsafe, |c| c.effect)
     }
 
-    /// Whether a balancer can run on these.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// No class, or a figure outside its range.
+    /// Returns [`SettingsError::NoClass`] if there is no class, and [`SettingsError::Range`] for the first value that is
+    /// not a number or outside its range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
@@ -307,8 +310,8 @@
             ("blend.worstClass", g.worst_class, 0.0),
             ("blend.worstTenant", g.worst_tenant, 0.0),
         ];
-        let mut figures: Vec<(String, f64, f64)> =
-            single.map(|(f, v, least)| (f.to_owned(), v, least)).into();
+        let mut values: Vec<(String, f64, f64)> =
+            single.map(|(field, value, least)| (field.to_owned(), value, least)).into();
         for (n, c) in self.classes.iter().enumerate() {
             let of_class = [
                 ("hardLimitMs", c.deadline_ms, f64::MIN_POSITIVE),
@@ -317,83 +320,85 @@
                 ("lateValue", c.late_worth, 0.0),
                 ("keyTtlMs", c.key_ttl_ms, 0.0),
             ];
-            figures.extend(of_class.map(|(f, v, least)| (format!("classes[{n}].{f}"), v, least)));
+            values.extend(
+                of_class.map(|(field, value, least)| (format!("classes[{n}].{field}"), value, least)),
+            );
         }
         let quota = |(n, t): (usize, &Tenant)| (format!("tenants[{n}].quotaRps"), t.quota_rps, 0.0);
-        figures.extend(self.tenants.iter().enumerate().map(quota));
-        let wrong = figures.into_iter().find(|(_, v, least)| !(*least..=MOST).contains(v));
-        wrong.map_or(Ok(()), |(field, value, _)| Err(SettingsError::Range { field, value }))
+        values.extend(self.tenants.iter().enumerate().map(quota));
+        let invalid = values.into_iter().find(|(_, value, least)| !(*least..=MAX_VALUE).contains(value));
+        invalid.map_or(Ok(()), |(field, value, _)| Err(SettingsError::Range { field, value }))
     }
 }
 
-/// Health of a backend as the list has it.
+/// Health of a backend in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Up.
+    /// The backend takes requests.
     Up,
-    /// Completing its work; nothing new.
+    /// The backend completes its work and takes no new requests.
     Draining,
-    /// Removed.
+    /// The backend is removed.
     Gone,
 }
 
-/// One line of the list.
+/// One line of the list of backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListEntry {
-    /// Which backend.
+    /// The backend.
     pub backend: BackendId,
-    /// Its zone.
+    /// Number of its zone.
     pub zone: u16,
-    /// Its cell.
+    /// Number of its cell.
     pub cell: u32,
     /// Its health.
     pub health: Health,
-    /// Size in relation to the others.
+    /// Its size relative to the others.
     pub units: f64,
-    /// Time of its latest start; 0 for long past.
+    /// Time of its latest start; 0 for long ago.
     pub ready_at_ms: f64,
 }
 
-/// What a list event holds.
+/// Content of a list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Changes,
-    /// All of them: who is absent is gone.
+    /// All entries: a backend that is absent is gone.
     Full,
-    /// All of them as last held before a restart, perhaps stale.
+    /// All entries as stored before a restart of the node, perhaps out of date.
     Saved,
-    /// A call failed or the subscription broke; the list stays.
+    /// None: the call failed or the subscription broke, and the list stays as it is.
     Failed,
 }
 
-/// How an attempt or probe ended.
+/// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend answered.
     Done,
-    /// The backend answered with an error; it may have run.
+    /// The backend answered with an error; the attempt may have run.
     Error,
-    /// Turned away; never ran, unless [`Settings::late_shedding`] says that this is no proof.
+    /// The backend refused the attempt, which never ran unless [`Settings::late_shedding`] says that this is no proof.
     Full,
-    /// No answer in time; it may have run.
+    /// No answer came in time; the attempt may have run.
     TimedOut,
-    /// No connection in time; never ran.
+    /// No connection was made in time; the attempt never ran.
     NotConnected,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Called off; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Not sent.
+    /// The attempt was not sent.
     Skipped,
-    /// The backend found the request itself wrong, as any other would: this says nothing of the backend.
+    /// The backend found the request itself invalid, as any other would. This says nothing about the backend.
     Rejected,
 }
 
 impl Outcome {
-    /// How many there are.
+    /// Number of outcomes.
     pub const COUNT: usize = 9;
-    /// All of them, in their order.
+    /// All outcomes in the order of their declaration.
     pub const ALL: [Outcome; Outcome::COUNT] = [
         Outcome::Done,
         Outcome::Error,
@@ -407,91 +412,91 @@
     ];
 }
 
-/// A client request.
+/// A client's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// Its id; never repeated.
+    /// Identity of the request; never reused.
     pub id: RequestId,
-    /// Index into [`Settings::classes`]; one that is not there is held to the strictest rules.
+    /// Index into [`Settings::classes`]. An unknown class counts as unsafe.
     pub class: usize,
     /// Index into [`Settings::tenants`].
     pub tenant: Option<usize>,
-    /// Stable hash of its subject.
+    /// Stable hash of the subject of the request.
     pub key: Option<u64>,
-    /// When the client gives this try up.
+    /// Time at which the client gives this try up.
     pub deadline_ms: f64,
-    /// A guess of its cost in core time.
+    /// Estimate of the request's work, in milliseconds of one core.
     pub effort_ms: Option<f64>,
-    /// The client says that it is another try.
+    /// True if the client says that this is not its first try.
     pub retry: bool,
 }
 
-/// How an attempt ended.
+/// End of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptEnded {
     /// The request.
     pub id: RequestId,
-    /// Which attempt.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// At which backend.
+    /// Backend of the attempt.
     pub backend: BackendId,
-    /// How.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The request is finished, by this or before.
+    /// True if the request is finished, by this attempt or before.
     pub last: bool,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub elapsed_ms: f64,
     /// The backend's report of its load, as far as it gave one.
     pub load: Load,
 }
 
-/// What a balancer has learned that the next process of its node can go on from.
+/// What a balancer has learned and the next process of its node can restore.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Memory {
-    /// Requests a second that a warm backend serves for this node.
+    /// Requests per second that a warm backend serves for this node.
     pub warm_rate: f64,
-    /// What is known of backends.
+    /// What is learned of each backend.
     pub backends: Vec<BackendMemory>,
-    /// Usual times by class: the mean, its deviation, what four of five stay below, and that in easy times; all
-    /// 0 where little is known.
+    /// Answer times of each class in milliseconds: the mean, its mean deviation, the 80th percentile, and that
+    /// percentile without overload. All are 0 where there are few answers.
     pub classes: Vec<[f64; 4]>,
 }
 
-/// What is known of one backend.
+/// What is learned of one backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendMemory {
-    /// Which.
+    /// The backend.
     pub backend: BackendId,
-    /// Requests that it may have in flight.
+    /// Cap on this node's requests in flight there.
     pub limit: f64,
-    /// When strain last showed there; 0 for never.
+    /// Time of the last cut of the cap by strain; 0 for never.
     pub cut_at: f64,
-    /// When it may be tried again, where it is congested.
+    /// PRAT, the time at which the backend may be tried again; `None` if it is not congested.
     pub prat: Option<f64>,
 }
 
-/// What the decisions have to tell whoever is on call. Written out it is one line.
+/// A message for the log. Its text is one line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogNote {
-    /// A backend is congested from here on.
+    /// A backend became congested.
     Congested {
-        /// Which.
+        /// The backend.
         backend: BackendId,
-        /// Failures in its window.
+        /// Failures in its failure window.
         failures: f64,
-        /// Tries in its window.
+        /// Tries in its failure window.
         tries: f64,
         /// Time to its next trial.
         pause_ms: f64,
     },
-    /// A trial was answered: it is live again.
+    /// A backend answered a trial and is live again.
     Live {
-        /// Which.
+        /// The backend.
         backend: BackendId,
         /// Trials that failed before.
         failed_trials: u32,
     },
-    /// Requests were stopped lately.
+    /// Requests were stopped since the last such note.
     Stopped(Box<(AdmissionCounters, LoadSnapshot)>),
 }
 
@@ -505,202 +510,203 @@
             LogNote::Live { backend, failed_trials } => {
                 write!(f, "live {:016x}: trial answered after {failed_trials} failed", backend.0)
             }
-            LogNote::Stopped(told) => write!(f, "{}; {}", told.0, told.1),
+            LogNote::Stopped(note) => write!(f, "{}; {}", note.0, note.1),
         }
     }
 }
 
-/// What the decisions know, for whoever is on call.
+/// State of a balancer at one moment, for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BalancerSnapshot {
-    /// How the fleet looks from here.
+    /// Load of the fleet as this node sees it.
     pub load: LoadSnapshot,
-    /// Why requests were refused since the start.
+    /// Refused requests since the start, by reason.
     pub refusals: RefusalCounts,
-    /// The most requests a second that a warm backend was lately seen to serve for this node.
+    /// Highest rate, in requests per second, that a warm backend was lately seen to serve for this node.
     pub warm_rate: f64,
-    /// Each backend.
+    /// State of each backend.
     pub backends: Vec<BackendSnapshot>,
 }
 
-/// What the decisions know of one backend.
+/// State of one backend at one moment, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendSnapshot {
-    /// Which.
+    /// The backend.
     pub backend: BackendId,
-    /// Its zone.
+    /// Number of its zone.
     pub zone: u16,
-    /// It is sent to, as far as the list goes.
+    /// True if the backend is listed as up.
     pub up: bool,
-    /// When it may be tried again, where it is congested.
+    /// PRAT, the time at which the backend may be tried again; `None` if it is not congested.
     pub trial_at_ms: Option<f64>,
-    /// Requests of this node that it may have in flight.
+    /// Cap on this node's requests in flight there.
     pub cap: f64,
-    /// Those that it has.
+    /// This node's requests in flight there.
     pub in_flight: u32,
-    /// It has started lately.
+    /// True if the backend has started lately.
     pub cold: bool,
-    /// How pressed it is by its reports, 0 to 1.
+    /// Pressure by its load reports, 0 to 1.
     pub pressure: f64,
 }
 
-/// What the nodes of a fleet share with this one.
+/// An update that other nodes of the fleet share with this one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SharedUpdate {
-    /// What part of each tenant's requests is within its share over the whole fleet, by index; none where that is
-    /// not known, or not well enough.
+    /// Part of each tenant's requests that is within its share over the whole fleet, by the tenant's index; `None` where
+    /// that is not known well enough.
     TenantShares(Vec<Option<f64>>),
-    /// Another node found that a backend fails, or serves again.
+    /// Another node observed that a backend fails, or serves again.
     Verdict {
-        /// Which.
+        /// The backend.
         backend: BackendId,
-        /// Number of the node that found it.
+        /// Number of the node that observed it.
         node: u16,
-        /// It fails.
+        /// True if the backend fails.
         failing: bool,
-        /// Until when it may be believed.
+        /// Time until which the verdict counts.
         until_ms: f64,
     },
-    /// A key is known to a backend that is none of its candidates.
+    /// A backend that is none of a key's candidates has met the key.
     KeyLocation {
-        /// The key's short hash.
+        /// Short hash of the key.
         key: u32,
-        /// Where.
+        /// The backend.
         backend: BackendId,
-        /// Until when it may be believed.
+        /// Time until which the location counts.
         until_ms: f64,
     },
 }
 
-/// What a node has found that the others should know.
+/// An observation of this node that the other nodes should know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
     /// A backend fails, or serves again.
     Backend {
-        /// Which.
+        /// The backend.
         backend: BackendId,
-        /// It fails.
+        /// True if the backend fails.
         failing: bool,
     },
-    /// A key went to a backend that is none of its candidates.
+    /// A key was sent to a backend that is none of its candidates.
     Key {
-        /// The key's short hash.
+        /// Short hash of the key.
         key: u32,
-        /// Where.
+        /// The backend.
         backend: BackendId,
     },
 }
 
-/// What a node learns.
+/// What happened at a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The node is up. Comes once, first.
+    /// The node started. This event comes once, before all others.
     Start,
-    /// New settings, for all that follows. A request keeps its class by number: the host gives a number that one
-    /// holds to no other class. Settings that cannot be run on change nothing.
+    /// New settings, valid from now on. A request keeps its class by number, so the host must not reuse the number of a
+    /// class that an open request has. Invalid settings are ignored.
     Settings(Box<Settings>),
-    /// News of the list.
+    /// An update of the list.
     List {
-        /// What the entries are.
+        /// Content of the entries.
         kind: ListKind,
         /// The entries.
         entries: Vec<ListEntry>,
     },
-    /// A request to answer.
+    /// A request arrived.
     Request(Request),
-    /// A streamed answer has begun.
+    /// A streamed answer began.
     ResponseStarted {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// From which backend.
+        /// Backend of the attempt.
         backend: BackendId,
-        /// Time since the send.
+        /// Time since the attempt was sent.
         elapsed_ms: f64,
     },
-    /// An attempt is over.
+    /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// What another process of the same node has learned, for a balancer that has only its first list.
+    /// What another process of the same node has learned, for a balancer that has received no more than its first list.
     Memory(Box<Memory>),
-    /// The client is gone; nothing is owed.
+    /// The client left and needs no answer.
     ClientLeft(RequestId),
-    /// A timer set by [`Action::Timer`].
+    /// A timer set by [`Action::Timer`] expired; holds its token.
     Timer(u64),
-    /// A probe is over.
+    /// A probe ended.
     ProbeEnded {
-        /// At which backend.
+        /// The probed backend.
         backend: BackendId,
-        /// How.
+        /// How the probe ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the probe was sent.
         elapsed_ms: f64,
         /// The backend's report of its load, as far as it gave one.
         load: Load,
     },
-    /// News that the fleet shares; the first of it tells that findings are wanted.
+    /// An update that the nodes share. From the first one on, observations are wanted.
     Shared(SharedUpdate),
-    /// What part of its usual weight each zone has, by number: 1 where none is told, a trickle where it is left.
+    /// Part of its usual weight that each zone has, by the zone's number. It is 1 for a zone without a value, and close
+    /// to 0 for a zone that is out of use.
     ZoneWeights(Vec<f64>),
     /// A message from another node.
     PeerMessage {
-        /// Its number.
+        /// Number of the sender.
         from: u32,
-        /// What it said.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
 }
 
-/// What a node does.
+/// What the host must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; a request's attempts are numbered from 0 in this order.
+    /// Send an attempt. The attempts of a request are numbered from 0 in this order.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// Backend to send to.
         backend: BackendId,
-        /// The attempt's time-out.
+        /// Time-out of the attempt.
         timeout_ms: f64,
     },
-    /// Stop waiting on an attempt.
+    /// Stop waiting for an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: refused; trying again does no harm.
+    /// Final answer: the request is refused, and another try does no harm.
     Refuse {
         /// The request.
         id: RequestId,
-        /// When to come back.
+        /// Time after which the client should come back.
         retry_after_ms: f64,
     },
-    /// Final answer: failed; no promise.
+    /// Final answer: the request failed, and another try may do harm.
     Fail(RequestId),
-    /// Ask for [`Event::Timer`].
+    /// Set a timer that ends in [`Event::Timer`].
     Timer {
-        /// Comes back.
+        /// Token that identifies the timer in the event.
         token: u64,
-        /// When.
+        /// Time at which the timer expires.
         at_ms: f64,
     },
     /// Probe a backend.
     Probe(BackendId),
-    /// Close the connections to a backend that carry nothing.
+    /// Close the idle connections to a backend.
     CloseIdleConnections(BackendId),
-    /// Send a message of at most 256 bytes to another node, or to all where none is named.
+    /// Send a message of at most 256 bytes to another node, or to all other nodes.
     SendPeerMessage {
-        /// Its number.
+        /// Number of the receiver; `None` for all.
         to: Option<u32>,
-        /// What to say.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
-    /// Share a finding; only where the fleet's news came before.
+    /// Share an observation with the other nodes. Returned only after an [`Event::Shared`].
     ShareObservation(Observation),
-    /// Subscribe to the list, or end that.
+    /// Subscribe to the list, or end the subscription.
     Watch(bool),
-    /// A word for whoever is on call.
+    /// Write a message to the log.
     Log(LogNote),
 }
