--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -1,12 +1,13 @@
-//! One small test for each transition of the design and for each failure found.
+//! Tests of single decisions of the balancer, and regression tests. Each runs one balancer in the world of
+//! `tests/common`, which checks the operators' rules at every action.
 mod common;
 
 use common::{World, class, settings, up};
 use daleturn::Balancer;
 use daleturn::interface::*;
 
-/// A world in which every request is safe, on `count` backends.
-fn safe(count: u64) -> World {
+/// Returns a world with `count` backends in which all requests are safe to repeat.
+fn safe_world(count: u64) -> World {
     World::with_backends(
         Settings { classes: vec![class(400.0, 1000.0, Effect::Safe)], ..settings() },
         1,
@@ -14,207 +15,207 @@
     )
 }
 
-/// Two requests that are never answered: what it takes to trip a backend that has no other traffic.
-fn trip(w: &mut World) {
+/// Breaks the connections of two requests, which makes a backend without other traffic congested.
+fn make_congested(world: &mut World) {
     for _ in 0..2 {
-        let id = w.ask(0, Some(1));
-        w.end(id, Outcome::Reset);
+        let id = world.ask(0, Some(1));
+        world.end(id, Outcome::Reset);
     }
 }
 
 // ---- the failure record ----
 
 #[test]
-fn a_backend_is_congested_by_more_than_m_failures_and_then_gets_nothing() {
-    let mut w = safe(1);
-    let id = w.ask(0, Some(1));
-    w.end(id, Outcome::Reset);
-    let id = w.ask(0, Some(1));
-    assert!(w.at(id).is_some(), "one failure is not more than M");
-    w.end(id, Outcome::Reset);
-    let id = w.ask(0, Some(1));
-    assert_eq!(w.answer(id), Some("refused"), "congested: refused at once");
-    assert!(w.logs.iter().any(|l| l.starts_with("congested")));
+fn a_backend_becomes_congested_after_too_many_failures_and_gets_no_requests() {
+    let mut world = safe_world(1);
+    let id = world.ask(0, Some(1));
+    world.end(id, Outcome::Reset);
+    let id = world.ask(0, Some(1));
+    assert!(world.at(id).is_some(), "one failure is not too many");
+    world.end(id, Outcome::Reset);
+    let id = world.ask(0, Some(1));
+    assert_eq!(world.answer(id), Some("refused"), "a congested backend gets no request");
+    assert!(world.logs.iter().any(|l| l.starts_with("congested")));
 }
 
 #[test]
-fn answers_errors_full_and_cancelled_attempts_count_nothing() {
-    let mut w = safe(1);
+fn answers_errors_refusals_and_cancelled_attempts_do_not_count_as_failures() {
+    let mut world = safe_world(1);
     for n in 0..40 {
-        let id = w.ask(0, Some(1));
-        w.wait(10.0);
-        let quiet = [Outcome::Done, Outcome::Error, Outcome::Full, Outcome::Cancelled];
-        w.end(id, quiet[n % 4]);
-        w.wait(400.0);
+        let id = world.ask(0, Some(1));
+        world.wait(10.0);
+        let outcomes = [Outcome::Done, Outcome::Error, Outcome::Full, Outcome::Cancelled];
+        world.end(id, outcomes[n % 4]);
+        world.wait(400.0);
     }
-    assert!(!w.logs.iter().any(|l| l.starts_with("congested")), "{:?}", w.logs);
+    assert!(!world.logs.iter().any(|l| l.starts_with("congested")), "{:?}", world.logs);
 }
 
 #[test]
-fn a_request_that_is_wrong_is_no_strain_on_its_backend() {
-    let mut w = World::with_backends(Settings { reporting: Reporting::Probes, ..settings() }, 1, 5);
-    w.warm_up(50, 0, 20.0);
+fn rejected_requests_do_not_count_as_strain_on_their_backend() {
+    let mut world = World::with_backends(Settings { reporting: Reporting::Probes, ..settings() }, 1, 5);
+    world.warm_up(50, 0, 20.0);
     for n in 0..300 {
-        let wrong = w.ask(n % 2, Some(n as u64));
-        assert!(w.at(wrong).is_some(), "request {n} was refused");
-        w.wait(5.0);
-        w.end(wrong, Outcome::Rejected);
-        assert_eq!(w.answer(wrong), Some("failed"), "asking again would bring the same");
-        assert_eq!(w.asked[&wrong].attempts.len(), 1);
-        let right = w.ask(0, Some(n as u64));
-        assert!(w.at(right).is_some(), "a right request was refused after {n} wrong ones");
-        w.wait(15.0);
-        w.end(right, Outcome::Done);
+        let rejected = world.ask(n % 2, Some(n as u64));
+        assert!(world.at(rejected).is_some(), "request {n} was refused");
+        world.wait(5.0);
+        world.end(rejected, Outcome::Rejected);
+        assert_eq!(world.answer(rejected), Some("failed"), "another backend would reject it too");
+        assert_eq!(world.asked[&rejected].attempts.len(), 1);
+        let valid = world.ask(0, Some(n as u64));
+        assert!(world.at(valid).is_some(), "a valid request was refused after {n} rejected ones");
+        world.wait(15.0);
+        world.end(valid, Outcome::Done);
     }
 }
 
 #[test]
-fn failures_press_on_nothing_where_no_answer_brings_relief() {
+fn failures_do_not_raise_the_pressure_where_answers_carry_no_load_reports() {
     let classes = vec![class(400.0, 1000.0, Effect::Safe)];
-    let mut w =
+    let mut world =
         World::with_backends(Settings { reporting: Reporting::Probes, classes, ..settings() }, 1, 12);
-    let mut play = |requests: std::ops::Range<u64>, cut: u64| {
+    let mut play = |requests: std::ops::Range<u64>, broken: u64| {
         for n in requests.clone() {
-            let id = w.ask(0, Some(n));
-            w.wait(6.0);
-            w.end(id, if n % 8 < cut { Outcome::Reset } else { Outcome::Done });
-            w.end(id, Outcome::Done);
+            let id = world.ask(0, Some(n));
+            world.wait(6.0);
+            world.end(id, if n % 8 < broken { Outcome::Reset } else { Outcome::Done });
+            world.end(id, Outcome::Done);
         }
-        requests.filter(|n| w.answer(RequestId(n + 1)) != Some("done")).count()
+        requests.filter(|n| world.answer(RequestId(n + 1)) != Some("done")).count()
     };
-    // Two attempts in eight are cut, at no backend in particular: enough to learn from, too few to shut any.
+    // Two attempts in eight break, spread over all backends: enough to affect statistics, too few for congestion.
     play(0..400, 2);
     let refused = play(400..600, 0);
-    assert_eq!(refused, 0, "of 200 after the last failure");
+    assert_eq!(refused, 0, "requests refused of 200 after the last failure");
 }
 
 #[test]
 fn broken_connections_do_not_shrink_the_cap() {
     for outcome in [Outcome::Reset, Outcome::NotConnected] {
-        let mut w = safe(1);
+        let mut world = safe_world(1);
         for n in 0..120 {
-            let id = w.ask(0, Some(n));
-            w.wait(20.0);
-            w.end(id, if n % 6 == 0 { outcome } else { Outcome::Done });
-            assert!(w.at(id).is_none());
+            let id = world.ask(0, Some(n));
+            world.wait(20.0);
+            world.end(id, if n % 6 == 0 { outcome } else { Outcome::Done });
+            assert!(world.at(id).is_none());
         }
-        let (a, b) = (w.ask(0, Some(1)), w.ask(0, Some(2)));
+        let (a, b) = (world.ask(0, Some(1)), world.ask(0, Some(2)));
         assert!(
-            w.at(a).is_some() && w.at(b).is_some(),
-            "{outcome:?}: two at once were no trouble at first"
+            world.at(a).is_some() && world.at(b).is_some(),
+            "{outcome:?}: the cap no longer allows two requests"
         );
     }
 }
 
 #[test]
-fn a_fleet_at_ease_takes_the_second_attempts_of_cut_ones() {
-    let mut w = safe(12);
-    w.warm_up(50, 0, 20.0);
-    let cut: Vec<RequestId> = (0..400)
+fn a_fleet_at_ease_serves_the_second_attempts_of_broken_ones() {
+    let mut world = safe_world(12);
+    world.warm_up(50, 0, 20.0);
+    let broken: Vec<RequestId> = (0..400)
         .filter_map(|n| {
-            let id = w.ask(0, Some(n));
-            w.wait(10.0);
-            w.end(id, if n % 4 == 0 { Outcome::Reset } else { Outcome::Done });
-            w.wait(10.0);
-            w.end(id, Outcome::Done);
+            let id = world.ask(0, Some(n));
+            world.wait(10.0);
+            world.end(id, if n % 4 == 0 { Outcome::Reset } else { Outcome::Done });
+            world.wait(10.0);
+            world.end(id, Outcome::Done);
             (n % 4 == 0).then_some(id)
         })
         .collect();
-    let lost = cut.iter().filter(|id| w.answer(**id) != Some("done")).count();
-    assert!(lost <= 5, "{lost} of {} had no second attempt", cut.len());
+    let lost = broken.iter().filter(|id| world.answer(**id) != Some("done")).count();
+    assert!(lost <= 5, "{lost} of {} were not served by a second attempt", broken.len());
 }
 
 #[test]
-fn a_long_life_does_not_silence_the_log() {
-    let mut w = World::new(settings(), 1);
+fn refusals_are_still_logged_after_a_long_uptime() {
+    let mut world = World::new(settings(), 1);
     for _ in 0..400 {
-        w.ask(0, Some(1));
-        w.wait(2500.0);
+        world.ask(0, Some(1));
+        world.wait(2500.0);
     }
     assert!(
-        w.logs.len() > 300,
-        "{} lines for 400 refusals, each some seconds after the last",
-        w.logs.len()
+        world.logs.len() > 300,
+        "{} log lines for 400 refusals, each 2.5 s after the last",
+        world.logs.len()
     );
 }
 
 #[test]
-fn a_trial_that_is_rejected_shows_a_live_backend() {
-    let mut w = World::with_backends(Settings { probes: false, ..settings() }, 1, 1);
-    trip(&mut w);
-    w.wait(3000.0);
-    let trial = w.ask(0, Some(1));
-    w.end(trial, Outcome::Rejected);
-    let id = w.ask(0, Some(1));
-    assert!(w.at(id).is_some(), "live again");
+fn a_rejected_trial_makes_its_backend_live_again() {
+    let mut world = World::with_backends(Settings { probes: false, ..settings() }, 1, 1);
+    make_congested(&mut world);
+    world.wait(3000.0);
+    let trial = world.ask(0, Some(1));
+    world.end(trial, Outcome::Rejected);
+    let id = world.ask(0, Some(1));
+    assert!(world.at(id).is_some(), "the backend is live again");
 }
 
 #[test]
-fn failures_leave_the_window() {
-    let mut w = safe(1);
-    let id = w.ask(0, Some(1));
-    w.end(id, Outcome::Reset);
-    w.wait(w.s.cold_ms);
-    let id = w.ask(0, Some(1));
-    w.end(id, Outcome::Reset);
-    let id = w.ask(0, Some(1));
-    assert!(w.at(id).is_some(), "the first failure is out of the window");
+fn failures_expire_with_the_window() {
+    let mut world = safe_world(1);
+    let id = world.ask(0, Some(1));
+    world.end(id, Outcome::Reset);
+    world.wait(world.s.cold_ms);
+    let id = world.ask(0, Some(1));
+    world.end(id, Outcome::Reset);
+    let id = world.ask(0, Some(1));
+    assert!(world.at(id).is_some(), "the first failure has left the window");
 }
 
 #[test]
-fn after_prat_one_trial_decides() {
-    let mut w = safe(1);
-    trip(&mut w);
-    w.wait(3000.0);
-    assert_eq!(w.probes.len(), 1, "one trial at a time");
-    w.probed(Outcome::TimedOut);
-    let id = w.ask(0, Some(1));
-    assert_eq!(w.answer(id), Some("refused"), "a failed trial sets PRAT again");
-    w.wait(6000.0);
-    w.probed(Outcome::Done);
-    assert!(w.logs.iter().any(|l| l.starts_with("live")));
+fn after_the_prat_one_trial_at_a_time_decides() {
+    let mut world = safe_world(1);
+    make_congested(&mut world);
+    world.wait(3000.0);
+    assert_eq!(world.probes.len(), 1, "one trial at a time");
+    world.probed(Outcome::TimedOut);
+    let id = world.ask(0, Some(1));
+    assert_eq!(world.answer(id), Some("refused"), "a failed trial sets a new PRAT");
+    world.wait(6000.0);
+    world.probed(Outcome::Done);
+    assert!(world.logs.iter().any(|l| l.starts_with("live")));
 }
 
 #[test]
 fn without_probes_the_trial_is_a_request_that_may_be_repeated() {
-    let mut w = World::with_backends(Settings { probes: false, ..settings() }, 1, 1);
-    trip(&mut w);
-    w.wait(3000.0);
-    let unsafe_one = w.ask(1, Some(1));
-    assert_eq!(w.answer(unsafe_one), Some("refused"), "no unsafe request is risked");
-    let trial = w.ask(0, Some(1));
-    assert!(w.at(trial).is_some());
-    let second = w.ask(0, Some(1));
-    assert_eq!(w.answer(second), Some("refused"), "one trial at a time");
-    w.end(trial, Outcome::Done);
-    let id = w.ask(1, Some(1));
-    assert!(w.at(id).is_some(), "live again");
+    let mut world = World::with_backends(Settings { probes: false, ..settings() }, 1, 1);
+    make_congested(&mut world);
+    world.wait(3000.0);
+    let unsafe_request = world.ask(1, Some(1));
+    assert_eq!(world.answer(unsafe_request), Some("refused"), "an unsafe request is no trial");
+    let trial = world.ask(0, Some(1));
+    assert!(world.at(trial).is_some());
+    let second = world.ask(0, Some(1));
+    assert_eq!(world.answer(second), Some("refused"), "one trial at a time");
+    world.end(trial, Outcome::Done);
+    let id = world.ask(1, Some(1));
+    assert!(world.at(id).is_some(), "the backend is live again");
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back() {
-    let mut w = safe(1);
-    trip(&mut w);
-    let id = w.ask(0, Some(1));
-    let wait = w.trace.iter().rev().find_map(|a| match a {
+fn a_refusal_carries_a_retry_after_time() {
+    let mut world = safe_world(1);
+    make_congested(&mut world);
+    let id = world.ask(0, Some(1));
+    let wait = world.trace.iter().rev().find_map(|a| match a {
         Action::Refuse { id: i, retry_after_ms } if *i == id => Some(*retry_after_ms),
         _ => None,
     });
-    assert!(wait.is_some_and(|ms| ms >= 400.0), "PRAT and T: {wait:?}");
-    let mut w = World::new(settings(), 1);
-    let id = w.ask(0, Some(1));
+    assert!(wait.is_some_and(|ms| ms >= 400.0), "the aim at least: {wait:?}");
+    let mut world = World::new(settings(), 1);
+    let id = world.ask(0, Some(1));
     assert_eq!(
-        w.answer(id),
+        world.answer(id),
         Some("refused"),
-        "an empty list refuses, with advice too: every refusal is checked"
+        "requests are refused while the list is empty; the world checks the retry-after time"
     );
 }
 
-// ---- picking ----
+// ---- backend selection ----
 
 #[test]
-fn a_key_keeps_its_backend_and_all_nodes_agree() {
-    let mut a = safe(20);
+fn all_nodes_send_a_key_to_the_same_backend() {
+    let mut a = safe_world(20);
     let mut b = World::with_backends(a.s.clone(), 99, 20);
     for key in 0..100 {
         let (x, y) = (a.ask(0, Some(key)), b.ask(0, Some(key)));
@@ -227,124 +228,129 @@
 }
 
 #[test]
-fn the_candidate_with_fewer_in_flight_is_taken() {
-    let mut w = safe(20);
-    let (first, second) = (w.ask(0, Some(7)), w.ask(0, Some(7)));
-    assert_ne!(w.at(first), w.at(second));
+fn the_candidate_with_fewer_requests_in_flight_is_selected() {
+    let mut world = safe_world(20);
+    let (first, second) = (world.ask(0, Some(7)), world.ask(0, Some(7)));
+    assert_ne!(world.at(first), world.at(second));
 }
 
 #[test]
-fn only_the_keys_of_a_backend_that_goes_move() {
-    let mut w = safe(20);
-    let home = |w: &mut World, key| {
-        let id = w.ask(0, Some(key));
-        let at = w.at(id);
-        w.wait(5.0);
-        w.end(id, Outcome::Done);
+fn only_the_keys_of_a_removed_backend_move() {
+    let mut world = safe_world(20);
+    let backend_of = |world: &mut World, key| {
+        let id = world.ask(0, Some(key));
+        let at = world.at(id);
+        world.wait(5.0);
+        world.end(id, Outcome::Done);
         at
     };
-    let before: Vec<_> = (0..100).map(|k| home(&mut w, k)).collect();
-    let gone = up(3).backend;
-    w.list(ListKind::Changes, vec![ListEntry { health: Health::Gone, ..up(3) }]);
+    let before: Vec<_> = (0..100).map(|k| backend_of(&mut world, k)).collect();
+    let removed = up(3).backend;
+    world.list(ListKind::Changes, vec![ListEntry { health: Health::Gone, ..up(3) }]);
     for (key, old) in before.iter().enumerate() {
-        let new = home(&mut w, key as u64);
-        assert!(new == *old || *old == Some(gone), "key {key} moved without need");
+        let new = backend_of(&mut world, key as u64);
+        assert!(
+            new == *old || *old == Some(removed),
+            "key {key} moved although its backend is still there"
+        );
     }
 }
 
 #[test]
-fn the_cap_blocks_then_spills_then_refuses() {
-    let mut w = safe(3);
-    let ids: Vec<_> = (0..60).map(|_| w.ask(0, Some(7))).collect();
-    let used: std::collections::BTreeSet<_> = ids.iter().filter_map(|i| w.at(*i)).collect();
-    assert_eq!(used.len(), 3, "spilled to the third");
-    assert_eq!(w.answer(ids[59]), Some("refused"), "caps alone block");
+fn requests_above_the_cap_spill_and_are_then_refused() {
+    let mut world = safe_world(3);
+    let ids: Vec<_> = (0..60).map(|_| world.ask(0, Some(7))).collect();
+    let used: std::collections::BTreeSet<_> = ids.iter().filter_map(|i| world.at(*i)).collect();
+    assert_eq!(used.len(), 3, "requests spill to the third backend");
+    assert_eq!(world.answer(ids[59]), Some("refused"), "all backends are at their cap");
     for id in ids {
-        w.wait(1.0);
-        w.end(id, Outcome::Done);
+        world.wait(1.0);
+        world.end(id, Outcome::Done);
     }
-    let id = w.ask(0, Some(7));
-    assert!(w.at(id).is_some(), "the cap recovers");
+    let id = world.ask(0, Some(7));
+    assert!(world.at(id).is_some(), "the caps allow requests again");
 }
 
-// ---- failures found ----
+// ---- regressions ----
 
 #[test]
-fn a_clients_longer_last_try_does_not_make_first_tries_look_old() {
-    // Found on a quiet day: the longest try was a last one, and three of four first tries were refused.
-    let mut w = safe(5);
+fn a_longer_last_try_of_a_client_does_not_make_first_tries_look_old() {
+    // Regression: the longest time limit seen was taken for that of first tries. It belonged to a last try, so that three
+    // of four first tries looked old and were refused.
+    let mut world = safe_world(5);
     for n in 0..200 {
         let given = if n % 10 == 9 { 990.0 } else { 600.0 };
-        let id = w.ask_with(0, Some(n), given);
-        assert!(w.at(id).is_some(), "request {n} refused");
-        w.wait(20.0);
-        w.end(id, Outcome::Done);
+        let id = world.ask_with(0, Some(n), given);
+        assert!(world.at(id).is_some(), "request {n} refused");
+        world.wait(20.0);
+        world.end(id, Outcome::Done);
     }
-    // A try with little left shows its age: it can no longer be answered within the aim.
-    let id = w.ask_with(0, Some(1), 300.0);
-    assert_eq!(w.answer(id), Some("refused"));
+    // A try with a short time limit is a later try that can no longer be answered within the aim.
+    let id = world.ask_with(0, Some(1), 300.0);
+    assert_eq!(world.answer(id), Some("refused"));
 }
 
 #[test]
 fn time_outs_do_not_make_the_next_time_out_shorter() {
-    // Found on the same day: only answers were learned from, so n shrank with each time-out.
-    let mut w = safe(1);
-    w.warm_up(50, 0, 100.0);
+    // Regression: only answers entered the statistics, so that each time-out made the next one shorter.
+    let mut world = safe_world(1);
+    world.warm_up(50, 0, 100.0);
     for n in 0..6 {
-        let id = w.ask(0, Some(n));
-        w.wait(500.0);
-        let Some(sent) = w.asked[&id].attempts.first() else { break };
-        assert!(sent.ends - sent.at > 90.0, "n fell to {}", sent.ends - sent.at);
+        let id = world.ask(0, Some(n));
+        world.wait(500.0);
+        let Some(sent) = world.asked[&id].attempts.first() else { break };
+        assert!(sent.ends - sent.at > 90.0, "the time-out fell to {}", sent.ends - sent.at);
     }
 }
 
 #[test]
-fn a_node_that_admits_little_comes_back() {
-    // Found at full size: strain without new outcomes kept a node at the least admission for ten seconds.
-    let mut w = safe(10);
-    w.warm_up(100, 0, 20.0);
+fn a_node_that_admits_little_recovers() {
+    // Regression: strain without new outcomes kept a node at the lowest admission level for ten seconds.
+    let mut world = safe_world(10);
+    world.warm_up(100, 0, 20.0);
     for n in 0..200 {
-        w.ask(0, Some(n));
-        w.wait(30.0);
+        world.ask(0, Some(n));
+        world.wait(30.0);
     }
-    w.wait(6000.0);
+    world.wait(6000.0);
     let mut sent = 0;
     for n in 0..50 {
-        let id = w.ask(0, Some(n));
-        sent += usize::from(w.at(id).is_some());
-        w.wait(20.0);
-        w.end(id, Outcome::Done);
+        let id = world.ask(0, Some(n));
+        sent += usize::from(world.at(id).is_some());
+        world.wait(20.0);
+        world.end(id, Outcome::Done);
     }
     assert!(sent >= 40, "{sent} of 50 sent");
 }
 
 #[test]
-fn full_backends_do_not_close_the_whole_node() {
-    // Found at full size: a few hot backends that turned attempts away made the node admit less to all.
-    let mut w = safe(10);
-    w.warm_up(100, 0, 20.0);
+fn a_few_full_backends_do_not_close_admission() {
+    // Regression: a few hot backends that answered `Full` lowered the admission level for all requests.
+    let mut world = safe_world(10);
+    world.warm_up(100, 0, 20.0);
     let hot = (0..100).find_map(|k| {
-        let id = w.ask(0, Some(k));
-        let at = w.at(id);
-        w.end(id, Outcome::Done);
+        let id = world.ask(0, Some(k));
+        let at = world.at(id);
+        world.end(id, Outcome::Done);
         at
     });
     let mut refused = 0;
     for n in 0..300 {
-        let id = w.ask(0, Some(n));
-        w.wait(5.0);
-        while w.at(id).is_some() {
-            let outcome = if w.at(id) == hot { Outcome::Full } else { Outcome::Done };
-            w.end(id, outcome);
+        let id = world.ask(0, Some(n));
+        world.wait(5.0);
+        while world.at(id).is_some() {
+            let outcome = if world.at(id) == hot { Outcome::Full } else { Outcome::Done };
+            world.end(id, outcome);
         }
-        refused += usize::from(w.answer(id) == Some("refused"));
+        refused += usize::from(world.answer(id) == Some("refused"));
     }
     assert!(refused < 30, "{refused} of 300 refused");
 }
 
 #[test]
-fn what_caps_refuse_sheds_the_low_worth_first() {
-    // Found in incidents: caps blocked nearly all backends while admission stood open, so chance chose.
+fn requests_of_low_worth_are_refused_first_when_caps_block_backends() {
+    // Regression: caps blocked nearly all backends while the admission level stayed high, so that chance chose what was
+    // refused.
     let low = class(400.0, 1000.0, Effect::Safe);
     let high = Class { worth: 10.0, ..low.clone() };
     let s = Settings {
@@ -352,101 +358,102 @@
         goal: Goal { worst_class: 0.0, ..settings().goal },
         ..settings()
     };
-    let mut w = World::with_backends(s, 1, 4);
+    let mut world = World::with_backends(s, 1, 4);
     let mut refused = [0, 0];
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for n in 0..3000 {
         let class = n % 2;
-        let id = w.ask(class, Some(n as u64));
-        out.push_back((w.now + 300.0, id));
-        if n > 600 && w.answer(id) == Some("refused") {
+        let id = world.ask(class, Some(n as u64));
+        in_flight.push_back((world.now + 300.0, id));
+        if n > 600 && world.answer(id) == Some("refused") {
             refused[class] += 1;
         }
-        w.wait(5.0);
-        while out.front().is_some_and(|(at, _)| *at <= w.now) {
-            if let Some((_, id)) = out.pop_front() {
-                w.end(id, Outcome::Done);
+        world.wait(5.0);
+        while in_flight.front().is_some_and(|(at, _)| *at <= world.now) {
+            if let Some((_, id)) = in_flight.pop_front() {
+                world.end(id, Outcome::Done);
             }
         }
     }
-    assert!(refused[0] > 2 * refused[1], "refused of low and high worth: {refused:?}");
+    assert!(refused[0] > 2 * refused[1], "requests refused of low and high worth: {refused:?}");
 }
 
 #[test]
-fn a_cap_bites_soon_where_little_is_in_flight() {
-    // A third of the traffic belongs to three backends that are always late; nearly all of it must go elsewhere.
-    let mut w = safe(10);
-    w.warm_up(100, 0, 20.0);
+fn a_cap_falls_quickly_where_few_requests_are_in_flight() {
+    // A third of the keys belongs to three backends that are always late. Nearly all of their requests must go
+    // elsewhere.
+    let mut world = safe_world(10);
+    world.warm_up(100, 0, 20.0);
     let late: Vec<_> = (1..=3).map(|n| up(n).backend).collect();
     let mut sent = 0;
     for n in 0..300 {
-        let id = w.ask(0, Some(n));
-        let is_late = w.at(id).is_some_and(|b| late.contains(&b));
+        let id = world.ask(0, Some(n));
+        let is_late = world.at(id).is_some_and(|b| late.contains(&b));
         sent += usize::from(is_late && n >= 100);
-        w.wait(if is_late { 390.0 } else { 40.0 });
-        w.end(id, Outcome::Done);
+        world.wait(if is_late { 390.0 } else { 40.0 });
+        world.end(id, Outcome::Done);
     }
     assert!(sent <= 20, "{sent} of 200 sent to backends that are always late");
 }
 
 #[test]
-fn many_nodes_start_with_their_share_of_a_backend() {
-    // Found at full size: with 98 nodes, two in flight from each flooded a backend before any had learned.
-    let first = |instances| {
+fn many_nodes_share_the_initial_cap_of_a_backend() {
+    // Regression: with 98 nodes, two requests in flight from each overloaded a backend before any node had learned.
+    let initial_cap = |instances| {
         let s = Settings { instances, classes: vec![class(400.0, 1000.0, Effect::Safe)], ..settings() };
-        let mut w = World::with_backends(s, 1, 1);
-        let id = w.ask(0, Some(1));
-        w.wait(300.0);
-        w.end(id, Outcome::Full);
-        let ids: Vec<_> = (0..8).map(|_| w.ask(0, Some(1))).collect();
-        ids.into_iter().filter(|id| w.at(*id).is_some()).count()
+        let mut world = World::with_backends(s, 1, 1);
+        let id = world.ask(0, Some(1));
+        world.wait(300.0);
+        world.end(id, Outcome::Full);
+        let ids: Vec<_> = (0..8).map(|_| world.ask(0, Some(1))).collect();
+        ids.into_iter().filter(|id| world.at(*id).is_some()).count()
     };
-    assert!(first(100) <= 1, "{} in flight from one of 100 nodes", first(100));
-    assert!(first(1) >= 5, "{} in flight from a single node", first(1));
+    assert!(initial_cap(100) <= 1, "{} in flight from one of 100 nodes", initial_cap(100));
+    assert!(initial_cap(1) >= 5, "{} in flight from a single node", initial_cap(1));
 }
 
-// ---- troubles of no listed kind ----
+// ---- unusual failures ----
 
 #[test]
-fn a_shared_failure_trips_few() {
-    let mut w = safe(10);
-    w.warm_up(200, 0, 20.0);
+fn a_failure_of_the_whole_fleet_makes_few_backends_congested() {
+    let mut world = safe_world(10);
+    world.warm_up(200, 0, 20.0);
     for n in 0..200 {
-        let id = w.ask(0, Some(n));
-        w.wait(20.0);
-        while w.at(id).is_some() {
-            w.end(id, Outcome::TimedOut);
+        let id = world.ask(0, Some(n));
+        world.wait(20.0);
+        while world.at(id).is_some() {
+            world.end(id, Outcome::TimedOut);
         }
     }
-    let tripped = w.logs.iter().filter(|l| l.starts_with("congested")).count();
-    assert!(tripped <= 5, "{tripped} of 10 congested by what all of them suffer");
+    let congested_count = world.logs.iter().filter(|l| l.starts_with("congested")).count();
+    assert!(congested_count <= 5, "{congested_count} of 10 became congested by a failure of all");
 }
 
 #[test]
-fn this_nodes_own_stall_is_not_blamed_on_backends() {
-    let mut w = safe(4);
-    w.warm_up(50, 0, 20.0);
-    let ids: Vec<_> = (0..8).map(|n| w.ask(0, Some(n))).collect();
-    w.now += 5000.0;
+fn a_stall_of_the_node_does_not_count_against_backends() {
+    let mut world = safe_world(4);
+    world.warm_up(50, 0, 20.0);
+    let ids: Vec<_> = (0..8).map(|n| world.ask(0, Some(n))).collect();
+    world.now += 5000.0;
     for id in ids {
-        w.end(id, Outcome::TimedOut);
+        world.end(id, Outcome::TimedOut);
     }
-    assert!(!w.logs.iter().any(|l| l.starts_with("congested")), "{:?}", w.logs);
+    assert!(!world.logs.iter().any(|l| l.starts_with("congested")), "{:?}", world.logs);
 }
 
 #[test]
-fn times_that_are_no_numbers_and_a_clock_jump_spoil_nothing() {
-    let mut w = safe(4);
-    w.warm_up(50, 0, 20.0);
+fn invalid_times_and_a_clock_jump_do_not_affect_later_requests() {
+    let mut world = safe_world(4);
+    world.warm_up(50, 0, 20.0);
     for n in 0..30 {
-        let id = w.ask(0, Some(n));
-        w.wait(20.0);
-        let Some(backend) = w.at(id) else { continue };
-        w.asked.get_mut(&id).expect("asked").attempts[0].outcome = Some(Outcome::Done);
-        w.asked.get_mut(&id).expect("asked").answer = Some("done");
+        let id = world.ask(0, Some(n));
+        world.wait(20.0);
+        let Some(backend) = world.at(id) else { continue };
+        world.asked.get_mut(&id).expect("asked").attempts[0].outcome = Some(Outcome::Done);
+        world.asked.get_mut(&id).expect("asked").answer = Some("done");
         let elapsed_ms = [f64::NAN, f64::INFINITY, -5.0][n as usize % 3];
         let outcome = Outcome::Done;
-        w.feed(Event::AttemptEnded(AttemptEnded {
+        world.feed(Event::AttemptEnded(AttemptEnded {
             id,
             attempt: 0,
             backend,
@@ -456,408 +463,417 @@
             load: Default::default(),
         }));
     }
-    w.now += 60_000.0;
-    w.wait(1000.0);
+    world.now += 60_000.0;
+    world.wait(1000.0);
     for n in 0..20 {
-        let id = w.ask(0, Some(n));
-        assert!(w.at(id).is_some(), "request {n} refused");
-        w.wait(20.0);
-        w.end(id, Outcome::Done);
+        let id = world.ask(0, Some(n));
+        assert!(world.at(id).is_some(), "request {n} refused");
+        world.wait(20.0);
+        world.end(id, Outcome::Done);
     }
 }
 
 #[test]
-fn a_long_answer_is_judged_by_its_first_bytes() {
-    let refused = |told: bool| {
-        let mut w = safe(5);
-        w.warm_up(100, 0, 20.0);
+fn the_first_bytes_of_a_long_answer_decide_whether_it_is_late() {
+    let refused = |reported: bool| {
+        let mut world = safe_world(5);
+        world.warm_up(100, 0, 20.0);
         (0..150)
             .filter(|n| {
-                let id = w.ask(0, Some(*n));
-                w.stream(id, 15.0, 900.0, told);
-                w.answer(id) == Some("refused")
+                let id = world.ask(0, Some(*n));
+                world.stream(id, 15.0, 900.0, reported);
+                world.answer(id) == Some("refused")
             })
             .count()
     };
     assert_eq!(refused(true), 0);
-    assert!(refused(false) > 10, "or the clock of this test says nothing");
+    assert!(refused(false) > 10, "without the event for the first bytes, answers count as late");
 }
 
 #[test]
-fn long_answers_that_are_passed_on_crowd_nobody_out() {
-    let out_at_once = |begun: bool| {
+fn long_answers_that_have_begun_do_not_count_as_in_flight() {
+    let sent_at_once = |response_started: bool| {
         let classes = vec![class(400.0, 1000.0, Effect::Safe)];
         let s = Settings { reporting: Reporting::Probes, instances: 1, classes, ..settings() };
-        let mut w = World::with_backends(s, 1, 5);
-        // Caps grow with what is in flight.
+        let mut world = World::with_backends(s, 1, 5);
+        // Caps grow with the requests in flight.
         for n in 0..300 {
-            let ids: Vec<RequestId> = (0..25).map(|m| w.ask(0, Some(n * 25 + m))).collect();
-            w.wait(5.0);
-            ids.into_iter().for_each(|id| w.end(id, Outcome::Done));
+            let ids: Vec<RequestId> = (0..25).map(|m| world.ask(0, Some(n * 25 + m))).collect();
+            world.wait(5.0);
+            ids.into_iter().for_each(|id| world.end(id, Outcome::Done));
         }
-        let mut out = 0;
+        let mut sent = 0;
         for n in 0..200 {
-            let id = w.ask(0, Some(n));
-            let Some(backend) = w.at(id) else { continue };
-            out += 1;
-            if begun {
-                w.feed(Event::ResponseStarted { id, attempt: 0, backend, elapsed_ms: 1.0 });
+            let id = world.ask(0, Some(n));
+            let Some(backend) = world.at(id) else { continue };
+            sent += 1;
+            if response_started {
+                world.feed(Event::ResponseStarted { id, attempt: 0, backend, elapsed_ms: 1.0 });
             }
         }
-        out
+        sent
     };
-    let (begun, silent) = (out_at_once(true), out_at_once(false));
-    assert!(begun > silent + 20, "{begun} whose answers have begun, {silent} whose have not");
+    let (started, silent) = (sent_at_once(true), sent_at_once(false));
+    assert!(started > silent + 20, "{started} sent where answers have begun, {silent} where not");
 }
 
 #[test]
-fn quick_errors_everywhere_are_passed_on_without_a_flood() {
-    let mut w = safe(5);
-    w.warm_up(50, 0, 20.0);
+fn quick_errors_of_all_backends_do_not_multiply_attempts() {
+    let mut world = safe_world(5);
+    world.warm_up(50, 0, 20.0);
     let mut attempts = 0;
     for n in 0..300 {
-        let id = w.ask(0, Some(n));
-        w.wait(10.0);
-        while w.at(id).is_some() {
-            w.end(id, Outcome::Error);
+        let id = world.ask(0, Some(n));
+        world.wait(10.0);
+        while world.at(id).is_some() {
+            world.end(id, Outcome::Error);
         }
-        attempts += w.asked[&id].attempts.len();
+        attempts += world.asked[&id].attempts.len();
     }
     assert!(attempts <= 345, "{attempts} attempts for 300 requests");
-    assert!(!w.logs.iter().any(|l| l.starts_with("congested")), "errors are answers");
+    assert!(!world.logs.iter().any(|l| l.starts_with("congested")), "errors do not count as failures");
 }
 
 #[test]
-fn a_backend_of_quick_errors_draws_little_and_is_taken_back_when_it_mends() {
-    let mut w = safe(12);
-    w.warm_up(200, 0, 20.0);
+fn a_backend_of_quick_errors_gets_few_requests_until_it_recovers() {
+    let mut world = safe_world(12);
+    world.warm_up(200, 0, 20.0);
     let bad = up(1).backend;
-    // Attempts that the bad backend gets in 600 requests: an answer takes 20 ms, an error one.
-    let mut play = |mended: bool| {
+    // Returns the attempts that the failing backend gets in 600 requests. An answer takes 20 ms, an error 1 ms.
+    let mut play = |recovered: bool| {
         let mut at_bad = 0;
         for n in 0..600 {
-            let id = w.ask(0, Some(n));
-            w.wait(1.0);
-            while !mended && w.at(id) == Some(bad) {
+            let id = world.ask(0, Some(n));
+            world.wait(1.0);
+            while !recovered && world.at(id) == Some(bad) {
                 at_bad += 1;
-                w.end(id, Outcome::Error);
-                w.wait(1.0);
+                world.end(id, Outcome::Error);
+                world.wait(1.0);
             }
-            at_bad += u32::from(w.at(id) == Some(bad));
-            w.wait(19.0);
-            w.end(id, Outcome::Done);
-            assert_eq!(w.answer(id), Some("done"), "request {n}");
+            at_bad += u32::from(world.at(id) == Some(bad));
+            world.wait(19.0);
+            world.end(id, Outcome::Done);
+            assert_eq!(world.answer(id), Some("done"), "request {n}");
         }
         at_bad
     };
     let bad_share = play(false);
-    assert!(bad_share <= 25, "{bad_share} of 600 went to a backend that answers errors");
+    assert!(bad_share <= 25, "{bad_share} of 600 attempts went to a backend that answers errors");
     play(true);
     let share = play(true);
-    assert!((30..=80).contains(&share), "{share} of 600 is not its share of twelve, though it has mended");
+    assert!(
+        (30..=80).contains(&share),
+        "{share} of 600 attempts is not a twelfth, although the backend has recovered"
+    );
 }
 
 #[test]
-fn a_silent_backend_is_left_alone_and_cold_when_it_returns() {
-    let mut w = safe(2);
-    w.warm_up(100, 0, 20.0);
+fn a_silent_backend_becomes_congested_and_is_cold_when_it_returns() {
+    let mut world = safe_world(2);
+    world.warm_up(100, 0, 20.0);
     let dead = up(1).backend;
     for n in 0..100 {
-        let id = w.ask(0, Some(n));
-        w.wait(20.0);
-        if w.at(id) == Some(dead) {
-            w.wait(400.0);
+        let id = world.ask(0, Some(n));
+        world.wait(20.0);
+        if world.at(id) == Some(dead) {
+            world.wait(400.0);
         }
-        w.end(id, Outcome::Done);
+        world.end(id, Outcome::Done);
     }
-    assert!(w.logs.iter().any(|l| l.starts_with("congested")));
-    // One failed trial at least, then it answers: the list still calls it warm, this node does not.
-    while w.probes.is_empty() {
-        w.wait(100.0);
+    assert!(world.logs.iter().any(|l| l.starts_with("congested")));
+    // At least one trial fails before one succeeds. The backend then counts as cold, although its start in the list is old.
+    while world.probes.is_empty() {
+        world.wait(100.0);
     }
-    w.probed(Outcome::TimedOut);
-    while w.probes.is_empty() {
-        w.wait(100.0);
+    world.probed(Outcome::TimedOut);
+    while world.probes.is_empty() {
+        world.wait(100.0);
     }
-    w.probed(Outcome::Done);
+    world.probed(Outcome::Done);
     let mut sent = 0;
     for n in 0..100 {
-        let id = w.ask(0, Some(n));
-        sent += usize::from(w.at(id) == Some(dead));
-        w.wait(10.0);
-        w.end(id, Outcome::Done);
+        let id = world.ask(0, Some(n));
+        sent += usize::from(world.at(id) == Some(dead));
+        world.wait(10.0);
+        world.end(id, Outcome::Done);
     }
-    assert!(sent < 20, "{sent} of 100 sent to a cold backend");
+    assert!(sent < 20, "{sent} of 100 requests sent to a cold backend");
 }
 
 #[test]
-fn a_fresh_start_is_within_its_share_of_the_cold_budget() {
-    let mut w = safe(4);
-    w.warm_up(400, 0, 10.0);
-    let fresh = ListEntry { ready_at_ms: w.now, ..up(9) };
-    w.list(ListKind::Changes, vec![fresh]);
-    // A warm backend serves about 25 a second for this node: the cold one may be sent fall_multiple times its
-    // present part of that by all four nodes together.
-    let (mut sent, from) = (0, w.now);
+fn a_new_backend_gets_no_more_than_the_cold_budget() {
+    let mut world = safe_world(4);
+    world.warm_up(400, 0, 10.0);
+    let fresh = ListEntry { ready_at_ms: world.now, ..up(9) };
+    world.list(ListKind::Changes, vec![fresh]);
+    // A warm backend serves about 25 requests per second for this node. All four nodes together may send the cold one
+    // `fall_multiple` times its present part of that rate.
+    let (mut sent, from) = (0, world.now);
     for n in 0..150 {
-        let id = w.ask(0, Some(n));
-        sent += usize::from(w.at(id) == Some(fresh.backend));
-        w.wait(10.0);
-        w.end(id, Outcome::Done);
+        let id = world.ask(0, Some(n));
+        sent += usize::from(world.at(id) == Some(fresh.backend));
+        world.wait(10.0);
+        world.end(id, Outcome::Done);
     }
-    let seconds = (w.now - from) / 1000.0;
+    let seconds = (world.now - from) / 1000.0;
     let most = 3.0 * 0.3 * 25.0 * seconds;
-    assert!((sent as f64) < most, "{sent} sent in {seconds} s, {most} allowed");
+    assert!((sent as f64) < most, "{sent} requests sent in {seconds} s, {most} allowed");
 }
 
 #[test]
-fn the_cold_budget_does_not_wait_for_the_next_tick() {
-    // Found on the operators' days: at one request a tick, three a second, servers that were back served nobody.
+fn the_cold_budget_grows_between_ticks() {
+    // Regression: with one token per tick, three per second, restarted backends served hardly any requests.
     let classes = vec![class(400.0, 1000.0, Effect::Safe)];
     let s = Settings { classes, instances: 2, fall_ms: 2000.0, start_capacity: 0.5, ..settings() };
-    let mut w = World::with_backends(s, 1, 2);
-    w.warm_up(3000, 0, 10.0);
-    let fresh = ListEntry { ready_at_ms: w.now, ..up(9) };
-    w.list(ListKind::Changes, vec![fresh]);
-    let (mut sent, from) = (0, w.now);
+    let mut world = World::with_backends(s, 1, 2);
+    world.warm_up(3000, 0, 10.0);
+    let fresh = ListEntry { ready_at_ms: world.now, ..up(9) };
+    world.list(ListKind::Changes, vec![fresh]);
+    let (mut sent, from) = (0, world.now);
     for n in 0..1500 {
-        let id = w.ask(0, Some(n));
-        sent += usize::from(w.at(id) == Some(fresh.backend));
-        w.wait(5.0);
-        w.end(id, Outcome::Done);
+        let id = world.ask(0, Some(n));
+        sent += usize::from(world.at(id) == Some(fresh.backend));
+        world.wait(5.0);
+        world.end(id, Outcome::Done);
     }
-    let seconds = (w.now - from) / 1000.0;
+    let seconds = (world.now - from) / 1000.0;
     let rate = f64::from(sent as u32) / seconds;
     let allowed = 3.0 * 0.5 * 50.0;
-    assert!(rate > 6.0 && rate < allowed, "{rate} a second, {allowed} allowed to both nodes");
+    assert!(rate > 6.0 && rate < allowed, "{rate} requests per second, {allowed} allowed for both nodes");
 }
 
 #[test]
-fn a_lull_does_not_make_backends_look_small_to_the_cold_budget() {
-    // Sends to a fresh start within three seconds, of 300 asked, in twenty worlds.
+fn a_time_of_few_requests_does_not_shrink_the_cold_budget() {
+    // Counts the requests sent to a new backend, of 300 within three seconds, in twenty worlds.
     let classes = vec![class(400.0, 1000.0, Effect::Safe)];
-    let sent = |lull: u64| {
+    let sent = |quiet_requests: u64| {
         let mut sent = 0;
         for seed in 0..20 {
-            let mut w = World::with_backends(Settings { classes: classes.clone(), ..settings() }, seed, 4);
-            w.warm_up(600, 0, 10.0);
-            w.warm_up(lull, 0, 100.0);
-            let fresh = ListEntry { ready_at_ms: w.now, ..up(9) };
-            w.list(ListKind::Changes, vec![fresh]);
+            let mut world =
+                World::with_backends(Settings { classes: classes.clone(), ..settings() }, seed, 4);
+            world.warm_up(600, 0, 10.0);
+            world.warm_up(quiet_requests, 0, 100.0);
+            let fresh = ListEntry { ready_at_ms: world.now, ..up(9) };
+            world.list(ListKind::Changes, vec![fresh]);
             for n in 0..300 {
-                let id = w.ask(0, Some(n));
-                sent += usize::from(w.at(id) == Some(fresh.backend));
-                w.wait(10.0);
-                w.end(id, Outcome::Done);
+                let id = world.ask(0, Some(n));
+                sent += usize::from(world.at(id) == Some(fresh.backend));
+                world.wait(10.0);
+                world.end(id, Outcome::Done);
             }
         }
         sent
     };
-    let (at_once, after) = (sent(0), sent(60));
-    assert!(100 * after >= 65 * at_once, "{after} sent after six seconds of little, {at_once} without");
+    let (without, with) = (sent(0), sent(60));
+    assert!(
+        100 * with >= 65 * without,
+        "{with} sent after six seconds of few requests, {without} without them"
+    );
 }
 
 #[test]
-fn a_whole_list_going_empty_or_stale_refuses_and_recovers() {
-    let mut w = safe(5);
-    w.warm_up(20, 0, 20.0);
-    w.list(ListKind::Full, vec![]);
-    let id = w.ask(0, Some(1));
-    assert_eq!(w.answer(id), Some("refused"));
-    w.list(ListKind::Saved, vec![up(1), up(2)]);
-    let id = w.ask(0, Some(1));
-    assert!(w.at(id).is_some());
+fn an_empty_list_refuses_requests_and_a_saved_list_recovers() {
+    let mut world = safe_world(5);
+    world.warm_up(20, 0, 20.0);
+    world.list(ListKind::Full, vec![]);
+    let id = world.ask(0, Some(1));
+    assert_eq!(world.answer(id), Some("refused"));
+    world.list(ListKind::Saved, vec![up(1), up(2)]);
+    let id = world.ask(0, Some(1));
+    assert!(world.at(id).is_some());
 }
 
 #[test]
-fn flapping_backends_and_a_stall_together_keep_the_rules() {
-    let mut w = safe(6);
-    w.warm_up(50, 0, 20.0);
+fn flapping_backends_and_a_stall_break_no_rule() {
+    let mut world = safe_world(6);
+    world.warm_up(50, 0, 20.0);
     for n in 0..60 {
         let health = if n % 2 == 0 { Health::Gone } else { Health::Up };
-        w.list(ListKind::Changes, vec![ListEntry { health, ..up(1 + n % 3) }]);
-        let id = w.ask(0, Some(n));
+        world.list(ListKind::Changes, vec![ListEntry { health, ..up(1 + n % 3) }]);
+        let id = world.ask(0, Some(n));
         if n % 7 == 0 {
-            w.wait(900.0);
+            world.wait(900.0);
         }
-        w.wait(10.0);
-        w.end(id, Outcome::Done);
+        world.wait(10.0);
+        world.end(id, Outcome::Done);
     }
-    let id = w.ask(0, Some(3));
-    assert!(w.at(id).is_some());
+    let id = world.ask(0, Some(3));
+    assert!(world.at(id).is_some());
 }
 
 #[test]
-fn a_refused_subscription_is_asked_anew_soon_and_at_a_jittered_pace() {
-    let mut w = World::new(Settings { discovery: Discovery::OnRequest, ..settings() }, 1);
-    w.wait(150.0);
-    assert_eq!(w.watches.len(), 1, "asked at the start");
+fn failed_list_calls_are_repeated_with_back_off_within_must_ask_in_ms() {
+    let mut world = World::new(Settings { discovery: Discovery::OnRequest, ..settings() }, 1);
+    world.wait(150.0);
+    assert_eq!(world.watches.len(), 1, "the first call");
     let mut gaps = Vec::new();
     for _ in 0..8 {
-        let (asked, from) = (w.watches.len(), w.now);
-        w.feed(Event::List { kind: ListKind::Failed, entries: vec![] });
-        while w.watches.len() == asked {
-            w.wait(50.0);
-            assert!(w.now - from <= w.s.must_ask_in_ms, "deemed told before it asked");
+        let (calls, from) = (world.watches.len(), world.now);
+        world.feed(Event::List { kind: ListKind::Failed, entries: vec![] });
+        while world.watches.len() == calls {
+            world.wait(50.0);
+            assert!(world.now - from <= world.s.must_ask_in_ms, "no call within `must_ask_in_ms`");
         }
-        gaps.push(w.now - from);
+        gaps.push(world.now - from);
     }
-    assert!(gaps[7] > gaps[0], "backs off: {gaps:?}");
+    assert!(gaps[7] > gaps[0], "the gaps grow: {gaps:?}");
 }
 
 #[test]
-fn dead_backends_do_not_cost_the_others_their_connections() {
-    let mut w = safe(10);
-    w.warm_up(200, 0, 10.0);
-    w.released.clear();
+fn dead_backends_do_not_close_connections_to_the_others() {
+    let mut world = safe_world(10);
+    world.warm_up(200, 0, 10.0);
+    world.released.clear();
     for n in 0..400 {
-        let id = w.ask(0, Some(n));
-        w.wait(10.0);
-        // Four of ten are gone, and the list does not say so yet.
-        while let Some(at) = w.at(id) {
+        let id = world.ask(0, Some(n));
+        world.wait(10.0);
+        // Four of ten backends are gone, and the list does not say so yet.
+        while let Some(at) = world.at(id) {
             let dead = (1..=4).any(|n| up(n).backend == at);
-            w.end(id, if dead { Outcome::NotConnected } else { Outcome::Done });
+            world.end(id, if dead { Outcome::NotConnected } else { Outcome::Done });
         }
     }
-    assert!(w.released.is_empty(), "{:?}", w.released);
+    assert!(world.released.is_empty(), "{:?}", world.released);
 }
 
-// ---- what nodes tell each other ----
+// ---- messages between nodes ----
 
 const FAILED: u8 = 1;
 const ANSWERED: u8 = 2;
 const TRIAL_FAILED: u8 = 3;
 const LIVE: u8 = 4;
 
-fn told(w: &mut World, news: u8, backend: BackendId) {
-    let bytes = [&[news][..], &backend.short().to_be_bytes()].concat();
-    w.feed(Event::PeerMessage { from: 7, bytes });
+/// Delivers a message of another node about a backend.
+fn receive(world: &mut World, kind: u8, backend: BackendId) {
+    let bytes = [&[kind][..], &backend.short().to_be_bytes()].concat();
+    world.feed(Event::PeerMessage { from: 7, bytes });
 }
 
-fn congested(w: &World) -> usize {
-    w.logs.iter().filter(|l| l.starts_with("congested")).count()
+/// Number of times that a backend became congested.
+fn congested(world: &World) -> usize {
+    world.logs.iter().filter(|l| l.starts_with("congested")).count()
 }
 
-/// One node of many, which meets each of 60 backends seldom.
-fn one_of(instances: u32) -> World {
-    let mut w = World::with_backends(Settings { peer_messages: true, instances, ..settings() }, 1, 60);
-    w.warm_up(60, 0, 60.0);
-    w
+/// Returns a node of a fleet of `instances` that sends to each of 60 backends seldom.
+fn node_of_fleet(instances: u32) -> World {
+    let mut world = World::with_backends(Settings { peer_messages: true, instances, ..settings() }, 1, 60);
+    world.warm_up(60, 0, 60.0);
+    world
 }
 
 #[test]
-fn what_fails_at_other_nodes_of_a_big_fleet_trips_a_backend_here() {
-    let mut w = one_of(100);
+fn failures_reported_by_other_nodes_of_a_large_fleet_make_a_backend_congested() {
+    let mut world = node_of_fleet(100);
     let bad = up(1).backend;
     for _ in 0..8 {
-        w.wait(20.0);
-        told(&mut w, FAILED, bad);
+        world.wait(20.0);
+        receive(&mut world, FAILED, bad);
     }
-    assert_eq!(congested(&w), 1, "{:?}", w.logs);
-    let sent_there = |w: &mut World| {
+    assert_eq!(congested(&world), 1, "{:?}", world.logs);
+    let sent_there = |world: &mut World| {
         (0..300)
             .filter(|n| {
-                let id = w.ask(0, Some(*n));
-                let at = w.at(id);
-                w.end(id, Outcome::Done);
+                let id = world.ask(0, Some(*n));
+                let at = world.at(id);
+                world.end(id, Outcome::Done);
                 at == Some(bad)
             })
             .count()
     };
-    assert_eq!(sent_there(&mut w), 0);
-    // Another node's trial spares this one its own, and another's answer makes it live here too.
-    told(&mut w, TRIAL_FAILED, bad);
-    w.wait(300.0);
-    assert!(w.probes.is_empty(), "the next trial is put off");
-    told(&mut w, LIVE, bad);
-    assert!(w.logs.iter().any(|l| l.starts_with("live")), "{:?}", w.logs);
+    assert_eq!(sent_there(&mut world), 0);
+    // A failed trial of another node postpones this node's own. A successful one makes the backend live here too.
+    receive(&mut world, TRIAL_FAILED, bad);
+    world.wait(300.0);
+    assert!(world.probes.is_empty(), "the next trial is postponed");
+    receive(&mut world, LIVE, bad);
+    assert!(world.logs.iter().any(|l| l.starts_with("live")), "{:?}", world.logs);
 }
 
 #[test]
-fn a_backend_that_still_answers_other_nodes_is_not_tripped_by_their_failures() {
-    let mut w = one_of(100);
+fn a_backend_that_still_answers_other_nodes_does_not_become_congested_by_their_failures() {
+    let mut world = node_of_fleet(100);
     for n in 0..200 {
-        w.wait(10.0);
-        told(&mut w, if n % 2 == 0 { ANSWERED } else { FAILED }, up(1).backend);
+        world.wait(10.0);
+        receive(&mut world, if n % 2 == 0 { ANSWERED } else { FAILED }, up(1).backend);
     }
-    assert_eq!(congested(&w), 0, "{:?}", w.logs);
+    assert_eq!(congested(&world), 0, "{:?}", world.logs);
 }
 
 #[test]
-fn a_node_of_a_big_fleet_tells_the_others_of_a_failure_and_one_of_a_small_fleet_does_not() {
-    for (instances, tells) in [(100, true), (4, false)] {
-        let mut w = one_of(instances);
-        if !tells {
-            // It meets each backend often enough to learn alone.
-            w.warm_up(3000, 0, 2.0);
+fn only_a_node_of_a_large_fleet_reports_failures_to_the_others() {
+    for (instances, reports) in [(100, true), (4, false)] {
+        let mut world = node_of_fleet(instances);
+        if !reports {
+            // The node gets enough answers from each backend to detect failures alone.
+            world.warm_up(3000, 0, 2.0);
         }
-        w.trace.clear();
-        let id = w.ask(0, Some(1));
-        let at = w.at(id).expect("sent");
-        w.end(id, Outcome::Reset);
-        let wanted = Action::SendPeerMessage {
+        world.trace.clear();
+        let id = world.ask(0, Some(1));
+        let at = world.at(id).expect("sent");
+        world.end(id, Outcome::Reset);
+        let expected = Action::SendPeerMessage {
             to: None,
             bytes: [&[FAILED][..], &at.short().to_be_bytes()].concat(),
         };
-        assert_eq!(w.trace.contains(&wanted), tells, "{instances} nodes: {:?}", w.trace);
+        assert_eq!(world.trace.contains(&expected), reports, "{instances} nodes: {:?}", world.trace);
     }
 }
 
 #[test]
-fn strange_messages_change_nothing() {
-    let mut w = one_of(100);
+fn invalid_messages_are_ignored() {
+    let mut world = node_of_fleet(100);
     let backend = up(1).backend.short().to_be_bytes();
-    w.trace.clear();
+    world.trace.clear();
     for _ in 0..50 {
         for bytes in [vec![], vec![FAILED], vec![200, 1, 2, 3, 4], vec![FAILED, 1, 2, 3, 4], vec![1; 256]] {
-            w.feed(Event::PeerMessage { from: 7, bytes });
+            world.feed(Event::PeerMessage { from: 7, bytes });
         }
-        w.feed(Event::PeerMessage { from: 7, bytes: [&backend[..], &[FAILED]].concat() });
+        world.feed(Event::PeerMessage { from: 7, bytes: [&backend[..], &[FAILED]].concat() });
     }
-    assert!(w.trace.is_empty(), "{:?}", w.trace);
+    assert!(world.trace.is_empty(), "{:?}", world.trace);
 }
 
-// ---- bad input ----
+// ---- calls to discovery, new settings and restored memory ----
 
 #[test]
-fn the_first_list_calls_of_a_fleet_are_spread_by_its_size() {
+fn the_first_list_calls_are_spread_by_the_number_of_nodes() {
     let first_calls = |instances: u32| {
         let mut at: Vec<f64> = Vec::new();
         for seed in 0..u64::from(instances) {
             let s = Settings { discovery: Discovery::OnRequest, instances, ..settings() };
-            let mut w = World::new(s, seed);
-            let start = w.now;
+            let mut world = World::new(s, seed);
+            let start = world.now;
             for _ in 0..6000 {
-                w.wait(1.0);
+                world.wait(1.0);
             }
-            assert_eq!(w.watches.len(), 1, "one call, and none more until it is answered");
-            at.push(w.watches[0] - start);
+            assert_eq!(world.watches.len(), 1, "one call, and no further one until it is answered");
+            at.push(world.watches[0] - start);
         }
         at.sort_by(f64::total_cmp);
         at
     };
     let few = first_calls(4);
-    assert!(few[3] <= 150.0, "four nodes ask at once: {few:?}");
+    assert!(few[3] <= 150.0, "four nodes need no spread: {few:?}");
     let many = first_calls(200);
     let busiest = many.iter().map(|t| many.iter().filter(|u| (*t..t + 1000.0).contains(*u)).count()).max();
-    assert!(busiest < Some(80), "{busiest:?} calls within a second");
-    assert!(many[199] <= 5000.0, "and none so late that it counts as deaf");
+    assert!(busiest < Some(80), "{busiest:?} calls within one second");
+    assert!(many[199] <= 5000.0, "every node calls within half of `must_ask_in_ms`");
 }
 
 #[test]
-fn a_big_fleet_repeats_failed_list_calls_so_seldom_that_discovery_can_clear_its_queue() {
+fn a_large_fleet_repeats_failed_list_calls_slowly_enough_for_discovery() {
     let gaps = |instances: u32| {
         let s = Settings { discovery: Discovery::OnRequest, instances, ..settings() };
-        let mut w = World::new(s, 1);
+        let mut world = World::new(s, 1);
         let mut ends = Vec::new();
         for _ in 0..6 {
-            let (known, from) = (w.watches.len(), w.now);
-            while w.watches.len() == known {
-                w.wait(5.0);
-                assert!(w.now - from < 30_000.0, "no call any more");
+            let (known, from) = (world.watches.len(), world.now);
+            while world.watches.len() == known {
+                world.wait(5.0);
+                assert!(world.now - from < 30_000.0, "the calls have stopped");
             }
-            ends.push(w.now);
-            w.list(ListKind::Failed, Vec::new());
+            ends.push(world.now);
+            world.list(ListKind::Failed, Vec::new());
         }
         ends.windows(2).map(|e| e[1] - e[0]).collect::<Vec<f64>>()
     };
@@ -867,48 +883,48 @@
         let gaps = gaps(instances);
         assert!(gaps.iter().all(|g| *g >= least), "a call each {least} ms at most: {gaps:?}");
         assert!(gaps.iter().all(|g| *g <= 20_010.0), "{gaps:?}");
-        assert!(gaps[3] > 1.2 * gaps[0], "it backs off: {gaps:?}");
+        assert!(gaps[3] > 1.2 * gaps[0], "the gaps grow: {gaps:?}");
     }
 }
 
 #[test]
-fn new_settings_hold_for_what_follows_and_forget_no_backend() {
-    let mut w = World::with_backends(settings(), 1, 4);
-    w.warm_up(50, 0, 20.0);
-    // One backend is congested, and one request that is safe to repeat is out.
-    let bad = w.ask(0, Some(1));
-    let (at, key) = (w.at(bad), Some(1));
-    w.end(bad, Outcome::Reset);
+fn new_settings_apply_to_later_requests_and_keep_the_state_of_backends() {
+    let mut world = World::with_backends(settings(), 1, 4);
+    world.warm_up(50, 0, 20.0);
+    // One backend is congested, and one request that is safe to repeat is in flight.
+    let bad = world.ask(0, Some(1));
+    let (at, key) = (world.at(bad), Some(1));
+    world.end(bad, Outcome::Reset);
     for _ in 0..8 {
-        let id = w.ask(0, key);
-        while let Some(b) = w.at(id) {
-            w.end(id, if Some(b) == at { Outcome::Reset } else { Outcome::Done });
+        let id = world.ask(0, key);
+        while let Some(b) = world.at(id) {
+            world.end(id, if Some(b) == at { Outcome::Reset } else { Outcome::Done });
         }
     }
-    assert!(w.logs.iter().any(|l| l.starts_with("congested")));
-    let out = w.ask(0, Some(7));
-    // A class more, one tenant more, fewer attempts; what cannot be run on is not taken.
-    let mut new = w.s.clone();
+    assert!(world.logs.iter().any(|l| l.starts_with("congested")));
+    let in_flight = world.ask(0, Some(7));
+    // One more class, one more tenant, fewer attempts. Invalid settings after that are ignored.
+    let mut new = world.s.clone();
     new.classes.push(class(200.0, 500.0, Effect::Unsafe));
     new.tenants.push(Tenant { quota_rps: 5.0 });
     new.max_attempts = 2;
-    w.s = new.clone();
-    w.feed(Event::Settings(Box::new(new.clone())));
+    world.s = new.clone();
+    world.feed(Event::Settings(Box::new(new.clone())));
     new.classes.clear();
-    w.feed(Event::Settings(Box::new(new)));
-    w.end(out, Outcome::Reset);
-    assert!(w.at(out).is_some(), "still safe to repeat");
-    w.end(out, Outcome::Reset);
-    assert_eq!(w.answer(out), Some("refused"), "two attempts are all");
-    let fresh = w.ask(5, Some(3));
-    assert!(w.at(fresh).is_some_and(|b| Some(b) != at), "the congested one is known");
-    w.end(fresh, Outcome::Reset);
-    assert_eq!(w.answer(fresh), Some("failed"));
-    w.wait(1000.0);
+    world.feed(Event::Settings(Box::new(new)));
+    world.end(in_flight, Outcome::Reset);
+    assert!(world.at(in_flight).is_some(), "still safe to repeat");
+    world.end(in_flight, Outcome::Reset);
+    assert_eq!(world.answer(in_flight), Some("refused"), "no more than two attempts");
+    let fresh = world.ask(5, Some(3));
+    assert!(world.at(fresh).is_some_and(|b| Some(b) != at), "the backend is still congested");
+    world.end(fresh, Outcome::Reset);
+    assert_eq!(world.answer(fresh), Some("failed"));
+    world.wait(1000.0);
 }
 
 #[test]
-fn the_next_process_goes_on_from_what_was_learned() {
+fn the_next_process_restores_what_was_learned() {
     let s = Settings { classes: vec![class(400.0, 1000.0, Effect::Safe)], ..settings() };
     let mut old = World::with_backends(s.clone(), 1, 4);
     old.warm_up(200, 0, 20.0);
@@ -921,101 +937,114 @@
             old.end(id, if Some(at) == bad { Outcome::Reset } else { Outcome::Done });
         }
     }
-    let out = old.balancer.memory();
-    let congested = out.backends.iter().find(|k| k.prat.is_some()).map(|k| k.backend);
-    assert!(out.warm_rate > 0.0 && congested.is_some(), "{out:?}");
-    // A release is under way: all are cold.
+    let memory = old.balancer.memory();
+    let congested = memory.backends.iter().find(|k| k.prat.is_some()).map(|k| k.backend);
+    assert!(memory.warm_rate > 0.0 && congested.is_some(), "{memory:?}");
+    // During a release all backends are cold.
     let next = |memory: Option<Memory>| {
-        let mut w = World::new(s.clone(), 2);
-        w.now = old.now;
+        let mut world = World::new(s.clone(), 2);
+        world.now = old.now;
         let entries = (1..=4).map(up).map(|e| ListEntry { ready_at_ms: old.now - 1000.0, ..e });
-        w.list(ListKind::Full, entries.collect());
-        let told = memory.is_some();
+        world.list(ListKind::Full, entries.collect());
+        let restored = memory.is_some();
         if let Some(memory) = memory {
-            w.feed(Event::Memory(Box::new(memory)));
+            world.feed(Event::Memory(Box::new(memory)));
         }
         let mut served = 0;
         for n in 0..150 {
-            let id = w.ask(0, Some(n));
-            assert!(!told || w.at(id).is_none() || w.at(id) != congested, "it is congested");
-            w.wait(20.0);
-            while w.at(id).is_some() {
-                w.end(id, Outcome::Done);
+            let id = world.ask(0, Some(n));
+            assert!(
+                !restored || world.at(id).is_none() || world.at(id) != congested,
+                "a congested backend got a request"
+            );
+            world.wait(20.0);
+            while world.at(id).is_some() {
+                world.end(id, Outcome::Done);
             }
-            served += usize::from(w.answer(id) == Some("done"));
+            served += usize::from(world.answer(id) == Some("done"));
         }
         served
     };
-    let (with, without) = (next(Some(out.clone())), next(None));
-    assert!(with > 5 + 2 * without, "{with} served, and {without} without");
-    // Backends that are not listed any more, and classes that are not there, do no harm.
-    let mut strange = out.clone();
-    strange.backends.push(BackendMemory { backend: BackendId(7), limit: 1.0, cut_at: 0.0, prat: None });
-    strange.classes.extend([[1.0; 4]; 5]);
-    assert_eq!(next(Some(strange)), with);
+    let (with, without) = (next(Some(memory.clone())), next(None));
+    assert!(with > 5 + 2 * without, "{with} requests served with the memory, {without} without");
+    // Backends that are no longer listed and unknown classes are ignored.
+    let mut extended = memory.clone();
+    extended.backends.push(BackendMemory { backend: BackendId(7), limit: 1.0, cut_at: 0.0, prat: None });
+    extended.classes.extend([[1.0; 4]; 5]);
+    assert_eq!(next(Some(extended)), with);
 }
 
 #[test]
-fn unusable_settings_are_a_typed_error() {
-    let none = Settings { classes: vec![], ..settings() };
-    assert_eq!(Balancer::new(none, 1).err(), Some(SettingsError::NoClass));
-    let odd = Settings { cold_ms: f64::NAN, ..settings() };
+fn invalid_settings_give_a_typed_error() {
+    let no_class = Settings { classes: vec![], ..settings() };
+    assert_eq!(Balancer::new(no_class, 1).err(), Some(SettingsError::NoClass));
+    let not_a_number = Settings { cold_ms: f64::NAN, ..settings() };
     assert!(matches!(
-        Balancer::new(odd, 1).err(),
+        Balancer::new(not_a_number, 1).err(),
         Some(SettingsError::Range { field, .. }) if field == "rules.coldMs"
     ));
 }
 
-// ---- rules that hold where the settings say so ----
+// ---- rules that settings turn on ----
 
 #[test]
-fn full_is_no_proof_where_work_is_shed_late() {
+fn full_is_no_proof_that_nothing_ran_where_work_is_shed_late() {
     for (late_shedding, answer) in [(false, None), (true, Some("failed"))] {
-        let mut w = World::with_backends(Settings { late_shedding, ..settings() }, 1, 6);
-        let id = w.ask(1, Some(1));
-        w.end(id, Outcome::Full);
-        assert_eq!(w.answer(id), answer, "unsafe, late shedding {late_shedding}");
-        let id = w.ask(2, Some(1));
-        let first = w.at(id).expect("sent");
-        w.end(id, Outcome::Full);
-        if let (true, Some(second)) = (late_shedding, w.at(id)) {
-            assert_eq!(w.list[&first].zone, w.list[&second].zone, "a keyed repeat stays in its zone");
+        let mut world = World::with_backends(Settings { late_shedding, ..settings() }, 1, 6);
+        let id = world.ask(1, Some(1));
+        world.end(id, Outcome::Full);
+        assert_eq!(world.answer(id), answer, "unsafe request, late shedding {late_shedding}");
+        let id = world.ask(2, Some(1));
+        let first = world.at(id).expect("sent");
+        world.end(id, Outcome::Full);
+        if let (true, Some(second)) = (late_shedding, world.at(id)) {
+            assert_eq!(
+                world.list[&first].zone, world.list[&second].zone,
+                "a keyed repeat stays in its zone"
+            );
         }
     }
 }
 
 #[test]
 fn idle_connections_to_a_draining_backend_are_closed_at_once_and_after_each_outcome() {
-    let mut w = World::with_backends(Settings { drain_close_ms: Some(1500.0), ..settings() }, 1, 1);
-    let id = w.ask(0, Some(1));
-    let backend = w.at(id).expect("sent");
-    w.list(ListKind::Changes, vec![ListEntry { health: Health::Draining, ..up(1) }]);
-    assert_eq!(w.released.get(&backend), Some(&w.now), "at the notice");
-    w.wait(200.0);
-    w.end(id, Outcome::Done);
-    assert_eq!(w.released.get(&backend), Some(&w.now), "at the outcome");
-    let since = w.now;
-    w.wait(1400.0);
-    assert!(w.released[&backend] > since, "and once more, for a handshake that was under way");
-    let count = w.trace.iter().filter(|a| matches!(a, Action::CloseIdleConnections(_))).count();
-    w.wait(20_000.0);
+    let mut world = World::with_backends(Settings { drain_close_ms: Some(1500.0), ..settings() }, 1, 1);
+    let id = world.ask(0, Some(1));
+    let backend = world.at(id).expect("sent");
+    world.list(ListKind::Changes, vec![ListEntry { health: Health::Draining, ..up(1) }]);
+    assert_eq!(world.released.get(&backend), Some(&world.now), "closed at the notice");
+    world.wait(200.0);
+    world.end(id, Outcome::Done);
+    assert_eq!(world.released.get(&backend), Some(&world.now), "closed at the outcome");
+    let since = world.now;
+    world.wait(1400.0);
+    assert!(
+        world.released[&backend] > since,
+        "closed once more, for connections that became idle after the outcome"
+    );
+    let count = world.trace.iter().filter(|a| matches!(a, Action::CloseIdleConnections(_))).count();
+    world.wait(20_000.0);
     assert_eq!(
         count,
-        w.trace.iter().filter(|a| matches!(a, Action::CloseIdleConnections(_))).count(),
-        "then it ends"
+        world.trace.iter().filter(|a| matches!(a, Action::CloseIdleConnections(_))).count(),
+        "no further closing"
+    );
+    // The backend is up, gets a request and is gone again: a new notice.
+    world.list(ListKind::Changes, vec![up(1)]);
+    let id = world.ask(0, Some(1));
+    world.end(id, Outcome::Done);
+    world.list(ListKind::Full, vec![]);
+    assert_eq!(
+        world.released.get(&backend),
+        Some(&world.now),
+        "a backend that is absent from a full list is gone"
     );
-    // Up again, sent to, and draining again: a notice of its own.
-    w.list(ListKind::Changes, vec![up(1)]);
-    let id = w.ask(0, Some(1));
-    w.end(id, Outcome::Done);
-    w.list(ListKind::Full, vec![]);
-    assert_eq!(w.released.get(&backend), Some(&w.now), "absent from a whole list is gone");
 }
 
-// ---- many nodes, each seeing little ----
+// ---- many nodes with little traffic each ----
 
-/// One of very many nodes: two candidates tie at nothing in flight.
-fn sparse(count: u64) -> World {
+/// Returns one of 500 nodes, each with so little traffic that two candidates usually tie with none in flight.
+fn sparse_world(count: u64) -> World {
     let s = Settings {
         classes: vec![class(400.0, 1000.0, Effect::Safe)],
         instances: 500,
@@ -1026,24 +1055,24 @@
     World::with_backends(s, 1, count)
 }
 
-/// Asks once for a key and answers after `ms` with a report of `busy`; the backend that it went to.
-fn served(w: &mut World, key: u64, busy: impl Fn(BackendId) -> f64) -> Option<BackendId> {
-    let id = w.ask(0, Some(key));
-    let backend = w.at(id);
-    w.wait(30.0);
+/// Sends one request for a key and answers it after 30 ms with a load report of `busy`. Returns its backend.
+fn serve_key(world: &mut World, key: u64, busy: impl Fn(BackendId) -> f64) -> Option<BackendId> {
+    let id = world.ask(0, Some(key));
+    let backend = world.at(id);
+    world.wait(30.0);
     if let Some(b) = backend {
-        w.end_with(id, Outcome::Done, Load { busy: Some(busy(b)), ..Load::default() });
+        world.end_with(id, Outcome::Done, Load { busy: Some(busy(b)), ..Load::default() });
     }
-    w.wait(100.0);
+    world.wait(100.0);
     backend
 }
 
 #[test]
 fn a_hot_key_is_spread_and_an_ordinary_one_is_not() {
-    let mut w = sparse(40);
-    let mut homes = [std::collections::BTreeSet::new(), std::collections::BTreeSet::new()];
+    let mut world = sparse_world(40);
+    let mut backends = [std::collections::BTreeSet::new(), std::collections::BTreeSet::new()];
     for n in 0..400 {
-        // Every fourth request is for key 1; key 2 comes once in forty.
+        // Every fourth request is for key 1, and every fortieth for key 2.
         let key = if n % 4 == 0 {
             1
         } else if n % 40 == 1 {
@@ -1051,156 +1080,167 @@
         } else {
             100 + n
         };
-        let backend = served(&mut w, key, |_| 0.5);
+        let backend = serve_key(&mut world, key, |_| 0.5);
         if key <= 2 {
-            homes[key as usize - 1].extend(backend);
+            backends[key as usize - 1].extend(backend);
         }
     }
-    assert!(homes[0].len() >= 8, "a quarter of all traffic at {} of 40", homes[0].len());
-    assert!(homes[1].len() <= 6, "an ordinary key at {} of 40", homes[1].len());
+    assert!(
+        backends[0].len() >= 8,
+        "a quarter of the traffic goes to {} of 40 backends",
+        backends[0].len()
+    );
+    assert!(backends[1].len() <= 6, "an ordinary key goes to {} of 40 backends", backends[1].len());
 }
 
 #[test]
-fn a_tie_between_candidates_goes_to_the_less_pressed() {
-    let mut w = sparse(2);
+fn a_tie_between_candidates_goes_to_the_one_with_less_pressure() {
+    let mut world = sparse_world(2);
     let hot = up(1).backend;
     let report = |b: BackendId| if b == hot { 0.95 } else { 0.3 };
     for n in 0..20 {
-        served(&mut w, n, report);
+        serve_key(&mut world, n, report);
     }
-    let at_hot = (100..200).filter(|n| served(&mut w, *n, report) == Some(hot)).count();
-    assert!(at_hot < 25, "{at_hot} of 100 to the pressed one");
+    let at_hot = (100..200).filter(|n| serve_key(&mut world, *n, report) == Some(hot)).count();
+    assert!(at_hot < 25, "{at_hot} of 100 requests went to the backend with high pressure");
 }
 
 #[test]
-fn a_backend_that_fails_fast_does_not_pass_for_idle() {
-    let mut w = sparse(2);
+fn a_backend_that_fails_fast_does_not_look_idle() {
+    let mut world = sparse_world(2);
     let bad = up(1).backend;
     let mut at_bad = 0;
     for n in 0..120 {
-        let id = w.ask(0, Some(n));
-        let first = w.at(id);
-        w.wait(5.0);
+        let id = world.ask(0, Some(n));
+        let first = world.at(id);
+        world.wait(5.0);
         if first == Some(bad) {
-            w.end_with(id, Outcome::Error, Load { busy: Some(0.05), ..Load::default() });
+            world.end_with(id, Outcome::Error, Load { busy: Some(0.05), ..Load::default() });
             at_bad += u32::from(n >= 20);
         }
-        w.end_with(id, Outcome::Done, Load { busy: Some(0.6), ..Load::default() });
-        w.wait(100.0);
+        world.end_with(id, Outcome::Done, Load { busy: Some(0.6), ..Load::default() });
+        world.wait(100.0);
     }
-    assert!(at_bad < 30, "{at_bad} of 100 sent first to one that fails");
+    assert!(at_bad < 30, "{at_bad} of 100 first attempts went to a backend that fails");
 }
 
 #[test]
-fn clients_in_a_hurry_are_served_where_a_late_answer_has_worth() {
-    let mut s = sparse(1).s;
+fn clients_with_short_time_limits_are_served_where_a_late_answer_has_worth() {
+    let mut s = sparse_world(1).s;
     s.classes[0].late_worth = 0.2;
-    let mut w = World::with_backends(s, 1, 4);
+    let mut world = World::with_backends(s, 1, 4);
     let mut refused = 0;
     for n in 0..200 {
-        // Half of the clients give 600 ms, half of them 150 to 250.
+        // Half of the clients give 600 ms, the others 150 to 250 ms.
         let given = if n % 2 == 0 { 600.0 } else { 150.0 + n as f64 / 2.0 };
-        let id = w.ask_with(0, Some(n), given);
-        refused += u32::from(w.at(id).is_none());
-        w.wait(20.0);
-        w.end(id, Outcome::Done);
+        let id = world.ask_with(0, Some(n), given);
+        refused += u32::from(world.at(id).is_none());
+        world.wait(20.0);
+        world.end(id, Outcome::Done);
     }
     assert_eq!(refused, 0);
 }
 
-/// Asks and answers for `ms`, always well within the aim or always late, with a report; the part refused.
-fn refused_at(w: &mut World, ms: f64, busy: f64, elapsed: f64) -> f64 {
-    let (until, mut asked, mut refused) = (w.now + ms, 0.0, 0.0);
+/// Sends requests for `ms`, answers each after `elapsed` with a load report, and returns the refused share.
+fn refused_share(world: &mut World, ms: f64, busy: f64, elapsed: f64) -> f64 {
+    let (until, mut asked, mut refused) = (world.now + ms, 0.0, 0.0);
     let mut n = 0;
-    while w.now < until {
+    while world.now < until {
         n += 1;
-        let id = w.ask(0, Some(n));
+        let id = world.ask(0, Some(n));
         asked += 1.0;
-        refused += f64::from(u8::from(w.at(id).is_none()));
-        w.wait(elapsed);
-        w.end_with(id, Outcome::Done, Load { busy: Some(busy), ..Load::default() });
-        w.wait(20.0);
+        refused += f64::from(u8::from(world.at(id).is_none()));
+        world.wait(elapsed);
+        world.end_with(id, Outcome::Done, Load { busy: Some(busy), ..Load::default() });
+        world.wait(20.0);
     }
     refused / asked
 }
 
 #[test]
-fn a_fleet_that_reports_itself_full_is_sent_less_before_answers_are_late() {
-    let mut w = sparse(10);
-    assert!(refused_at(&mut w, 5000.0, 0.6, 40.0) == 0.0);
-    assert!(refused_at(&mut w, 4000.0, 1.0, 40.0) > 0.02, "full all of a sudden");
-    refused_at(&mut w, 12_000.0, 1.0, 40.0);
-    let later = refused_at(&mut w, 5000.0, 1.0, 40.0);
-    assert!(later == 0.0, "a full fleet that answers in time has room: {later}");
+fn a_fleet_that_reports_full_load_is_sent_less_before_answers_are_late() {
+    let mut world = sparse_world(10);
+    assert!(refused_share(&mut world, 5000.0, 0.6, 40.0) == 0.0);
+    assert!(refused_share(&mut world, 4000.0, 1.0, 40.0) > 0.02, "the fleet has just become full");
+    refused_share(&mut world, 12_000.0, 1.0, 40.0);
+    let later = refused_share(&mut world, 5000.0, 1.0, 40.0);
+    assert!(later == 0.0, "a full fleet that answers in time is sent all requests: {later}");
 }
 
 #[test]
-fn all_that_a_node_has_in_flight_is_bounded_by_its_part_of_a_crowd() {
-    // 60 backends and 60 nodes: each may hold a few requests at all of them together, not one at each.
-    let mut s = sparse(1).s;
+fn the_requests_in_flight_of_a_node_are_bounded_by_its_part_of_the_fleet() {
+    // 60 backends and 60 nodes: a node may have a few requests in flight at all backends together, not one at each.
+    let mut s = sparse_world(1).s;
     s.instances = 60;
-    let mut w = World::with_backends(s, 1, 60);
-    let held = |w: &mut World| {
+    let mut world = World::with_backends(s, 1, 60);
+    let sent = |world: &mut World| {
         (0..60)
             .filter(|n| {
-                let id = w.ask(0, Some(*n));
-                w.at(id).is_some()
+                let id = world.ask(0, Some(*n));
+                world.at(id).is_some()
             })
             .count()
     };
-    let first = held(&mut w);
-    assert!((6..=16).contains(&first), "{first} held at once");
+    let first = sent(&mut world);
+    assert!((6..=16).contains(&first), "{first} requests in flight at once");
 }
 
 #[test]
-fn a_fleet_that_serves_far_less_than_before_is_asked_all_the_same() {
-    let mut w = sparse(10);
-    refused_at(&mut w, 8000.0, 0.6, 20.0);
-    // A tenth is answered, while as much is asked as before.
-    let mut silent_for = 0;
+fn a_fleet_that_serves_far_less_than_before_still_gets_requests() {
+    let mut world = sparse_world(10);
+    refused_share(&mut world, 8000.0, 0.6, 20.0);
+    // A tenth of the requests is answered, at the same rate of requests as before.
+    let mut refused_in_a_row = 0;
     for n in 0..1000 {
-        let id = w.ask(0, Some(n));
-        silent_for = if w.at(id).is_some() { 0 } else { silent_for + 1 };
-        assert!(silent_for < 200, "nothing was sent for four seconds, at request {n}");
-        w.wait(20.0);
+        let id = world.ask(0, Some(n));
+        refused_in_a_row = if world.at(id).is_some() { 0 } else { refused_in_a_row + 1 };
+        assert!(refused_in_a_row < 200, "nothing was sent for four seconds, at request {n}");
+        world.wait(20.0);
         if n % 10 == 0 {
-            w.end_with(id, Outcome::Done, Load { busy: Some(1.0), ..Load::default() });
+            world.end_with(id, Outcome::Done, Load { busy: Some(1.0), ..Load::default() });
         }
     }
 }
 
 #[test]
 fn a_zone_at_ease_keeps_its_traffic_where_crossing_is_priced() {
-    let far = |cross_zone| {
+    let crossings = |cross_zone| {
         let prices = Prices { cross_zone, ..Prices::default() };
-        let mut w = World::with_backends(Settings { zone: Some(0), prices, ..sparse(1).s }, 1, 20);
-        (0..200).filter(|n| served(&mut w, *n, |_| 0.3).is_some_and(|b| w.list[&b].zone != 0)).count()
+        let mut world =
+            World::with_backends(Settings { zone: Some(0), prices, ..sparse_world(1).s }, 1, 20);
+        (0..200)
+            .filter(|n| serve_key(&mut world, *n, |_| 0.3).is_some_and(|b| world.list[&b].zone != 0))
+            .count()
     };
-    let (free, priced) = (far(0.0), far(0.05));
-    assert!(priced < free / 5, "{priced} of 200 cross where it is priced, {free} elsewhere");
+    let (free, priced) = (crossings(0.0), crossings(0.05));
+    assert!(
+        priced < free / 5,
+        "{priced} of 200 requests cross zones where that has a price, {free} where not"
+    );
 }
 
-// ---- nearness ----
+// ---- zone locality ----
 
-/// Twelve backends, half of them in this node's zone, and a price on crossing. Answers from the own zone take
-/// `near_ms`, others 30 ms; the part that crossed in the last quarter comes back.
-fn crossed(w: &mut World, requests: u64, near_ms: f64) -> f64 {
-    let (mut far, mut late) = (0, 0);
+/// Sends requests, which take `local_ms` in this node's zone and 30 ms in others. Returns the share of the last quarter
+/// that crossed zones.
+fn crossing_share(world: &mut World, requests: u64, local_ms: f64) -> f64 {
+    let (mut remote, mut total) = (0, 0);
     for n in 0..requests {
-        let id = w.ask(0, Some(n % 211));
-        let Some(at) = w.at(id) else { continue };
-        let own = w.list[&at].zone == 0;
-        w.wait(if own { near_ms } else { 30.0 });
-        w.end(id, Outcome::Done);
+        let id = world.ask(0, Some(n % 211));
+        let Some(at) = world.at(id) else { continue };
+        let own = world.list[&at].zone == 0;
+        world.wait(if own { local_ms } else { 30.0 });
+        world.end(id, Outcome::Done);
         if n >= requests * 3 / 4 {
-            late += 1;
-            far += u32::from(!own);
+            total += 1;
+            remote += u32::from(!own);
         }
     }
-    f64::from(far) / f64::from(late.max(1))
+    f64::from(remote) / f64::from(total.max(1))
 }
 
-fn priced() -> World {
+/// Returns a world of twelve backends, half of them in this node's zone, with a price on crossing zones.
+fn priced_world() -> World {
     let prices = Prices { cross_zone: 0.06, ..Prices::default() };
     let classes = vec![class(400.0, 1000.0, Effect::Safe)];
     World::with_backends(Settings { classes, zone: Some(0), prices, ..settings() }, 3, 12)
@@ -1208,26 +1248,26 @@
 
 #[test]
 fn a_zone_that_carries_its_own_traffic_keeps_it() {
-    let mut w = priced();
-    let part = crossed(&mut w, 2000, 30.0);
-    assert!(part < 0.05, "{part} of the requests crossed for nothing");
+    let mut world = priced_world();
+    let part = crossing_share(&mut world, 2000, 30.0);
+    assert!(part < 0.05, "{part} of the requests crossed zones without need");
 }
 
 #[test]
-fn a_zone_that_is_strained_gives_away_and_takes_back() {
-    let mut w = priced();
-    crossed(&mut w, 500, 30.0);
-    let strained = crossed(&mut w, 400, 380.0);
-    assert!(strained > 0.35, "{strained} while the own zone is at its aim");
-    let eased = crossed(&mut w, 4000, 30.0);
-    assert!(eased < 0.05, "{eased} after it");
+fn a_strained_zone_gives_traffic_away_and_takes_it_back() {
+    let mut world = priced_world();
+    crossing_share(&mut world, 500, 30.0);
+    let strained = crossing_share(&mut world, 400, 380.0);
+    assert!(strained > 0.35, "{strained} of the requests crossed while the own zone was strained");
+    let eased = crossing_share(&mut world, 4000, 30.0);
+    assert!(eased < 0.05, "{eased} of the requests crossed after that");
 }
 
 #[test]
-fn where_crossing_has_no_price_zones_are_all_alike() {
-    let mut w = priced();
-    w.s.prices.cross_zone = 0.0;
-    let mut free = World::with_backends(w.s.clone(), 3, 12);
-    let part = crossed(&mut free, 2000, 30.0);
+fn zones_are_equal_where_crossing_has_no_price() {
+    let mut world = priced_world();
+    world.s.prices.cross_zone = 0.0;
+    let mut free = World::with_backends(world.s.clone(), 3, 12);
+    let part = crossing_share(&mut free, 2000, 30.0);
     assert!((0.35..0.65).contains(&part), "{part}");
 }
