--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! What the decisions of one request cost, from its arrival to its answer, at several sizes of the fleet: no sockets, no
-//! clock, nothing but the module. `cargo bench --bench decisions` prints it.
+//! Benchmark of the balancer's decisions for one request, from its arrival to its answer, with several numbers of
+//! backends. It uses no sockets and no clock. Run it with `cargo bench --bench decisions`.
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use daleturn::Balancer;
@@ -65,26 +65,27 @@
     }
 }
 
-/// A node that has served for some seconds, and what it needs to go on.
+/// A balancer that has served requests for some seconds, and the requests in flight.
 struct World {
     balancer: Balancer,
     now: f64,
-    next: u64,
-    out: Vec<Action>,
-    open: std::collections::VecDeque<(RequestId, BackendId)>,
+    /// Requests so far.
+    requests: u64,
+    actions: Vec<Action>,
+    in_flight: std::collections::VecDeque<(RequestId, BackendId)>,
 }
 
 impl World {
     fn new(servers: u32) -> World {
         let balancer = Balancer::new(settings(), 7).unwrap_or_else(|e| panic!("{e}"));
-        let mut w = World {
+        let mut world = World {
             balancer,
             now: 1000.0,
-            next: 0,
-            out: Vec::new(),
-            open: std::collections::VecDeque::new(),
+            requests: 0,
+            actions: Vec::new(),
+            in_flight: std::collections::VecDeque::new(),
         };
-        w.tell(Event::Start);
+        world.handle(Event::Start);
         let entry = |n: u32| ListEntry {
             backend: BackendId(u64::from(n)),
             zone: (n % 4) as u16,
@@ -93,22 +94,22 @@
             units: 1.0,
             ready_at_ms: 0.0,
         };
-        w.tell(Event::List { kind: ListKind::Full, entries: (0..servers).map(entry).collect() });
+        world.handle(Event::List { kind: ListKind::Full, entries: (0..servers).map(entry).collect() });
         for _ in 0..20_000 {
-            w.request();
+            world.request();
         }
-        w
+        world
     }
 
-    fn tell(&mut self, event: Event) {
-        self.balancer.handle(self.now, event, &mut self.out);
+    fn handle(&mut self, event: Event) {
+        self.balancer.handle(self.now, event, &mut self.actions);
     }
 
-    /// One request comes, and the one that is eight before it is answered: a steady number is in flight.
+    /// Adds one request and answers the one eight before it, so that the number in flight stays the same.
     fn request(&mut self) {
-        self.next += 1;
+        self.requests += 1;
         self.now += 0.5;
-        let (id, number) = (RequestId(self.next), self.next);
+        let (id, number) = (RequestId(self.requests), self.requests);
         let request = Request {
             id,
             class: (number % 3) as usize,
@@ -118,15 +119,15 @@
             effort_ms: Some(60.0),
             retry: false,
         };
-        self.tell(Event::Request(request));
-        let sent = self.out.iter().find_map(|a| match a {
+        self.handle(Event::Request(request));
+        let sent = self.actions.iter().find_map(|a| match a {
             Action::Send { id, backend, .. } => Some((*id, *backend)),
             _ => None,
         });
-        self.open.extend(sent);
-        self.out.clear();
-        while self.open.len() > 8 {
-            let Some((id, backend)) = self.open.pop_front() else { return };
+        self.in_flight.extend(sent);
+        self.actions.clear();
+        while self.in_flight.len() > 8 {
+            let Some((id, backend)) = self.in_flight.pop_front() else { return };
             let ended = AttemptEnded {
                 id,
                 attempt: 0,
@@ -136,8 +137,8 @@
                 elapsed_ms: 30.0,
                 load: Load::default(),
             };
-            self.tell(Event::AttemptEnded(ended));
-            self.out.clear();
+            self.handle(Event::AttemptEnded(ended));
+            self.actions.clear();
         }
     }
 }
@@ -150,7 +151,7 @@
         group.bench_function(BenchmarkId::from_parameter(format!("{servers} servers")), |b| {
             b.iter(|| {
                 world.request();
-                black_box(world.next)
+                black_box(world.requests)
             });
         });
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Random event sequences; the world in `common` asserts the four rules at every action.
+//! Property tests with random sequences of events. The world in `tests/common` checks the operators' four rules at every
+//! action.
 mod common;
 
 use common::{World, settings, up};
@@ -9,15 +10,23 @@
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
 
+/// One step of a random sequence.
 #[derive(Debug, Clone)]
 enum Step {
-    Ask(usize, Option<u64>, f64),
-    End(usize, Outcome),
-    Leave(usize),
+    /// A request: class, key, time limit in milliseconds.
+    Request(usize, Option<u64>, f64),
+    /// End of an attempt of one of the open requests.
+    AttemptEnd(usize, Outcome),
+    /// The client of one of the open requests leaves.
+    ClientLeave(usize),
+    /// Time passes, in milliseconds.
     Wait(f64),
+    /// An update of the list: backend, health, and whether it has just started.
     List(ListKind, Vec<(u64, Health, bool)>),
-    Probed(Outcome),
-    Stray(u64),
+    /// All probes in flight end.
+    ProbeEnd(Outcome),
+    /// Events about timers, requests and backends that this node does not know.
+    Unknown(u64),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -42,24 +51,25 @@
         1 => Just(ListKind::Failed)
     ];
     prop_oneof![
-        8 => (0_usize..7, proptest::option::of(0_u64..20), 0.0..1200.0).prop_map(|(c, k, d)| Step::Ask(c, k, d)),
-        8 => (any::<usize>(), outcome()).prop_map(|(n, o)| Step::End(n, o)),
-        1 => any::<usize>().prop_map(Step::Leave),
+        8 => (0_usize..7, proptest::option::of(0_u64..20), 0.0..1200.0).prop_map(|(c, k, d)| Step::Request(c, k, d)),
+        8 => (any::<usize>(), outcome()).prop_map(|(n, o)| Step::AttemptEnd(n, o)),
+        1 => any::<usize>().prop_map(Step::ClientLeave),
         3 => (0.0..400.0).prop_map(Step::Wait),
         1 => (kind, proptest::collection::vec((1_u64..12, health, any::<bool>()), 0..8))
             .prop_map(|(k, e)| Step::List(k, e)),
-        1 => outcome().prop_map(Step::Probed),
-        1 => any::<u64>().prop_map(Step::Stray),
+        1 => outcome().prop_map(Step::ProbeEnd),
+        1 => any::<u64>().prop_map(Step::Unknown),
     ]
 }
 
-fn play(s: Settings, seed: u64, steps: &[Step], subset: Option<usize>) -> Vec<Action> {
-    let mut w = World::new(s.clone(), seed);
-    w.subset = subset.map(|size| (Subset::new(size, &s), BTreeSet::new()));
-    w.list(ListKind::Full, (1..=6).map(up).collect());
+/// Runs the steps in a world and returns all actions. `subset`: size of the node's subset of the list.
+fn run_steps(s: Settings, seed: u64, steps: &[Step], subset: Option<usize>) -> Vec<Action> {
+    let mut world = World::new(s.clone(), seed);
+    world.subset = subset.map(|size| (Subset::new(size, &s), BTreeSet::new()));
+    world.list(ListKind::Full, (1..=6).map(up).collect());
     for step in steps {
-        w.last_looks();
-        let open: Vec<RequestId> = w
+        world.last_looks();
+        let open: Vec<RequestId> = world
             .asked
             .iter()
             .filter(|(_, a)| a.attempts.iter().any(|t| t.outcome.is_none()))
@@ -67,25 +77,25 @@
             .collect();
         let nth = |n: usize| open.get(n % open.len().max(1)).copied();
         match step {
-            Step::Ask(c, k, d) => {
-                w.ask_with(*c, *k, *d);
+            Step::Request(c, k, d) => {
+                world.ask_with(*c, *k, *d);
             }
-            Step::End(n, o) => {
+            Step::AttemptEnd(n, o) => {
                 if let Some(id) = nth(*n) {
-                    w.end(id, *o);
+                    world.end(id, *o);
                 }
             }
-            Step::Leave(n) => {
+            Step::ClientLeave(n) => {
                 if let Some(id) = nth(*n) {
-                    w.left(id);
+                    world.left(id);
                 }
             }
-            Step::Wait(ms) => w.wait(*ms),
+            Step::Wait(ms) => world.wait(*ms),
             Step::List(ListKind::Failed, _) => {
-                w.feed(Event::List { kind: ListKind::Failed, entries: vec![] })
+                world.feed(Event::List { kind: ListKind::Failed, entries: vec![] })
             }
             Step::List(kind, entries) => {
-                let now = w.now;
+                let now = world.now;
                 let entries = (entries.iter())
                     .map(|(n, health, fresh)| ListEntry {
                         health: *health,
@@ -93,20 +103,20 @@
                         ..up(*n)
                     })
                     .collect();
-                w.list(*kind, entries);
+                world.list(*kind, entries);
             }
-            Step::Probed(o) => w.probed(*o),
-            Step::Stray(n) => {
-                // Events for what this node does not know are ignored.
-                w.feed(Event::Timer(n.wrapping_add(100)));
-                w.feed(Event::ClientLeft(RequestId(n | 1 << 40)));
-                w.feed(Event::ProbeEnded {
+            Step::ProbeEnd(o) => world.probed(*o),
+            Step::Unknown(n) => {
+                // Such events are ignored.
+                world.feed(Event::Timer(n.wrapping_add(100)));
+                world.feed(Event::ClientLeft(RequestId(n | 1 << 40)));
+                world.feed(Event::ProbeEnded {
                     backend: BackendId(*n),
                     outcome: Outcome::Done,
                     elapsed_ms: 1.0,
                     load: Load::default(),
                 });
-                w.feed(Event::AttemptEnded(AttemptEnded {
+                world.feed(Event::AttemptEnded(AttemptEnded {
                     id: RequestId(n | 1 << 40),
                     attempt: 0,
                     backend: BackendId(*n),
@@ -118,11 +128,11 @@
             }
         }
     }
-    w.wait(3000.0);
-    for (id, a) in &w.asked {
+    world.wait(3000.0);
+    for (id, a) in &world.asked {
         assert!(a.answer.is_some(), "rule 1: {id:?} was never answered");
     }
-    w.trace
+    world.trace
 }
 
 fn runner() -> TestRunner {
@@ -131,14 +141,14 @@
 }
 
 #[test]
-fn the_rules_hold_and_the_same_events_give_the_same_actions() {
+fn the_rules_hold_and_equal_events_give_equal_actions() {
     let input = (any::<u64>(), any::<[bool; 6]>(), proptest::collection::vec(step(), 1..120));
     runner()
-        .run(&input, |(seed, [probes, copies, warm, asked, late_shedding, closes], steps)| {
-            let discovery = if asked { Discovery::OnRequest } else { Discovery::Pushed };
+        .run(&input, |(seed, [probes, copies, warm, on_request, late_shedding, closes], steps)| {
+            let discovery = if on_request { Discovery::OnRequest } else { Discovery::Pushed };
             let drain_close_ms = closes.then_some(1000.0);
-            // A window within the deadline, and one beyond it.
-            let key_ttl_ms = if asked { 250.0 } else { 1000.0 };
+            // One key lifetime is shorter than the deadlines, one is longer.
+            let key_ttl_ms = if on_request { 250.0 } else { 1000.0 };
             let classes = settings().classes.into_iter().map(|c| Class { key_ttl_ms, ..c }).collect();
             let s = Settings {
                 classes,
@@ -150,18 +160,18 @@
                 drain_close_ms,
                 ..settings()
             };
-            let first = play(s.clone(), seed, &steps, None);
-            assert_eq!(first, play(s.clone(), seed, &steps, None));
-            // A list that fits a subset is played action for action as without one.
-            assert_eq!(first, play(s, seed, &steps, Some(100)));
+            let first = run_steps(s.clone(), seed, &steps, None);
+            assert_eq!(first, run_steps(s.clone(), seed, &steps, None));
+            // A subset that holds the whole list gives the same actions as none.
+            assert_eq!(first, run_steps(s, seed, &steps, Some(100)));
             Ok(())
         })
-        .expect("a sequence that breaks a rule");
+        .expect("no sequence breaks a rule");
 }
 
-/// Backends leave and come back into the subset while they are in use, tried, cold or probed, and others drain.
+/// Backends leave the subset and return to it while they are in use, on trial, cold or probed, and others drain.
 #[test]
-fn the_rules_hold_where_a_node_works_with_a_subset() {
+fn the_rules_hold_where_a_node_uses_a_subset_of_the_backends() {
     let input = (any::<u64>(), any::<[bool; 4]>(), 1_usize..6, proptest::collection::vec(step(), 1..120));
     let actions = AtomicU64::new(0);
     runner()
@@ -174,21 +184,21 @@
                 slot: seed as u32 % 4200,
                 ..settings()
             };
-            let first = play(s.clone(), seed, &steps, Some(size));
+            let first = run_steps(s.clone(), seed, &steps, Some(size));
             actions.fetch_add(first.len() as u64, Ordering::Relaxed);
-            assert_eq!(first, play(s.clone(), seed, &steps, Some(size)));
-            // A backend bears from the nodes that hold it what it bears from a fleet of so many.
+            assert_eq!(first, run_steps(s.clone(), seed, &steps, Some(size)));
+            // The nodes that hold a backend load it as a whole fleet of that size would.
             let part = Settings { instances: 4200, held_by: Some(29), ..s.clone() };
             let small = Settings { instances: 29, ..s };
-            // Calls to discovery are all nodes' matter.
+            // Calls to discovery are excluded: they depend on the number of all nodes.
             let asks = |a: &Action| matches!(a, Action::Timer { token: 2, .. } | Action::Watch(_));
             let [part, small] = [part, small].map(|s| {
-                let actions = play(s, seed, &steps, Some(size)).into_iter();
+                let actions = run_steps(s, seed, &steps, Some(size)).into_iter();
                 actions.filter(|a| !asks(a)).collect::<Vec<_>>()
             });
             assert_eq!(part, small);
             Ok(())
         })
-        .expect("a sequence that breaks a rule");
-    assert!(actions.into_inner() > 1000, "hardly anything was done");
+        .expect("no sequence breaks a rule");
+    assert!(actions.into_inner() > 1000, "the sequences gave too few actions");
 }
