--- a/src/control/list_sync.rs
+++ b/src/control/list_sync.rs
@@ -1,452 +1,484 @@
-//! How the list of backends is kept fresh: what discovery is asked next, how long its answer may take, and what an
-//! answer or a failure leads to. It knows no address, no socket and none of the list's lines.
+//! Keeps the list of backends up to date: chooses the next request to discovery and its timeout, and
+//! evaluates each response or failure. This module handles no addresses, sockets or list lines.
 //!
-//! What discovery has to tell counts as told at a certain moment, whether or not it has arrived. Whoever waits knows
-//! that moment and asks anew before it, with time for one more failure: each such call gets half of the time that is
-//! left. `docs/design.md` has the bounds of each way in which the list arrives.
+//! Discovery's contract says when a change counts as notified to a node, whether or not the node has received
+//! it. The synchronizer knows the earliest such deadline and sends a new request before it, leaving time for
+//! one more failure: each call gets half of the remaining time. `docs/design.md` lists the bounds for each
+//! delivery mode.
 //!
-//! For as long as nothing was heard since a failure, nobody knows when discovery returns. Where lists are pushed, what it
-//! has at its return counts at once, so short tries on a connection of their own run beside each call, which may hang
-//! across that moment. Where it is asked, each call costs the one service of all nodes, and rounds of a length that
-//! leaves time for one failure do.
+//! After a failure, and until a response arrives, the moment at which discovery recovers is unknown. In
+//! pushed mode, changes count as notified as soon as discovery recovers, so short parallel calls on separate
+//! connections run beside each call, which may hang across the recovery. In on-request mode one service
+//! answers all nodes and each call loads it, so calls follow in rounds short enough to leave time for one
+//! failure.
 //!
-//! A call that is replaced, by a time-out or by a new address, may have been answered already: the answer is under way, and
-//! from the moment in which it was written its departures count as notified. So its answer is still read for a while, and
-//! [`ListSync::answered_late`] says what of it holds.
+//! A call that was replaced, after a timeout or by a change of address, may already have been answered: its
+//! departures count as notified from the moment at which discovery wrote the response. The response is
+//! therefore still read for a while, and [`ListSync::answered_late`] decides which part of it is applied.
 
 use crate::interface::Discovery;
 
-/// A watch that has fallen silent: what it misses counts as told so long after, in milliseconds ...
-const SILENT_MS: f64 = 6000.0;
-/// ... or so long after the end of its wait, if that is later.
-const AFTER_WAIT_MS: f64 = 2000.0;
-/// After new settings.
-const MOVED_MS: f64 = 4000.0;
-/// An answer that is later than its wait by so much does not come: time for the way and for a busy service, and a
-/// quarter of what is left until its news counts as told.
-const LATE_MS: f64 = 500.0;
-/// An answer that need not wait for news comes within this, or not at all: so long may calls wait in turn.
-const PROMPT_MS: f64 = 2200.0;
-/// No call gets less than this.
-const LEAST_MS: f64 = 250.0;
-/// Longest wait for news where lists are pushed: asking costs nothing there, and a short wait soon shows an agent that
-/// has fallen silent.
-const PUSHED_WAIT_MS: f64 = 2000.0;
-/// Bounds of the same where discovery is asked; between them it is the time that the settings give for asking.
-const LEAST_WAIT_MS: f64 = 1000.0;
-const MOST_WAIT_MS: f64 = 20_000.0;
-/// Pauses after failures and after answers that could not be used: doubled from the first to the last. A watch that
-/// goes on within 200 ms has missed nothing.
+/// Time after a watch fell silent at which a change that it missed counts as notified.
+const SILENT_WATCH_DEADLINE_MS: f64 = 6000.0;
+/// The same time counted from the end of the watch's requested wait; the later of both deadlines holds.
+const AFTER_WAIT_DEADLINE_MS: f64 = 2000.0;
+/// Time after a change of discovery's address or mode at which the new list counts as notified.
+const DISCOVERY_CHANGE_DEADLINE_MS: f64 = 4000.0;
+/// Margin after a watch's requested wait before the call times out: covers the round trip and a busy service,
+/// and is a quarter of the time then left until a missed change counts as notified.
+const WATCH_TIMEOUT_MARGIN_MS: f64 = 500.0;
+/// Timeout of a request that discovery answers without waiting: the longest that calls may queue at the
+/// service.
+const PROMPT_TIMEOUT_MS: f64 = 2200.0;
+/// Lower bound of every call's timeout.
+const MIN_TIMEOUT_MS: f64 = 250.0;
+/// Longest requested wait in pushed mode. Requests to the local agent are cheap, and a short wait soon
+/// detects an agent that has stopped responding.
+const MAX_PUSHED_WAIT_MS: f64 = 2000.0;
+/// Bounds of the requested wait in on-request mode, where the setting `must_ask_in_ms` determines it.
+const MIN_WAIT_MS: f64 = 1000.0;
+const MAX_WAIT_MS: f64 = 20_000.0;
+/// First and longest pause after a failure or an unusable response; the pause doubles in between. A watch
+/// that is renewed within 200 ms misses no change.
 const FIRST_PAUSE_MS: f64 = 20.0;
-const LAST_PAUSE_MS: f64 = 150.0;
-/// The same where one service answers all nodes in turn.
-const ASKED_PAUSE_MS: f64 = 100.0;
-/// Where discovery is asked and was not heard since a failure, its news counts as told 6 s after its return: from one
-/// call to the next it is so long at most, whatever the decisions wish, and two of them leave time for an answer.
-const ROUND_MS: f64 = 2900.0;
-/// Longest wait for news of such a call: nobody can tell whether it waits or hangs, so it has to end within a round.
-const UNHEARD_WAIT_MS: f64 = 2000.0;
-/// Longest waits for news of the first watches after a call that failed, was given up or was replaced, where discovery is asked:
-/// from such a call on a change counts as told 6 s after discovery had it, also where the watch has fallen silent. The first
-/// leaves time for one more failure, and two that were answered show that watches are heard.
-const WAITS_AFTER_TROUBLE_MS: [f64; 2] = [2900.0, 4500.0];
-/// Length of a short try, where lists are pushed, as a part of the drain grace, and its bounds: the return, the next try
-/// and its answer come well within that grace, and a service that is down is tried no more often than one that refuses.
-const TRY_OF_GRACE: f64 = 0.25;
-const LEAST_TRY_MS: f64 = 40.0;
-const MOST_TRY_MS: f64 = 125.0;
-/// Pauses between whole lists while some line cannot be read: doubled from the first to the last.
-const SPOILT_MS: f64 = 100.0;
-const LAST_SPOILT_MS: f64 = 20_000.0;
-/// So long the answer of a call is still read that was given up or replaced, in milliseconds. The first call after a move is given
-/// up after 2 s, so its answer counts up to the moment from which its news is notified anyway, 4 s after the move.
+const MAX_PAUSE_MS: f64 = 150.0;
+/// First pause in on-request mode, where one service answers all nodes.
+const FIRST_ON_REQUEST_PAUSE_MS: f64 = 100.0;
+/// Longest time between two calls in on-request mode after a failure and until discovery responds again, even
+/// if the policy requests none. Changes then count as notified 6 s after discovery recovers: two rounds leave
+/// time for the response.
+const MAX_ROUND_MS: f64 = 2900.0;
+/// Longest requested wait of such a call. A waiting call cannot be told from a hanging one, so the call must
+/// end within a round.
+const MAX_RECOVERY_WAIT_MS: f64 = 2000.0;
+/// Longest requested waits of the first watches after a call that failed, timed out or was replaced, in
+/// on-request mode. After such a call a change counts as notified 6 s after discovery had it, even if the
+/// watch has stopped responding. The first wait leaves time for one more failure; two answered watches show
+/// that the connection works.
+const MAX_WAITS_AFTER_FAILURE_MS: [f64; 2] = [2900.0, 4500.0];
+/// Interval between parallel calls in pushed mode, as a share of the drain grace, with its bounds.
+/// Discovery's recovery, the next parallel call and its response must fit well within the grace, and a
+/// service that hangs must not be called more often than one that refuses connections.
+const PARALLEL_INTERVAL_PER_GRACE: f64 = 0.25;
+const MIN_PARALLEL_INTERVAL_MS: f64 = 40.0;
+const MAX_PARALLEL_INTERVAL_MS: f64 = 125.0;
+/// First and longest pause between requests for the full list while some line cannot be read; the pause
+/// doubles in between.
+const UNREADABLE_PAUSE_MS: f64 = 100.0;
+const MAX_UNREADABLE_PAUSE_MS: f64 = 20_000.0;
+/// Time for which the response of a timed-out or replaced call is still read, in milliseconds. The first call
+/// after a change of address times out after 2 s, so its response is accepted until its changes count as
+/// notified, 4 s after the change.
 pub const LATE_ANSWER_MS: f64 = 2000.0;
-/// A watch that brought no news sooner than this has not waited.
-const HASTY_MS: f64 = 50.0;
+/// A watch that returns without changes sooner than this did not wait.
+const MIN_WATCH_MS: f64 = 50.0;
 
-/// What discovery is asked for.
+/// A request to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListRequest {
-    /// The whole list.
+    /// The full list.
     FullList,
-    /// What has changed since a version, when something has or the wait is over.
+    /// Changes since a version; discovery responds when there are some or when the wait has passed.
     Changes {
-        /// The version.
+        /// Version that is known.
         after: u64,
-        /// The longest wait, in milliseconds.
+        /// Longest wait, in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// One call.
+/// One call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListCall {
-    /// What for.
+    /// What the call requests.
     pub request: ListRequest,
-    /// Milliseconds after which its answer is not waited for any more.
+    /// Time after which the call is given up, in milliseconds.
     pub timeout_ms: f64,
-    /// While it is out, the same is asked on another connection, in tries of so many milliseconds, one after the other;
-    /// what is answered first counts.
+    /// Interval in milliseconds at which the same request is repeated on another connection while this call
+    /// is outstanding; the first response is used. None if no parallel calls are made.
     pub parallel_interval_ms: Option<f64>,
-    begun: f64,
+    started_at: f64,
     number: u64,
-    /// Which address it is made to, counted from the first.
-    epoch: u32,
-    /// The newest call that had been answered as it was made.
+    /// Which of discovery's addresses the call goes to, counted from the first.
+    address_epoch: u32,
+    /// Newest call that had been answered when this one was made.
     answered_before: Option<u64>,
 }
 
 impl ListCall {
-    /// Its place in the order of all calls.
+    /// Returns the position of this call in the order of all calls.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Whole milliseconds since it was made.
+    /// Returns the whole milliseconds since the call was made.
     pub fn elapsed_ms(&self, now: f64) -> u64 {
-        (now - self.begun).max(0.0) as u64
+        (now - self.started_at).max(0.0) as u64
     }
 }
 
-/// What to do next.
+/// What the node does next.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NextStep {
     /// Make this call.
     Call(ListCall),
-    /// Nothing, for so many milliseconds.
+    /// Wait this many milliseconds.
     Pause(f64),
-    /// Nothing, until the decisions wish for news or discovery has moved.
+    /// Wait until the policy requests updates or discovery's address or mode changes.
     Idle,
 }
 
-/// What is known of an answer without reading its lines.
+/// Metadata of a response, without its lines.
 #[derive(Clone, Copy, Debug)]
 pub struct ListResponse {
-    /// Its version.
+    /// Version of the list.
     pub version: u64,
-    /// It is the whole list.
+    /// True for the full list, false for changes.
     pub full: bool,
-    /// Lines that could not be read.
+    /// Number of lines that could not be read.
     pub skipped: usize,
 }
 
-/// What holds of an answer to a call that was given up or replaced.
+/// Which part of the response to a timed-out or replaced call is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LateAnswer {
-    /// All of it: nothing newer is known.
+    /// All of it: no newer response is known.
     Holds,
-    /// Only that backends leave.
+    /// Only the departures of backends.
     Departures {
-        /// A whole list says so, too, by leaving backends out.
+        /// True if a backend that a full list omits has departed, too.
         omissions: bool,
     },
-    /// Nothing: what is known is as new, or newer.
+    /// Nothing: the known list is as new, or newer.
     Outdated,
 }
 
-/// The course of asking.
+/// State machine that keeps the list of backends in step with discovery.
 #[derive(Debug)]
 pub struct ListSync {
-    how: Discovery,
-    longest_wait: f64,
+    mode: Discovery,
+    max_wait_ms: f64,
     parallel_interval_ms: f64,
-    /// Nothing was heard since a failure, or, where lists are pushed, since the start.
-    unheard: bool,
-    /// The next call is made then at the latest, though the decisions do not wish for it.
-    again_at: Option<f64>,
-    /// The version that changes are asked from; none where only the whole list can tell.
+    /// No response has arrived since a failure or, in pushed mode, since the start.
+    is_silent: bool,
+    /// Latest time of the next call, even if the policy does not request one.
+    next_call_due: Option<f64>,
+    /// Version from which changes are requested; none if only the full list can tell.
     version: Option<u64>,
-    /// The version of the list that was taken last, whatever has failed since.
-    held: Option<u64>,
-    /// The decisions wish for news. Where lists are pushed there is no need to.
-    wanted: bool,
-    /// What was missed counts as told from then on.
-    due: Option<f64>,
-    /// The same of the last move, where an earlier moment comes first.
-    last_move_due: Option<f64>,
-    /// Calls that were made, and addresses that were moved to.
+    /// Version of the list that was applied last, also across failures.
+    applied_version: Option<u64>,
+    /// The policy requests updates; always true in pushed mode.
+    is_wanted: bool,
+    /// Deadline from which a change that may have been missed counts as notified.
+    notified_at: Option<f64>,
+    /// The same deadline of the last change of address, where `notified_at` holds an earlier one.
+    last_change_notified_at: Option<f64>,
+    /// Number of calls made, and number of addresses used before this one.
     calls: u64,
-    epoch: u32,
-    /// The newest call to this address that was answered.
+    address_epoch: u32,
+    /// Newest answered call to the current address.
     answered_call: Option<u64>,
-    /// Some line could not be read, or backends left by an answer of which nothing else holds: the whole list is asked for
-    /// then. And how often lines could not be read in a row.
-    whole_at: Option<f64>,
-    spoilt: u32,
+    /// Time at which the full list is requested: some line could not be read, or backends departed by a
+    /// response of which nothing else was applied. `unreadable_lists` counts the consecutive lists with
+    /// unreadable lines.
+    full_list_at: Option<f64>,
+    unreadable_lists: u32,
     pause_until: f64,
-    /// Watches that were answered since some call failed, was given up or was replaced; the first ones count.
-    proven: usize,
-    /// Answers in a row that were of no use.
-    vain: u32,
+    /// Watches answered since a call last failed, timed out or was replaced, up to the length of
+    /// [`MAX_WAITS_AFTER_FAILURE_MS`].
+    answered_watches: usize,
+    /// Consecutive responses and failures that were of no use; determines the pause.
+    unproductive: u32,
     rng: fastrand::Rng,
 }
 
 impl ListSync {
-    /// Nothing was asked yet; a list of that version is known whole.
-    pub fn new(how: Discovery, must_ask_in_ms: f64, known: Option<u64>, seed: u64) -> ListSync {
+    /// Creates the state machine before the first request. `known` is the version of the complete list that
+    /// the node starts with, if there is one.
+    pub fn new(mode: Discovery, must_ask_in_ms: f64, known: Option<u64>, seed: u64) -> ListSync {
         ListSync {
-            how,
-            longest_wait: longest_wait(how, must_ask_in_ms),
-            parallel_interval_ms: MOST_TRY_MS,
-            unheard: how == Discovery::Pushed,
-            again_at: None,
+            mode,
+            max_wait_ms: max_wait_ms(mode, must_ask_in_ms),
+            parallel_interval_ms: MAX_PARALLEL_INTERVAL_MS,
+            is_silent: mode == Discovery::Pushed,
+            next_call_due: None,
             version: known,
-            held: known,
-            wanted: how == Discovery::Pushed,
-            due: None,
-            last_move_due: None,
+            applied_version: known,
+            is_wanted: mode == Discovery::Pushed,
+            notified_at: None,
+            last_change_notified_at: None,
             calls: 0,
-            epoch: 0,
+            address_epoch: 0,
             answered_call: None,
-            whole_at: None,
-            spoilt: 0,
+            full_list_at: None,
+            unreadable_lists: 0,
             pause_until: f64::NEG_INFINITY,
-            proven: 0,
-            vain: 0,
+            answered_watches: 0,
+            unproductive: 0,
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// Settings came that name another discovery, or another way in which its lists arrive. It may count anew, so the
-    /// whole list is asked for, at once, whatever pace the old one had earned.
+    /// Handles new settings with another address or another delivery mode of discovery. The new service may
+    /// number its versions differently, so the full list is requested at once, without the old service's
+    /// pause.
     ///
-    /// A moment from which news counts as told is put off by no further move: settings may follow each other within seconds.
-    pub fn discovery_changed(&mut self, now: f64, how: Discovery) {
+    /// An earlier notification deadline is kept: settings may change again within seconds.
+    pub fn discovery_changed(&mut self, now: f64, mode: Discovery) {
         let rng = self.rng.clone();
-        let (calls, epoch) = (self.calls, self.epoch.wrapping_add(1));
-        let move_due = now + MOVED_MS;
-        let due = self.due.filter(|due| now < *due).map_or(move_due, |due| due.min(move_due));
+        let (calls, address_epoch) = (self.calls, self.address_epoch.wrapping_add(1));
+        let change_notified_at = now + DISCOVERY_CHANGE_DEADLINE_MS;
+        let notified_at = self
+            .notified_at
+            .filter(|notified_at| now < *notified_at)
+            .map_or(change_notified_at, |notified_at| notified_at.min(change_notified_at));
         *self = ListSync {
             rng,
             parallel_interval_ms: self.parallel_interval_ms,
             calls,
-            epoch,
-            ..ListSync::new(how, self.longest_wait, None, 0)
+            address_epoch,
+            ..ListSync::new(mode, self.max_wait_ms, None, 0)
         };
-        self.wanted = true;
-        self.due = Some(due);
-        self.last_move_due = (due < move_due).then_some(move_due);
+        self.is_wanted = true;
+        self.notified_at = Some(notified_at);
+        self.last_change_notified_at = (notified_at < change_notified_at).then_some(change_notified_at);
     }
 
-    /// The settings give these times for asking and for drains, in milliseconds, from the next call on.
+    /// Takes the times for requests and for drains from the settings, in milliseconds, from the next call on.
     pub fn update_settings(&mut self, must_ask_in_ms: f64, drain_grace_ms: f64) {
-        self.longest_wait = longest_wait(self.how, must_ask_in_ms);
-        self.parallel_interval_ms = (drain_grace_ms * TRY_OF_GRACE).clamp(LEAST_TRY_MS, MOST_TRY_MS);
+        self.max_wait_ms = max_wait_ms(self.mode, must_ask_in_ms);
+        self.parallel_interval_ms = (drain_grace_ms * PARALLEL_INTERVAL_PER_GRACE)
+            .clamp(MIN_PARALLEL_INTERVAL_MS, MAX_PARALLEL_INTERVAL_MS);
     }
 
-    /// The decisions wish for news, or for none.
-    pub fn set_wanted(&mut self, wanted: bool) {
-        self.wanted = wanted || self.how == Discovery::Pushed;
-        self.again_at = self.again_at.filter(|_| wanted);
+    /// Records whether the policy requests updates.
+    pub fn set_wanted(&mut self, is_wanted: bool) {
+        self.is_wanted = is_wanted || self.mode == Discovery::Pushed;
+        self.next_call_due = self.next_call_due.filter(|_| is_wanted);
     }
 
-    /// The place of the last call that was made in the order of all.
+    /// Returns the position of the latest call in the order of all calls.
     pub fn last_call(&self) -> u64 {
         self.calls
     }
 
-    /// The version of the list that is known, unless part of it could not be read.
+    /// Returns the version of the known list; none if part of it could not be read.
     pub fn version(&self) -> Option<u64> {
-        self.version.filter(|_| self.whole_at.is_none())
+        self.version.filter(|_| self.full_list_at.is_none())
     }
 
-    /// What to do now.
+    /// Returns what to do now.
     pub fn next(&mut self, now: f64) -> NextStep {
-        if !self.wanted {
-            let Some(at) = self.again_at else { return NextStep::Idle };
+        if !self.is_wanted {
+            let Some(at) = self.next_call_due else { return NextStep::Idle };
             if now < at {
                 return NextStep::Pause(at - now);
             }
-            self.wanted = true;
+            self.is_wanted = true;
         }
         if now < self.pause_until {
             return NextStep::Pause(self.pause_until - now);
         }
-        let ask = match self.version {
-            Some(after) if self.whole_at.is_none_or(|at| now < at) => {
-                // Something may have been missed: what there is must come now.
-                let wait = match self.how {
-                    _ if self.due.is_some() => 0.0,
-                    Discovery::Pushed if self.unheard => 0.0,
-                    _ if self.unheard => self.draw(self.longest_wait.min(UNHEARD_WAIT_MS)),
+        let request = match self.version {
+            Some(after) if self.full_list_at.is_none_or(|at| now < at) => {
+                // A change may have been missed: request the changes without a wait.
+                let wait = match self.mode {
+                    _ if self.notified_at.is_some() => 0.0,
+                    Discovery::Pushed if self.is_silent => 0.0,
+                    _ if self.is_silent => self.jitter(self.max_wait_ms.min(MAX_RECOVERY_WAIT_MS)),
                     _ => {
-                        let most =
-                            WAITS_AFTER_TROUBLE_MS.get(self.proven).copied().unwrap_or(f64::INFINITY);
-                        self.draw(self.longest_wait.min(most))
+                        let max_ms = MAX_WAITS_AFTER_FAILURE_MS
+                            .get(self.answered_watches)
+                            .copied()
+                            .unwrap_or(f64::INFINITY);
+                        self.jitter(self.max_wait_ms.min(max_ms))
                     }
                 };
-                let wait = self.whole_at.map_or(wait, |at| wait.min(at - now));
+                let wait = self.full_list_at.map_or(wait, |at| wait.min(at - now));
                 ListRequest::Changes { after, wait_ms: wait.ceil().max(1.0) as u64 }
             }
             _ => ListRequest::FullList,
         };
-        let timeout_ms = match (ask, self.due) {
-            (_, Some(due)) => ((due - now) / 2.0).clamp(LEAST_MS, PROMPT_MS),
-            (ListRequest::Changes { wait_ms, .. }, None) if wait_ms > 1 => wait_ms as f64 + LATE_MS,
-            _ => PROMPT_MS,
+        let timeout_ms = match (request, self.notified_at) {
+            (_, Some(notified_at)) => ((notified_at - now) / 2.0).clamp(MIN_TIMEOUT_MS, PROMPT_TIMEOUT_MS),
+            (ListRequest::Changes { wait_ms, .. }, None) if wait_ms > 1 => {
+                wait_ms as f64 + WATCH_TIMEOUT_MARGIN_MS
+            }
+            _ => PROMPT_TIMEOUT_MS,
         };
-        let tries = self.unheard && self.how == Discovery::Pushed;
-        let parallel_interval_ms = tries.then(|| self.draw(self.parallel_interval_ms));
+        let uses_parallel_calls = self.is_silent && self.mode == Discovery::Pushed;
+        let parallel_interval_ms = uses_parallel_calls.then(|| self.jitter(self.parallel_interval_ms));
         self.calls += 1;
         NextStep::Call(ListCall {
-            request: ask,
+            request,
             timeout_ms,
             parallel_interval_ms,
-            begun: now,
+            started_at: now,
             number: self.calls,
-            epoch: self.epoch,
+            address_epoch: self.address_epoch,
             answered_before: self.answered_call,
         })
     }
 
-    /// The same call once more, made beside it.
+    /// Repeats a call in parallel with it and returns the new call.
     pub fn parallel_call(&mut self, now: f64, call: &ListCall) -> ListCall {
         self.calls += 1;
         ListCall {
             parallel_interval_ms: None,
-            begun: now,
+            started_at: now,
             number: self.calls,
             answered_before: self.answered_call,
             ..*call
         }
     }
 
-    /// A call was answered. True: its lines hold; false: they are of another count, and only a whole list tells.
-    pub fn answered(&mut self, now: f64, call: &ListCall, told: ListResponse) -> bool {
-        (self.due, self.last_move_due) = (None, None);
-        // The answer by which discovery is heard again shows of no watch that it is.
-        let returned = std::mem::replace(&mut self.unheard, false);
-        self.again_at = None;
+    /// Handles the response to the current call. Returns true if its lines apply; false if its version is
+    /// older than the known one, so that only a full list can tell what holds.
+    pub fn answered(&mut self, now: f64, call: &ListCall, response: ListResponse) -> bool {
+        (self.notified_at, self.last_change_notified_at) = (None, None);
+        // The first response after a failure does not count as an answered watch.
+        let is_recovery = std::mem::replace(&mut self.is_silent, false);
+        self.next_call_due = None;
         self.answered_call = self.answered_call.max(Some(call.number));
-        let before = self.version;
-        if !told.full && before.is_none_or(|version| told.version < version) {
+        let previous_version = self.version;
+        if !response.full && previous_version.is_none_or(|version| response.version < version) {
             self.version = None;
-            self.rest(now);
+            self.back_off(now);
             return false;
         }
-        (self.version, self.held) = (Some(told.version), Some(told.version));
-        if told.skipped > 0 {
-            // What that line had to tell is in the whole list, if anywhere; a service that never gets it right must
-            // not be asked for that without end.
-            self.whole_at = Some(now + self.spoilt_pause());
-        } else if told.full {
-            (self.whole_at, self.spoilt) = (None, 0);
+        (self.version, self.applied_version) = (Some(response.version), Some(response.version));
+        if response.skipped > 0 {
+            // The full list holds what that line said, if anything does. The pause keeps a service that never
+            // writes the line correctly from being asked for full lists without end.
+            self.full_list_at = Some(now + self.unreadable_pause());
+        } else if response.full {
+            (self.full_list_at, self.unreadable_lists) = (None, 0);
         }
-        // A watch that did not wait and brought nothing must not spin.
+        // A watch that returns at once and without changes must not cause a busy loop.
         let waits =
-            matches!(call.request, ListRequest::Changes { wait_ms, .. } if wait_ms as f64 > HASTY_MS);
-        self.proven = (self.proven + usize::from(waits && !returned)).min(WAITS_AFTER_TROUBLE_MS.len());
-        if waits && before == Some(told.version) && now - call.begun < HASTY_MS {
-            self.rest(now);
+            matches!(call.request, ListRequest::Changes { wait_ms, .. } if wait_ms as f64 > MIN_WATCH_MS);
+        self.answered_watches = (self.answered_watches + usize::from(waits && !is_recovery))
+            .min(MAX_WAITS_AFTER_FAILURE_MS.len());
+        if waits && previous_version == Some(response.version) && now - call.started_at < MIN_WATCH_MS {
+            self.back_off(now);
         } else {
-            self.vain = 0;
+            self.unproductive = 0;
         }
         true
     }
 
-    /// A call was answered that had been given up or replaced: what of its answer holds.
-    pub fn answered_late(&mut self, now: f64, call: &ListCall, told: ListResponse) -> LateAnswer {
-        if call.epoch != self.epoch {
-            // The counts of two addresses cannot be compared. Once the new one has answered, its list tells more than an
-            // omission at the old one.
+    /// Handles the response to a call that had timed out or been replaced, and returns which part of it
+    /// applies.
+    pub fn answered_late(&mut self, now: f64, call: &ListCall, response: ListResponse) -> LateAnswer {
+        if call.address_epoch != self.address_epoch {
+            // Versions of two addresses cannot be compared. Once the new address has answered, its list is
+            // better evidence than an omission in the old one.
             return LateAnswer::Departures { omissions: self.answered_call.is_none() };
         }
         if self.answered_call == call.answered_before {
             if let ListRequest::Changes { after, .. } = call.request
-                && told.version >= after
+                && response.version >= after
             {
-                // Nothing was taken since, so the changes go on from what is known.
+                // Nothing was applied since, so changes continue from the known version.
                 self.version = Some(after);
             }
-        } else if self.held.is_some_and(|held| told.version <= held) {
+        } else if self.applied_version.is_some_and(|applied_version| response.version <= applied_version) {
             return LateAnswer::Outdated;
-        } else if !told.full || self.answered_call > Some(call.number) {
+        } else if !response.full || self.answered_call > Some(call.number) {
             return LateAnswer::Departures { omissions: true };
         }
-        if !self.answered(now, call, told) {
+        if !self.answered(now, call, response) {
             return LateAnswer::Departures { omissions: false };
         }
-        // Discovery can be heard: nobody has to pace the next call.
-        self.wanted = true;
+        // Discovery responds: the policy need not pace the next call.
+        self.is_wanted = true;
         LateAnswer::Holds
     }
 
-    /// Backends are kept out by an answer of which nothing else held. The whole list, asked for from here on, tells whether
-    /// they still are.
+    /// Requests the full list. Backends are excluded by a response of which nothing else was applied, and the
+    /// full list tells whether they have really departed.
     pub fn request_full_list(&mut self, now: f64) {
-        self.whole_at = Some(self.whole_at.map_or(now, |at| at.min(now)));
-        self.wanted = true;
+        self.full_list_at = Some(self.full_list_at.map_or(now, |at| at.min(now)));
+        self.is_wanted = true;
     }
 
-    /// A call was answered with more than can be read. What is known holds, its changes are asked for, and the whole list
-    /// is tried again ever more seldom: neither is a service to be asked for that without end.
+    /// Handles a response that is longer than the node reads. The known list is kept and its changes are
+    /// requested; the full list is requested again at growing intervals, because the service must not be
+    /// asked for either without end.
     pub fn response_too_long(&mut self, now: f64) {
-        (self.due, self.last_move_due) = (None, None);
-        (self.unheard, self.again_at) = (false, None);
-        let pause = self.spoilt_pause();
-        self.whole_at = Some(now + pause);
+        (self.notified_at, self.last_change_notified_at) = (None, None);
+        (self.is_silent, self.next_call_due) = (false, None);
+        let pause = self.unreadable_pause();
+        self.full_list_at = Some(now + pause);
         if self.version.is_none() {
             self.pause_until = now + pause;
         }
     }
 
-    /// Time until the whole list is asked for once more, doubled from the first to the last.
-    fn spoilt_pause(&mut self) -> f64 {
-        let pause = SPOILT_MS * f64::from(1_u32 << self.spoilt.min(12));
-        self.spoilt = self.spoilt.saturating_add(1);
-        self.draw(pause.min(LAST_SPOILT_MS))
+    /// Returns the time until the next request for the full list; it doubles up to the longest pause.
+    fn unreadable_pause(&mut self) -> f64 {
+        let pause = UNREADABLE_PAUSE_MS * f64::from(1_u32 << self.unreadable_lists.min(12));
+        self.unreadable_lists = self.unreadable_lists.saturating_add(1);
+        self.jitter(pause.min(MAX_UNREADABLE_PAUSE_MS))
     }
 
-    /// A call failed, or its time is over. True: the decisions pace what follows, and have to be told.
+    /// Handles a call that failed or timed out. Returns true if the policy paces the next call and must be
+    /// told of the failure.
     pub fn failed(&mut self, now: f64, call: &ListCall) -> bool {
-        let heard = !std::mem::replace(&mut self.unheard, true);
-        self.proven = 0;
-        if let (ListRequest::Changes { wait_ms, .. }, None) = (call.request, self.due)
-            && heard
-            && now - call.begun >= wait_ms as f64
+        let was_responsive = !std::mem::replace(&mut self.is_silent, true);
+        self.answered_watches = 0;
+        if let (ListRequest::Changes { wait_ms, .. }, None) = (call.request, self.notified_at)
+            && was_responsive
+            && now - call.started_at >= wait_ms as f64
         {
-            // Its wait was over with no answer, whatever ended it then: it may have been silent from its first moment.
-            self.due = Some(call.begun + SILENT_MS.max(wait_ms as f64 + AFTER_WAIT_MS));
-            self.vain = 0;
+            // The wait had passed without a response, whatever ended the call: the watch may have been silent
+            // from the start.
+            self.notified_at = Some(
+                call.started_at + SILENT_WATCH_DEADLINE_MS.max(wait_ms as f64 + AFTER_WAIT_DEADLINE_MS),
+            );
+            self.unproductive = 0;
             return false;
         }
-        if self.due.is_some_and(|due| now >= due) {
-            self.due = self.last_move_due.take().filter(|due| now < *due);
+        if self.notified_at.is_some_and(|notified_at| now >= notified_at) {
+            self.notified_at = self.last_change_notified_at.take().filter(|notified_at| now < *notified_at);
         }
-        if self.how == Discovery::Pushed {
-            // Whoever answers next may count anew, and here the whole list costs nothing.
+        if self.mode == Discovery::Pushed {
+            // The service that answers next may number its versions differently, and in pushed mode a full
+            // list is cheap.
             self.version = None;
-        } else if self.due.is_none() {
-            // Each call costs the one service of all nodes.
-            self.wanted = false;
-            self.vain = 0;
-            // The drawn part keeps nodes out of step that failed together.
-            self.again_at = Some(call.begun + ROUND_MS * 0.5 + self.draw(ROUND_MS * 0.5));
+        } else if self.notified_at.is_none() {
+            // Each call loads the one service of all nodes.
+            self.is_wanted = false;
+            self.unproductive = 0;
+            // The random part spreads the calls of nodes that failed together.
+            self.next_call_due =
+                Some(call.started_at + MAX_ROUND_MS * 0.5 + self.jitter(MAX_ROUND_MS * 0.5));
             return true;
         }
-        self.rest(now);
+        self.back_off(now);
         false
     }
 
-    fn rest(&mut self, now: f64) {
-        let first = if self.how == Discovery::Pushed { FIRST_PAUSE_MS } else { ASKED_PAUSE_MS };
-        // Where news is about to count as told, time has to be left for the call after this pause.
-        let longest = if self.how == Discovery::Pushed { self.parallel_interval_ms } else { LAST_PAUSE_MS };
-        let last = self.due.map_or(longest, |due| longest.min((due - now) / 4.0));
-        let pause = (first * f64::from(1_u32 << self.vain.min(12))).min(last);
-        self.vain = self.vain.saturating_add(1);
-        self.pause_until = now + self.draw(pause);
+    fn back_off(&mut self, now: f64) {
+        let first = if self.mode == Discovery::Pushed { FIRST_PAUSE_MS } else { FIRST_ON_REQUEST_PAUSE_MS };
+        // Before a notification deadline the pause must leave time for the next call.
+        let longest = if self.mode == Discovery::Pushed { self.parallel_interval_ms } else { MAX_PAUSE_MS };
+        let last = self.notified_at.map_or(longest, |notified_at| longest.min((notified_at - now) / 4.0));
+        let pause = (first * f64::from(1_u32 << self.unproductive.min(12))).min(last);
+        self.unproductive = self.unproductive.saturating_add(1);
+        self.pause_until = now + self.jitter(pause);
     }
 
-    /// Nodes that heard the same thing must not go on in step.
-    fn draw(&mut self, most: f64) -> f64 {
-        most * (0.5 + 0.5 * self.rng.f64())
+    /// Returns a random time between half of `max_ms` and `max_ms`, so that nodes that saw the same event do
+    /// not act in step.
+    fn jitter(&mut self, max_ms: f64) -> f64 {
+        max_ms * (0.5 + 0.5 * self.rng.f64())
     }
 }
 
-fn longest_wait(how: Discovery, must_ask_in_ms: f64) -> f64 {
-    match how {
-        Discovery::Pushed => PUSHED_WAIT_MS,
-        Discovery::OnRequest => must_ask_in_ms.clamp(LEAST_WAIT_MS, MOST_WAIT_MS),
+fn max_wait_ms(mode: Discovery, must_ask_in_ms: f64) -> f64 {
+    match mode {
+        Discovery::Pushed => MAX_PUSHED_WAIT_MS,
+        Discovery::OnRequest => must_ask_in_ms.clamp(MIN_WAIT_MS, MAX_WAIT_MS),
     }
 }
