--- a/src/control/datagram.rs
+++ b/src/control/datagram.rs
@@ -204,18 +204,18 @@
             out.put_u8(u8::from(*up));
             out.put_u32(*wave);
         }
-        Body::MembershipCheck(Message::Ping(wanted_by)) => {
+        Body::MembershipCheck(Message::Ping(requester)) => {
             out.put_u8(1);
-            out.put_u16(*wanted_by);
+            out.put_u16(*requester);
         }
-        Body::MembershipCheck(Message::PingFor(target)) => {
+        Body::MembershipCheck(Message::PingRequest(target)) => {
             out.put_u8(2);
             out.put_u16(*target);
         }
-        Body::MembershipCheck(Message::Ack { about, state, wanted_by }) => {
+        Body::MembershipCheck(Message::Ack { subject, state, requester }) => {
             out.put_u8(3);
-            out.put_u16(*about);
-            out.put_u16(*wanted_by);
+            out.put_u16(*subject);
+            out.put_u16(*requester);
             put_life(&mut out, state);
         }
         Body::Comparison { first, classes, words } => {
@@ -344,10 +344,10 @@
             5 => Body::Resend { up: self.u8()? == 1, wave: self.u32()? },
             6 => Body::MembershipCheck(match self.u8()? {
                 1 => Message::Ping(self.u16()?),
-                2 => Message::PingFor(self.u16()?),
+                2 => Message::PingRequest(self.u16()?),
                 3 => {
-                    let (about, wanted_by) = (self.u16()?, self.u16()?);
-                    Message::Ack { about, state: self.state()?, wanted_by }
+                    let (subject, requester) = (self.u16()?, self.u16()?);
+                    Message::Ack { subject, state: self.state()?, requester }
                 }
                 _ => return None,
             }),
@@ -422,8 +422,8 @@
             Body::Ack(6),
             Body::Resend { up: true, wave: 8 },
             Body::MembershipCheck(Message::Ping(3)),
-            Body::MembershipCheck(Message::PingFor(4)),
-            Body::MembershipCheck(Message::Ack { about: 3, state, wanted_by: 9 }),
+            Body::MembershipCheck(Message::PingRequest(4)),
+            Body::MembershipCheck(Message::Ack { subject: 3, state, requester: 9 }),
         ];
         all.extend([0, 1, 3, 4, 5, 800].map(|n| {
             let classes = (0..n).map(|i| (i % 3) as u8).collect();
--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -345,7 +345,7 @@
     pub fn share_within_quota(&self, now: Ms, tenant: u32, quota: f64) -> Option<f64> {
         let (totals, _) = self.totals(now)?;
         let asked = f64::from(totals.rate(tenant)?);
-        let parties = self.members.parties(now, HOLD_MS).max(usize::from(totals.counted)).max(1);
+        let parties = self.members.quota_holders(now, HOLD_MS).max(usize::from(totals.counted)).max(1);
         let ours = quota * f64::from(totals.counted) / parties as f64;
         (asked > 0.0 && quota > 0.0).then(|| (ours / asked).min(1.0))
     }
@@ -435,7 +435,7 @@
         self.lines.retain(|n, _| neighbours.contains(n));
         let mut outputs = Vec::new();
         if let Some(parent) = self.parent.filter(|p| before.0.is_some_and(|b| b != *p)) {
-            self.members.meet(now, parent, &mut outputs);
+            self.members.check_now(now, parent, &mut outputs);
             // And it hears at once what is counted here.
             self.up_at = self.up_at.min(now + self.rng.u64(20..120));
         }
@@ -456,12 +456,12 @@
                 Output::Send(to, message) => {
                     self.send(now, to, &Body::MembershipCheck(message), &[], out);
                 }
-                Output::Spread(node) => {
-                    if !self.members.flaps(node) {
+                Output::Disseminate(node) => {
+                    if !self.members.is_flapping(node) {
                         self.spread(now, &News::Member(node), but);
                     }
                 }
-                Output::Remind(node) => {
+                Output::Notify(node) => {
                     let known = self.members.state(node);
                     let items: Vec<Update> = known.map(|l| Update::Member(node, l)).into_iter().collect();
                     self.send(
@@ -611,7 +611,7 @@
 
     fn digests(&mut self) -> [u32; 2] {
         if self.digest.0 != self.members.version() {
-            let classes = self.members.classes(0, self.members.count());
+            let classes = self.members.presence_codes(0, self.members.count());
             self.digest = (self.members.version(), crc32fast::hash(&classes));
         }
         [self.digest.1, self.shared.digest()]
@@ -746,7 +746,7 @@
         self.counts.received += 1;
         let was = self.members.state(from).map(|l| l.status);
         let mut outputs = Vec::new();
-        self.members.heard(now, from, head.state, &mut outputs);
+        self.members.heard_from(now, from, head.state, &mut outputs);
         self.carry_out(now, outputs, Some(from), out);
         for item in items {
             self.learn(now, from, item, out);
@@ -763,7 +763,7 @@
         match item {
             Update::Member(node, state) => {
                 let (draw, mut outputs) = (self.rng.u64(..), Vec::new());
-                let news = self.members.told(now, node, state, draw, &mut outputs);
+                let news = self.members.apply_update(now, node, state, draw, &mut outputs);
                 self.carry_out(now, outputs, Some(from), out);
                 let known = self.members.state(node);
                 if !news
@@ -817,7 +817,7 @@
         let count = self.members.count();
         let first = if count > COMPARED { self.rng.usize(..=count - COMPARED) } else { 0 };
         let first = NodeId::try_from(first).unwrap_or(0);
-        let classes = self.members.classes(first, COMPARED);
+        let classes = self.members.presence_codes(first, COMPARED);
         let words = self.shared.digest();
         self.send(now, with, &Body::Comparison { first, classes, words }, &[], out);
     }
@@ -882,7 +882,7 @@
             }
             Body::MembershipCheck(message) => {
                 let mut outputs = Vec::new();
-                self.members.asked(now, from, message, &mut outputs);
+                self.members.handle_message(now, from, message, &mut outputs);
                 self.carry_out(now, outputs, Some(from), out);
             }
             Body::Comparison { first, classes, words } => {
@@ -928,7 +928,7 @@
         words: u32,
         out: &mut Vec<Action>,
     ) {
-        let own = self.members.classes(first, classes.len());
+        let own = self.members.presence_codes(first, classes.len());
         let unlike = own.iter().zip(classes).zip(first..).filter(|((a, b), _)| a != b).map(|(_, n)| n);
         let known = unlike.filter_map(|n| Some((n, self.members.state(n)?)));
         // Of one that was never heard here there is nothing to tell but that it is gone.
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -144,7 +144,7 @@
     }
 
     fn agree(&self) -> bool {
-        let classes = |f: &Gossip| f.members().classes(0, f.members().count());
+        let classes = |f: &Gossip| f.members().presence_codes(0, f.members().count());
         let mut all = self.nodes.iter().flatten().map(classes);
         let first = all.next();
         all.all(|c| Some(&c) == first.as_ref())
--- a/tests/members_model.rs
+++ b/tests/members_model.rs
@@ -64,8 +64,8 @@
         for output in outputs {
             let (to, what): (Vec<NodeId>, What) = match output {
                 Output::Send(to, message) => (vec![to], What::Check(message)),
-                Output::Spread(who) | Output::Remind(who) => {
-                    let to = if matches!(output, Output::Remind(_)) { vec![who] } else { others.clone() };
+                Output::Disseminate(who) | Output::Notify(who) => {
+                    let to = if matches!(output, Output::Notify(_)) { vec![who] } else { others.clone() };
                     (to, What::News(who, node.state(who).unwrap()))
                 }
             };
@@ -95,11 +95,11 @@
         for Letter { from, to, life, what } in letters {
             let mut out = Vec::new();
             let Some(Some(node)) = self.nodes.get_mut(usize::from(to)) else { continue };
-            node.heard(now, from, life, &mut out);
+            node.heard_from(now, from, life, &mut out);
             match what {
-                What::Check(message) => node.asked(now, from, message, &mut out),
+                What::Check(message) => node.handle_message(now, from, message, &mut out),
                 What::News(who, life) => {
-                    node.told(now, who, life, 0, &mut out);
+                    node.apply_update(now, who, life, 0, &mut out);
                 }
                 What::Hello => {}
             }
