--- a/src/control/datagram.rs
+++ b/src/control/datagram.rs
@@ -1,108 +1,111 @@
-//! Datagrams between nodes: at most 256 bytes, checksummed, each with its sender's life and a running number. What
-//! is cut, of another version, spoilt or absurd is refused whole.
+//! Gossip datagrams between nodes: at most 256 bytes, with a checksum, the sender's membership state and a
+//! sequence number. A datagram that is truncated, corrupt, of another version or out of range is rejected as
+//! a whole.
 
 use super::membership::{MemberState, Message, Ms, NodeId, Status};
 use super::shared_state::{KeyLocation, MAX_TENANTS, OperatorOrder, TenantTotals, Verdict};
 use bytes::{Buf, BufMut};
 use thiserror::Error;
 
-/// A longer datagram breaks the deployment's rules.
+/// Maximum length of a datagram that the deployment's rules allow.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// First byte; what nodes tell each other of backends (`src/news.rs`) begins with a small number.
+/// First byte. Messages about backends (`src/peer_message.rs`) begin with a small number instead.
 const MAGIC: u8 = 0xd1;
-/// Of the form that is told here.
+/// Version of the format.
 const VERSION: u8 = 1;
-/// Bytes before the body: magic, version, kind, status, sender, incarnation, beat, number, checksum.
-const HEAD: usize = 4 + 2 + 4 + 4 + 4 + 4;
-/// A server's name in an operator's word is no longer.
+/// Length of the header: magic, version, kind, status, sender, incarnation, heartbeat, sequence number,
+/// checksum.
+const HEADER_BYTES: usize = 4 + 2 + 4 + 4 + 4 + 4;
+/// Maximum length of the name of a server or zone in an operator's order.
 pub const MAX_NAME_BYTES: usize = 64;
-/// An age beyond this is told as this.
-const OLDEST: Ms = 65_535;
+/// Ages are sent as 16-bit numbers; older ones are sent as this.
+const MAX_AGE_MS: Ms = 65_535;
 
-/// Why a datagram is refused.
+/// Reason for which a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DatagramError {
-    /// It is none of these.
-    #[error("not a datagram of the fleet's")]
+    /// The datagram does not begin like a gossip datagram.
+    #[error("not a gossip datagram")]
     Unknown,
-    /// Of a version that this build does not speak.
-    #[error("of version {0}")]
+    /// The datagram has a version that this build does not support.
+    #[error("unsupported version {0}")]
     Version(u8),
-    /// Cut, or spoilt.
-    #[error("cut or spoilt")]
+    /// The datagram is truncated, has a wrong checksum, or contains an invalid value.
+    #[error("truncated or corrupt")]
     Corrupt,
 }
 
-/// Who sends, how it lives, and which of its datagrams this is.
+/// Header of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Its number.
+    /// The sender's number.
     pub from: NodeId,
-    /// What it says of itself.
+    /// The sender's state, as it reports it itself.
     pub state: MemberState,
-    /// Counts its datagrams since its start.
+    /// Sequence number of the datagram since the sender's start.
     pub number: u32,
 }
 
-/// A piece of news.
+/// An update that a datagram carries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// How a member fares.
+    /// State of a member.
     Member(NodeId, MemberState),
-    /// What a node found of a server, and how old that is.
+    /// A node's verdict on a server, by the server's short ID, and the verdict's age.
     Verdict(u32, NodeId, Verdict, Ms),
-    /// Where a key has gone, and how old that is.
+    /// Location of a key, by the key's short hash, and its age.
     KeyLocation(u32, KeyLocation, Ms),
-    /// An operator's word, and how old it is.
+    /// An operator's order on a server or zone, and its age.
     OperatorOrder(String, OperatorOrder, Ms),
 }
 
-/// What a datagram is about.
+/// Body of a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
-    /// What was counted below the sender, for its parent.
+    /// Totals of the sender and the nodes below it, for its parent.
     TotalsUp {
-        /// Which wave it is for.
+        /// Number of the wave that the totals are for.
         wave: u32,
-        /// The counts.
+        /// The totals.
         totals: TenantTotals,
-        /// Digests of members and words.
+        /// Digests of the members' presence and of the operators' orders.
         digests: [u32; 2],
     },
-    /// What all of them counted, from the root.
+    /// Totals of all nodes, sent down from the root.
     TotalsDown {
-        /// The root, and which of its starts.
+        /// The root's number and incarnation.
         root: (NodeId, u32),
-        /// Counts up there.
+        /// Number of the wave, counted by the root.
         wave: u32,
-        /// How far from the root the sender is.
+        /// The sender's distance from the root.
         depth: u8,
-        /// The counts.
+        /// The totals.
         totals: TenantTotals,
-        /// Digests of members and words.
+        /// Digests of the members' presence and of the operators' orders.
         digests: [u32; 2],
     },
-    /// News that is to be acknowledged.
+    /// Updates to be acknowledged, with the number of this batch.
     Updates(u16),
-    /// It was.
+    /// Acknowledges a batch of updates.
     Ack(u16),
-    /// Say again, please: `up`, what you counted; else a wave after that one.
+    /// Asks the receiver to send totals again: those for its parent if `up` is set, otherwise those of a wave
+    /// after `wave`.
     Resend {
-        /// Which of them.
+        /// True for a child's totals, false for the root's.
         up: bool,
-        /// The wave that is known.
+        /// Latest wave that the sender knows.
         wave: u32,
     },
-    /// A question of membership, or its answer.
+    /// A membership message.
     MembershipCheck(Message),
-    /// Statuses of members from `first` on, two bits each.
+    /// Presence codes of the members from `first` on, two bits each, for comparison with the receiver's.
     Comparison {
-        /// The first one.
+        /// First member.
         first: NodeId,
-        /// 0 there, 1 gone, 2 left.
-        classes: Vec<u8>,
-        /// Digest of the words.
-        words: u32,
+        /// Presence codes: 0 present, 1 dead, 2 left.
+        presence_codes: Vec<u8>,
+        /// Digest of the operators' orders.
+        orders_digest: u32,
     },
 }
 
@@ -120,10 +123,10 @@
     }
 }
 
-/// Members that one comparison tells of.
-pub const COMPARED: usize = 800;
+/// Maximum number of members in one comparison.
+pub const MAX_COMPARED_MEMBERS: usize = 800;
 
-fn put_life(out: &mut Vec<u8>, state: &MemberState) {
+fn put_state(out: &mut Vec<u8>, state: &MemberState) {
     out.put_u32(state.incarnation);
     out.put_u32(state.heartbeat);
     out.put_u8(state.status as u8);
@@ -131,7 +134,7 @@
 
 fn put_totals(out: &mut Vec<u8>, totals: &TenantTotals, digests: [u32; 2]) {
     out.put_u16(totals.counted);
-    out.put_u16(totals.age.min(OLDEST) as u16);
+    out.put_u16(totals.age.min(MAX_AGE_MS) as u16);
     digests.iter().for_each(|d| out.put_u32(*d));
     out.put_u8(totals.tenants.len().min(MAX_TENANTS) as u8);
     for (tenant, rate) in totals.tenants.iter().take(MAX_TENANTS) {
@@ -141,51 +144,52 @@
 }
 
 impl Update {
-    fn put(&self, out: &mut Vec<u8>) {
+    fn encode(&self, out: &mut Vec<u8>) {
         match self {
             Update::Member(node, state) => {
                 out.put_u8(1);
                 out.put_u16(*node);
-                put_life(out, state);
+                put_state(out, state);
             }
-            Update::Verdict(server, node, f, age) => {
-                out.put_u8(if f.failing { 2 } else { 3 });
+            Update::Verdict(server, node, verdict, age) => {
+                out.put_u8(if verdict.failing { 2 } else { 3 });
                 out.put_u32(*server);
                 out.put_u16(*node);
-                out.put_u32(f.incarnation);
-                out.put_u16(f.number);
-                out.put_u32(f.start);
-                out.put_u16((*age).min(OLDEST) as u16);
+                out.put_u32(verdict.incarnation);
+                out.put_u16(verdict.number);
+                out.put_u32(verdict.start);
+                out.put_u16((*age).min(MAX_AGE_MS) as u16);
             }
-            Update::KeyLocation(key, place, age) => {
+            Update::KeyLocation(key, location, age) => {
                 out.put_u8(4);
                 out.put_u32(*key);
-                out.put_u32(place.number);
-                out.put_u16(place.node);
-                out.put_u32(place.server);
-                out.put_u16((*age).min(OLDEST) as u16);
+                out.put_u32(location.number);
+                out.put_u16(location.node);
+                out.put_u32(location.server);
+                out.put_u16((*age).min(MAX_AGE_MS) as u16);
             }
-            Update::OperatorOrder(server, word, age) => {
-                out.put_u8(if word.cordoned { 5 } else { 6 });
-                out.put_u32(word.number);
-                out.put_u16(word.node);
-                out.put_u32(word.for_s);
+            Update::OperatorOrder(subject, order, age) => {
+                out.put_u8(if order.cordoned { 5 } else { 6 });
+                out.put_u32(order.number);
+                out.put_u16(order.node);
+                out.put_u32(order.for_s);
                 out.put_u32(u32::try_from(*age / 1000).unwrap_or(u32::MAX));
-                out.put_u8(server.len() as u8);
-                out.put_slice(server.as_bytes());
+                out.put_u8(subject.len() as u8);
+                out.put_slice(subject.as_bytes());
             }
         }
     }
 }
 
-/// Writes a datagram with as many of the items, in their order, as there is room for; and says how many that were.
-pub fn encode(head: &Header, body: &Body, items: &[Update]) -> (Vec<u8>, usize) {
+/// Encodes a datagram with as many of the updates, in their order, as fit. Returns the bytes and the number
+/// of updates written.
+pub fn encode(header: &Header, body: &Body, updates: &[Update]) -> (Vec<u8>, usize) {
     let mut out = Vec::with_capacity(MAX_DATAGRAM_BYTES);
-    out.put_slice(&[MAGIC, VERSION, body.kind(), head.state.status as u8]);
-    out.put_u16(head.from);
-    out.put_u32(head.state.incarnation);
-    out.put_u32(head.state.heartbeat);
-    out.put_u32(head.number);
+    out.put_slice(&[MAGIC, VERSION, body.kind(), header.state.status as u8]);
+    out.put_u16(header.from);
+    out.put_u32(header.state.incarnation);
+    out.put_u32(header.state.heartbeat);
+    out.put_u32(header.number);
     out.put_u32(0);
     match body {
         Body::TotalsUp { wave, totals, digests } => {
@@ -216,22 +220,23 @@
             out.put_u8(3);
             out.put_u16(*subject);
             out.put_u16(*requester);
-            put_life(&mut out, state);
+            put_state(&mut out, state);
         }
-        Body::Comparison { first, classes, words } => {
-            let classes = classes.get(..classes.len().min(COMPARED)).unwrap_or_default();
+        Body::Comparison { first, presence_codes, orders_digest } => {
+            let presence_codes =
+                presence_codes.get(..presence_codes.len().min(MAX_COMPARED_MEMBERS)).unwrap_or_default();
             out.put_u16(*first);
-            out.put_u16(classes.len() as u16);
-            out.put_u32(*words);
-            for four in classes.chunks(4) {
-                out.put_u8(four.iter().rev().fold(0, |byte, class| byte << 2 | (class & 3)));
+            out.put_u16(presence_codes.len() as u16);
+            out.put_u32(*orders_digest);
+            for codes in presence_codes.chunks(4) {
+                out.put_u8(codes.iter().rev().fold(0, |byte, code| byte << 2 | (code & 3)));
             }
         }
     }
     let mut written = 0;
-    for item in items {
+    for update in updates {
         let before = out.len();
-        item.put(&mut out);
+        update.encode(&mut out);
         if out.len() > MAX_DATAGRAM_BYTES {
             out.truncate(before);
             break;
@@ -239,21 +244,21 @@
         written += 1;
     }
     let sum = checksum(&out);
-    if let Some(place) = out.get_mut(HEAD - 4..HEAD) {
-        place.copy_from_slice(&sum.to_be_bytes());
+    if let Some(field) = out.get_mut(HEADER_BYTES - 4..HEADER_BYTES) {
+        field.copy_from_slice(&sum.to_be_bytes());
     }
     (out, written)
 }
 
-/// Of all but its own four bytes.
+/// Returns the checksum of all bytes but the checksum's own four.
 fn checksum(bytes: &[u8]) -> u32 {
     let mut hash = crc32fast::Hasher::new();
-    hash.update(bytes.get(..HEAD - 4).unwrap_or_default());
-    hash.update(bytes.get(HEAD..).unwrap_or_default());
+    hash.update(bytes.get(..HEADER_BYTES - 4).unwrap_or_default());
+    hash.update(bytes.get(HEADER_BYTES..).unwrap_or_default());
     hash.finalize()
 }
 
-/// Reads what a writer put; every step says none where there is nothing left.
+/// Reads the fields of a datagram. Every method returns none if too few bytes are left or a value is invalid.
 struct Reader<'a>(&'a [u8]);
 
 impl Reader<'_> {
@@ -283,8 +288,8 @@
         let mut tenants = Vec::new();
         for _ in 0..self.u8()? {
             let (tenant, rate) = (self.u32()?, self.0.try_get_f32().ok()?);
-            let rises = tenants.last().is_none_or(|(last, _)| *last < tenant);
-            if !rate.is_finite() || rate < 0.0 || !rises || tenants.len() >= MAX_TENANTS {
+            let is_ascending = tenants.last().is_none_or(|(last, _)| *last < tenant);
+            if !rate.is_finite() || rate < 0.0 || !is_ascending || tenants.len() >= MAX_TENANTS {
                 return None;
             }
             tenants.push((tenant, rate));
@@ -292,36 +297,36 @@
         Some((TenantTotals { tenants, counted, age }, digests))
     }
 
-    fn item(&mut self) -> Option<Update> {
+    fn update(&mut self) -> Option<Update> {
         Some(match self.u8()? {
             1 => Update::Member(self.u16()?, self.state()?),
             kind @ (2 | 3) => {
                 let (server, node) = (self.u32()?, self.u16()?);
-                let finding = Verdict {
+                let verdict = Verdict {
                     incarnation: self.u32()?,
                     number: self.u16()?,
                     start: self.u32()?,
                     failing: kind == 2,
                 };
-                Update::Verdict(server, node, finding, Ms::from(self.u16()?))
+                Update::Verdict(server, node, verdict, Ms::from(self.u16()?))
             }
             4 => {
                 let key = self.u32()?;
-                let place = KeyLocation { number: self.u32()?, node: self.u16()?, server: self.u32()? };
-                Update::KeyLocation(key, place, Ms::from(self.u16()?))
+                let location = KeyLocation { number: self.u32()?, node: self.u16()?, server: self.u32()? };
+                Update::KeyLocation(key, location, Ms::from(self.u16()?))
             }
             kind @ (5 | 6) => {
-                let word = OperatorOrder {
+                let order = OperatorOrder {
                     number: self.u32()?,
                     node: self.u16()?,
                     cordoned: kind == 5,
                     for_s: self.u32()?,
                 };
                 let (age, length) = (Ms::from(self.u32()?) * 1000, usize::from(self.u8()?));
-                let name = self.0.get(..length).filter(|_| (1..=MAX_NAME_BYTES).contains(&length))?;
-                let name = std::str::from_utf8(name).ok()?.to_owned();
+                let subject = self.0.get(..length).filter(|_| (1..=MAX_NAME_BYTES).contains(&length))?;
+                let subject = std::str::from_utf8(subject).ok()?.to_owned();
                 self.0.advance(length);
-                Update::OperatorOrder(name, word, age)
+                Update::OperatorOrder(subject, order, age)
             }
             _ => return None,
         })
@@ -352,48 +357,52 @@
                 _ => return None,
             }),
             7 => {
-                let (first, count, words) = (self.u16()?, usize::from(self.u16()?), self.u32()?);
-                let mut classes = Vec::new();
-                while classes.len() < count.min(COMPARED) {
+                let (first, count, orders_digest) = (self.u16()?, usize::from(self.u16()?), self.u32()?);
+                let mut presence_codes = Vec::new();
+                while presence_codes.len() < count.min(MAX_COMPARED_MEMBERS) {
                     let byte = self.u8()?;
-                    classes.extend([0, 2, 4, 6].map(|shift| byte >> shift & 3));
+                    presence_codes.extend([0, 2, 4, 6].map(|shift| byte >> shift & 3));
                 }
-                classes.truncate(count);
-                Body::Comparison { first, classes, words }
+                presence_codes.truncate(count);
+                Body::Comparison { first, presence_codes, orders_digest }
             }
             _ => return None,
         })
     }
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// It is none, or not whole.
+///
+/// [`DatagramError::Unknown`] if the first byte is not that of a gossip datagram, [`DatagramError::Version`]
+/// if the version is not supported, [`DatagramError::Corrupt`] if the datagram is too long, truncated, has a
+/// wrong checksum or contains an invalid value.
 pub fn decode(bytes: &[u8]) -> Result<(Header, Body, Vec<Update>), DatagramError> {
     let &[MAGIC, version, kind, ..] = bytes else { return Err(DatagramError::Unknown) };
     if version != VERSION {
         return Err(DatagramError::Version(version));
     }
-    let sum = bytes.get(HEAD - 4..HEAD).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
+    let sum =
+        bytes.get(HEADER_BYTES - 4..HEADER_BYTES).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
     if bytes.len() > MAX_DATAGRAM_BYTES || sum != Some(checksum(bytes)) {
         return Err(DatagramError::Corrupt);
     }
     let mut reader = Reader(bytes.get(3..).unwrap_or_default());
-    let whole = |reader: &mut Reader| {
+    let read_fields = |reader: &mut Reader| {
         let status = reader.status()?;
         let from = reader.u16()?;
         let state = MemberState { incarnation: reader.u32()?, heartbeat: reader.u32()?, status };
-        let head = Header { from, state, number: reader.u32()? };
+        let header = Header { from, state, number: reader.u32()? };
         reader.u32()?;
         let body = reader.body(kind)?;
-        let mut items = Vec::new();
+        let mut updates = Vec::new();
         while !reader.0.is_empty() {
-            items.push(reader.item()?);
+            updates.push(reader.update()?);
         }
-        Some((head, body, items))
+        Some((header, body, updates))
     };
-    whole(&mut reader).ok_or(DatagramError::Corrupt)
+    read_fields(&mut reader).ok_or(DatagramError::Corrupt)
 }
 
 #[cfg(test)]
@@ -401,7 +410,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn head() -> Header {
+    fn header() -> Header {
         Header {
             from: 7,
             state: MemberState { incarnation: 3, heartbeat: 900, status: Status::Alive },
@@ -414,7 +423,7 @@
     }
 
     fn bodies() -> Vec<Body> {
-        let state = head().state;
+        let state = header().state;
         let mut all = vec![
             Body::TotalsUp { wave: 9, totals: totals(), digests: [1, 2] },
             Body::TotalsDown { root: (0, 5), wave: 9, depth: 2, totals: totals(), digests: [1, 2] },
@@ -426,17 +435,17 @@
             Body::MembershipCheck(Message::Ack { subject: 3, state, requester: 9 }),
         ];
         all.extend([0, 1, 3, 4, 5, 800].map(|n| {
-            let classes = (0..n).map(|i| (i % 3) as u8).collect();
-            Body::Comparison { first: 40, classes, words: 99 }
+            let presence_codes = (0..n).map(|i| (i % 3) as u8).collect();
+            Body::Comparison { first: 40, presence_codes, orders_digest: 99 }
         }));
         all
     }
 
-    fn items() -> Vec<Update> {
-        let finding = Verdict { incarnation: 4, number: 65_535, start: 9, failing: true };
+    fn updates() -> Vec<Update> {
+        let verdict = Verdict { incarnation: 4, number: 65_535, start: 9, failing: true };
         vec![
             Update::Member(8, MemberState { incarnation: 1, heartbeat: 2, status: Status::Dead }),
-            Update::Verdict(77, 8, finding, 1234),
+            Update::Verdict(77, 8, verdict, 1234),
             Update::KeyLocation(5, KeyLocation { number: 1, node: 2, server: 3 }, 40),
             Update::OperatorOrder(
                 "s-1".to_owned(),
@@ -447,26 +456,27 @@
     }
 
     #[test]
-    fn a_datagram_is_read_as_it_was_written_and_holds_what_fits() {
+    fn an_encoded_datagram_decodes_to_itself_and_holds_the_updates_that_fit() {
         for body in bodies() {
-            let many: Vec<Update> = items().into_iter().cycle().take(40).collect();
-            let (bytes, written) = encode(&head(), &body, &many);
+            let many: Vec<Update> = updates().into_iter().cycle().take(40).collect();
+            let (bytes, written) = encode(&header(), &body, &many);
             assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{body:?}");
-            let full = matches!(body, Body::Comparison { ref classes, .. } if classes.len() == 800);
+            let full =
+                matches!(body, Body::Comparison { ref presence_codes, .. } if presence_codes.len() == 800);
             assert!(full || written >= 4, "{body:?} left room for {written}");
-            assert_eq!(decode(&bytes), Ok((head(), body, many[..written].to_vec())));
+            assert_eq!(decode(&bytes), Ok((header(), body, many[..written].to_vec())));
         }
     }
 
     #[test]
-    fn what_is_cut_spoilt_or_of_another_version_is_refused() {
+    fn truncated_corrupt_and_other_version_datagrams_are_rejected() {
         for body in bodies() {
-            let (bytes, _) = encode(&head(), &body, &items());
+            let (bytes, _) = encode(&header(), &body, &updates());
             for n in 0..bytes.len() {
                 assert!(decode(&bytes[..n]).is_err());
-                let mut spoilt = bytes.clone();
-                spoilt[n] ^= 0x10;
-                assert!(decode(&spoilt).is_err(), "byte {n} of {body:?}");
+                let mut corrupt = bytes.clone();
+                corrupt[n] ^= 0x10;
+                assert!(decode(&corrupt).is_err(), "byte {n} of {body:?}");
             }
             let longer = [&bytes[..], &[0]].concat();
             assert!(decode(&longer).is_err());
@@ -477,15 +487,15 @@
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
-        /// With a right checksum, too, nothing that is read can stop the reader.
+        /// No bytes make the decoder panic, even with a correct checksum.
         #[test]
-        fn no_bytes_stop_the_reader(mut bytes in prop::collection::vec(any::<u8>(), HEAD..MAX_DATAGRAM_BYTES + 10), kind in 0_u8..9) {
+        fn no_bytes_make_the_decoder_panic(mut bytes in prop::collection::vec(any::<u8>(), HEADER_BYTES..MAX_DATAGRAM_BYTES + 10), kind in 0_u8..9) {
             (bytes[0], bytes[1], bytes[2]) = (MAGIC, VERSION, kind);
             let sum = checksum(&bytes);
-            bytes[HEAD - 4..HEAD].copy_from_slice(&sum.to_be_bytes());
-            if let Ok((head, body, items)) = decode(&bytes) {
-                let (again, written) = encode(&head, &body, &items);
-                prop_assert!(written <= items.len() && again.len() <= MAX_DATAGRAM_BYTES);
+            bytes[HEADER_BYTES - 4..HEADER_BYTES].copy_from_slice(&sum.to_be_bytes());
+            if let Ok((header, body, updates)) = decode(&bytes) {
+                let (again, written) = encode(&header, &body, &updates);
+                prop_assert!(written <= updates.len() && again.len() <= MAX_DATAGRAM_BYTES);
             }
         }
     }
--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -6,7 +6,7 @@
 //! on at once, and reports shortly before the next, its children a little earlier, so that what the root tells is
 //! half a second old and not a period for each level. What is missing is asked for again within that half second.
 
-use super::datagram::{self, Body, COMPARED, DatagramError, Header, MAX_NAME_BYTES, Update};
+use super::datagram::{self, Body, DatagramError, Header, MAX_COMPARED_MEMBERS, MAX_NAME_BYTES, Update};
 use super::membership::{MemberState, Membership, Message, Ms, NodeId, Output, Status};
 use super::shared_state::{SharedState, TenantTotals, Verdict};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -815,11 +815,12 @@
 
     fn compare(&mut self, now: Ms, with: NodeId, out: &mut Vec<Action>) {
         let count = self.members.count();
-        let first = if count > COMPARED { self.rng.usize(..=count - COMPARED) } else { 0 };
+        let first =
+            if count > MAX_COMPARED_MEMBERS { self.rng.usize(..=count - MAX_COMPARED_MEMBERS) } else { 0 };
         let first = NodeId::try_from(first).unwrap_or(0);
-        let classes = self.members.presence_codes(first, COMPARED);
-        let words = self.shared.digest();
-        self.send(now, with, &Body::Comparison { first, classes, words }, &[], out);
+        let presence_codes = self.members.presence_codes(first, MAX_COMPARED_MEMBERS);
+        let orders_digest = self.shared.digest();
+        self.send(now, with, &Body::Comparison { first, presence_codes, orders_digest }, &[], out);
     }
 
     fn take(&mut self, now: Ms, from: NodeId, body: Body, out: &mut Vec<Action>) {
@@ -885,8 +886,8 @@
                 self.members.handle_message(now, from, message, &mut outputs);
                 self.carry_out(now, outputs, Some(from), out);
             }
-            Body::Comparison { first, classes, words } => {
-                self.compared(now, from, first, &classes, words, out)
+            Body::Comparison { first, presence_codes, orders_digest } => {
+                self.compared(now, from, first, &presence_codes, orders_digest, out)
             }
         }
     }
@@ -924,12 +925,13 @@
         now: Ms,
         from: NodeId,
         first: NodeId,
-        classes: &[u8],
-        words: u32,
+        presence_codes: &[u8],
+        orders_digest: u32,
         out: &mut Vec<Action>,
     ) {
-        let own = self.members.presence_codes(first, classes.len());
-        let unlike = own.iter().zip(classes).zip(first..).filter(|((a, b), _)| a != b).map(|(_, n)| n);
+        let own = self.members.presence_codes(first, presence_codes.len());
+        let unlike =
+            own.iter().zip(presence_codes).zip(first..).filter(|((a, b), _)| a != b).map(|(_, n)| n);
         let known = unlike.filter_map(|n| Some((n, self.members.state(n)?)));
         // Of one that was never heard here there is nothing to tell but that it is gone.
         let (told, unheard): (Vec<_>, Vec<_>) =
@@ -948,7 +950,7 @@
             items.truncate(DIFFERENCES);
         }
         self.press(now, from, &items, out);
-        if words != self.shared.digest() {
+        if orders_digest != self.shared.digest() {
             self.tell_words(now, from, out);
         }
     }
