--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -365,18 +365,18 @@
                 let own = self.members.local_state(now).incarnation;
                 let finding = Verdict { incarnation: own, number: self.finding, start, failing };
                 let node = self.members.local_id();
-                if self.shared.finding(server, node, finding, now) {
+                if self.shared.merge_verdict(server, node, finding, now) {
                     self.spread(now, &News::Verdict(server, node), None);
                 }
             }
             Event::KeyLocation { key, server } => {
-                if self.shared.put(now, self.members.local_id(), key, server).is_some() {
+                if self.shared.record_location(now, self.members.local_id(), key, server).is_some() {
                     self.spread(now, &News::KeyLocation(key), None);
                 }
             }
             Event::OperatorOrder { subject, cordoned, for_s } => {
                 if !subject.is_empty() && subject.len() <= MAX_NAME_BYTES {
-                    self.shared.say(now, self.members.local_id(), subject, cordoned, for_s);
+                    self.shared.record_order(now, self.members.local_id(), subject, cordoned, for_s);
                     self.spread(now, &News::OperatorOrder(subject.to_owned()), None);
                 }
             }
@@ -517,16 +517,16 @@
         Some(match news {
             News::Member(node) => Update::Member(*node, self.members.state(*node)?),
             News::Verdict(server, node) => {
-                let found = self.shared.found(*server, *node)?;
-                Update::Verdict(*server, *node, found.value, age(found.made))
+                let found = self.shared.verdict(*server, *node)?;
+                Update::Verdict(*server, *node, found.value, age(found.created_at))
             }
             News::KeyLocation(key) => {
-                let place = self.shared.placed(*key)?;
-                Update::KeyLocation(*key, place.value, age(place.made))
+                let place = self.shared.location(*key)?;
+                Update::KeyLocation(*key, place.value, age(place.created_at))
             }
             News::OperatorOrder(server) => {
                 let said = self.shared.operator_order(server)?;
-                Update::OperatorOrder(server.clone(), said.value, age(said.made))
+                Update::OperatorOrder(server.clone(), said.value, age(said.created_at))
             }
         })
     }
@@ -780,7 +780,7 @@
                 if node == self.members.local_id() || usize::from(node) >= self.members.count() {
                     return;
                 }
-                if self.shared.finding(server, node, finding, made) {
+                if self.shared.merge_verdict(server, node, finding, made) {
                     self.spread(now, &News::Verdict(server, node), Some(from));
                     if age <= self.bounds.verdicts_ms {
                         let Verdict { start, failing, .. } = finding;
@@ -790,13 +790,13 @@
             }
             Update::KeyLocation(key, place, age) => {
                 let young = age <= self.bounds.affinity_ms;
-                if young && self.shared.place(key, place, now.saturating_sub(age)) {
+                if young && self.shared.merge_location(key, place, now.saturating_sub(age)) {
                     self.spread(now, &News::KeyLocation(key), Some(from));
                     out.push(Action::KeyLocation { key, server: place.server, age });
                 }
             }
             Update::OperatorOrder(server, word, age) => {
-                if self.shared.word(&server, word, now.saturating_sub(age)) {
+                if self.shared.merge_order(&server, word, now.saturating_sub(age)) {
                     self.spread(now, &News::OperatorOrder(server.clone()), Some(from));
                     out.push(Action::OperatorOrder {
                         subject: server,
@@ -956,7 +956,7 @@
     }
 
     fn tell_words(&mut self, now: Ms, to: NodeId, out: &mut Vec<Action>) {
-        let all: Vec<String> = self.shared.words().map(|w| w.0.to_owned()).collect();
+        let all: Vec<String> = self.shared.orders().map(|w| w.0.to_owned()).collect();
         let items: Vec<Update> =
             all.into_iter().filter_map(|w| self.item(now, &News::OperatorOrder(w))).collect();
         self.press(now, to, &items, out);
--- a/src/control/shared_state.rs
+++ b/src/control/shared_state.rs
@@ -1,36 +1,37 @@
-//! What the nodes of a fleet share: what each tenant asks of all of them, verdicts on servers, where keys have gone,
-//! and operators' words. Each kind may be merged in any order, doubled, lost or late, with the same result, and is
-//! bounded in number and in age. Ages are sums of times that each holder measured itself: no clock of another node is
-//! believed.
+//! State that the nodes of a fleet share: the request rates of tenants summed over all nodes, verdicts on
+//! servers, locations of keys, and operators' orders. Each kind can be merged in any order, repeatedly, late
+//! or with losses, with the same result, and is bounded in number and age. An age is the sum of the times
+//! that each holder measured itself; no other node's clock is trusted.
 
 use super::membership::{Ms, NodeId};
 use std::collections::BTreeMap;
 
-/// Tenants that are told of: those that use most, the first to be dropped those that use least.
+/// Maximum number of tenants in the totals. Those with the lowest rates are dropped first.
 pub const MAX_TENANTS: usize = 12;
-/// Verdicts that are kept: the oldest goes first.
-const VERDICTS: usize = 1024;
-/// Places that are kept, and words: the oldest goes first, words that took something back before others.
-const PLACES: usize = 512;
-const WORDS: usize = 64;
-/// A rate that no node can have, in requests a second.
-const MOST_RPS: f32 = 1e7;
-/// Numbers that jump by more than this are not believed.
-const STEP: u32 = 1 << 16;
-
-/// What tenants ask, summed over some nodes.
+/// Maximum number of verdicts kept; the oldest is dropped first.
+const MAX_VERDICTS: usize = 1024;
+/// Maximum numbers of key locations and operators' orders kept. The oldest is dropped first; orders that put
+/// a server or zone back in use are dropped before others.
+const MAX_KEY_LOCATIONS: usize = 512;
+const MAX_ORDERS: usize = 64;
+/// Highest plausible rate of a node, in requests a second.
+const MAX_RATE_RPS: f32 = 1e7;
+/// Sequence numbers that exceed the last one by more than this are ignored.
+const MAX_NUMBER_STEP: u32 = 1 << 16;
+
+/// Request rates of tenants, summed over some nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantTotals {
-    /// Requests a second, by the tenant's short hash, least hash first.
+    /// Requests a second by the tenant's short hash, in ascending order of the hash.
     pub tenants: Vec<(u32, f32)>,
-    /// Nodes that are counted.
+    /// Number of nodes included.
     pub counted: u16,
-    /// Age of the oldest part of it.
+    /// Age of the oldest part, in milliseconds.
     pub age: Ms,
 }
 
 impl TenantTotals {
-    /// Adds what others counted.
+    /// Adds the totals of other nodes.
     pub fn add(&mut self, other: &TenantTotals) {
         for (tenant, rate) in &other.tenants {
             match self.tenants.binary_search_by_key(tenant, |t| t.0) {
@@ -42,257 +43,277 @@
         self.age = self.age.max(other.age);
     }
 
-    /// Keeps to the tenants that ask most, and to rates that can be.
+    /// Drops implausible rates and all but the tenants with the highest rates.
     pub fn trim(&mut self) {
         self.tenants.retain(|t| t.1.is_finite() && t.1 > 0.0);
-        self.tenants.iter_mut().for_each(|t| t.1 = t.1.min(MOST_RPS));
+        self.tenants.iter_mut().for_each(|t| t.1 = t.1.min(MAX_RATE_RPS));
         while self.tenants.len() > MAX_TENANTS {
-            let least = self.tenants.iter().enumerate().min_by(|a, b| a.1.1.total_cmp(&b.1.1));
-            let Some((least, _)) = least else { return };
-            self.tenants.remove(least);
+            let lowest = self.tenants.iter().enumerate().min_by(|a, b| a.1.1.total_cmp(&b.1.1));
+            let Some((lowest, _)) = lowest else { return };
+            self.tenants.remove(lowest);
         }
     }
 
-    /// What a tenant asks.
+    /// Returns a tenant's rate, in requests a second.
     pub fn rate(&self, tenant: u32) -> Option<f32> {
         self.tenants.binary_search_by_key(&tenant, |t| t.0).ok().map(|n| self.tenants[n].1)
     }
 }
 
-/// What a node found of a server.
+/// A node's verdict on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Verdict {
-    /// Its author's start.
+    /// Incarnation of the node that found it.
     pub incarnation: u32,
-    /// Counts its author's findings.
+    /// Number of this verdict among those of its node.
     pub number: u16,
-    /// Which start of the server: low bits of the list's time.
+    /// Identifies the server's start: the low bits of the listed start time.
     pub start: u32,
-    /// It fails; else it serves again.
+    /// True if the server fails, false if it serves again.
     pub failing: bool,
 }
 
-/// Where a key has gone that its candidates could not take.
+/// Location of a key that none of its candidate servers could take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyLocation {
-    /// Counts up over all nodes: the greater is the later.
+    /// Sequence number over all nodes; the greater one is the later.
     pub number: u32,
-    /// Who found it; breaks ties.
+    /// Node that found it; breaks ties.
     pub node: NodeId,
-    /// The server.
+    /// Short ID of the server.
     pub server: u32,
 }
 
-/// An operator's word on a server that holds for the whole fleet.
+/// An operator's order, on a server or a zone, that holds for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperatorOrder {
-    /// Counts up over all nodes: the greater is the later.
+    /// Sequence number over all nodes; the greater one is the later.
     pub number: u32,
-    /// Who was told; breaks ties.
+    /// Node that received the order; breaks ties.
     pub node: NodeId,
-    /// It is out.
+    /// True if the server or zone is out of use.
     pub cordoned: bool,
-    /// For so many seconds from when it was said; 0 until it is taken back.
+    /// Duration of the order in seconds; 0 means until it is withdrawn.
     pub for_s: u32,
 }
 
-/// A value and when it was made, by this node's clock.
+/// A value and the time at which it was created, by this node's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Aged<T> {
     /// The value.
     pub value: T,
-    /// When.
-    pub made: Ms,
+    /// Time of creation.
+    pub created_at: Ms,
 }
 
-/// Values by key of which the greatest holds.
+/// Values by key, of which the greatest holds.
 #[derive(Clone, Debug)]
 struct LatestByKey<K, T> {
-    all: BTreeMap<K, Aged<T>>,
-    most: usize,
+    values: BTreeMap<K, Aged<T>>,
+    capacity: usize,
 }
 
 impl<K: Ord + Clone, T: Ord + Copy> LatestByKey<K, T> {
-    fn new(most: usize) -> LatestByKey<K, T> {
-        LatestByKey { all: BTreeMap::new(), most }
+    fn new(capacity: usize) -> LatestByKey<K, T> {
+        LatestByKey { values: BTreeMap::new(), capacity }
     }
 
-    /// True: it is news.
-    fn join(&mut self, key: &K, value: T, made: Ms) -> bool {
-        match self.all.get_mut(key) {
+    /// Merges a value. Returns true if it is new.
+    fn merge(&mut self, key: &K, value: T, created_at: Ms) -> bool {
+        match self.values.get_mut(key) {
             Some(known) if known.value >= value => {
-                // The same by another way may be known to be older.
+                // The same value, arriving by another path, may be known to be older.
                 if known.value == value {
-                    known.made = known.made.min(made);
+                    known.created_at = known.created_at.min(created_at);
                 }
                 return false;
             }
-            Some(known) => *known = Aged { value, made },
+            Some(known) => *known = Aged { value, created_at },
             None => {
-                self.all.insert(key.clone(), Aged { value, made });
+                self.values.insert(key.clone(), Aged { value, created_at });
             }
         }
         true
     }
 
-    fn bound(&mut self, first: impl Fn(&Aged<T>) -> (bool, Ms)) {
-        while self.all.len() > self.most {
-            let goes = self.all.iter().min_by_key(|(_, v)| first(v)).map(|(k, _)| k.clone());
-            let Some(goes) = goes else { return };
-            self.all.remove(&goes);
+    /// Drops the values with the lowest rank until no more than `capacity` are left.
+    fn evict(&mut self, rank: impl Fn(&Aged<T>) -> (bool, Ms)) {
+        while self.values.len() > self.capacity {
+            let evicted = self.values.iter().min_by_key(|(_, v)| rank(v)).map(|(k, _)| k.clone());
+            let Some(evicted) = evicted else { return };
+            self.values.remove(&evicted);
         }
     }
 
-    fn expire(&mut self, now: Ms, age: Ms) {
-        self.all.retain(|_, v| now.saturating_sub(v.made) <= age);
+    /// Drops the values that are older than `max_age`.
+    fn expire(&mut self, now: Ms, max_age: Ms) {
+        self.values.retain(|_, v| now.saturating_sub(v.created_at) <= max_age);
     }
 }
 
-/// All that a node holds of it.
+/// The shared state that a node holds.
 #[derive(Clone, Debug)]
 pub struct SharedState {
-    findings: LatestByKey<(u32, NodeId), Verdict>,
-    places: LatestByKey<u32, KeyLocation>,
-    words: LatestByKey<String, OperatorOrder>,
-    last: u32,
+    verdicts: LatestByKey<(u32, NodeId), Verdict>,
+    locations: LatestByKey<u32, KeyLocation>,
+    orders: LatestByKey<String, OperatorOrder>,
+    last_number: u32,
 }
 
 impl Default for SharedState {
     fn default() -> SharedState {
         SharedState {
-            findings: LatestByKey::new(VERDICTS),
-            places: LatestByKey::new(PLACES),
-            words: LatestByKey::new(WORDS),
-            last: 0,
+            verdicts: LatestByKey::new(MAX_VERDICTS),
+            locations: LatestByKey::new(MAX_KEY_LOCATIONS),
+            orders: LatestByKey::new(MAX_ORDERS),
+            last_number: 0,
         }
     }
 }
 
 impl SharedState {
-    /// The next number of this node's places and words: above all it has seen.
-    fn next(&mut self) -> u32 {
-        self.last = self.last.saturating_add(1);
-        self.last
+    /// Returns the next sequence number of this node, above all that it has seen.
+    fn next_number(&mut self) -> u32 {
+        self.last_number = self.last_number.saturating_add(1);
+        self.last_number
     }
 
-    /// A number that can be, which the own ones go above from here on.
-    fn fits(&mut self, number: u32) -> bool {
-        let fits = number <= self.last.saturating_add(STEP);
-        if fits {
-            self.last = self.last.max(number);
+    /// Returns true if a received sequence number is plausible, and raises this node's own numbers above it.
+    fn accept_number(&mut self, number: u32) -> bool {
+        let is_plausible = number <= self.last_number.saturating_add(MAX_NUMBER_STEP);
+        if is_plausible {
+            self.last_number = self.last_number.max(number);
         }
-        fits
+        is_plausible
     }
 
-    /// Takes in a finding. True: it is news.
-    pub fn finding(&mut self, server: u32, node: NodeId, finding: Verdict, made: Ms) -> bool {
-        let news = self.findings.join(&(server, node), finding, made);
-        self.findings.bound(|v| (true, v.made));
-        news
+    /// Merges a verdict. Returns true if it is new.
+    pub fn merge_verdict(&mut self, server: u32, node: NodeId, verdict: Verdict, created_at: Ms) -> bool {
+        let is_new = self.verdicts.merge(&(server, node), verdict, created_at);
+        self.verdicts.evict(|v| (true, v.created_at));
+        is_new
     }
 
-    /// What a node last found of a server.
-    pub fn found(&self, server: u32, node: NodeId) -> Option<Aged<Verdict>> {
-        self.findings.all.get(&(server, node)).copied()
+    /// Returns a node's latest verdict on a server.
+    pub fn verdict(&self, server: u32, node: NodeId) -> Option<Aged<Verdict>> {
+        self.verdicts.values.get(&(server, node)).copied()
     }
 
-    /// How many nodes' findings against this start of a server are younger than `age`.
-    pub fn against(&self, now: Ms, server: u32, start: u32, age: Ms) -> usize {
-        let of = self.findings.all.range((server, 0)..=(server, NodeId::MAX));
-        of.filter(|(_, v)| v.value.failing && v.value.start == start && now.saturating_sub(v.made) <= age)
+    /// Returns the number of nodes whose verdict, no older than `age`, says that this start of a server
+    /// fails.
+    pub fn failing_verdicts(&self, now: Ms, server: u32, start: u32, age: Ms) -> usize {
+        let verdicts = self.verdicts.values.range((server, 0)..=(server, NodeId::MAX));
+        verdicts
+            .filter(|(_, v)| {
+                v.value.failing && v.value.start == start && now.saturating_sub(v.created_at) <= age
+            })
             .count()
     }
 
-    /// The same of any start, without one node's own.
+    /// Returns the number of nodes other than `own` whose verdict, no older than `age`, says that any start
+    /// of a server fails.
     pub fn failing_verdicts_by_others(&self, now: Ms, server: u32, own: NodeId, age: Ms) -> usize {
-        let of = self.findings.all.range((server, 0)..=(server, NodeId::MAX));
-        let fresh = |made: Ms| now.saturating_sub(made) <= age;
-        of.filter(|((_, node), v)| *node != own && v.value.failing && fresh(v.made)).count()
-    }
-
-    /// This node puts a key there.
-    pub fn put(&mut self, now: Ms, node: NodeId, key: u32, server: u32) -> Option<KeyLocation> {
-        if self.places.all.get(&key).is_some_and(|p| p.value.server == server && now - p.made < 1000) {
+        let verdicts = self.verdicts.values.range((server, 0)..=(server, NodeId::MAX));
+        let is_recent = |created_at: Ms| now.saturating_sub(created_at) <= age;
+        verdicts.filter(|((_, node), v)| *node != own && v.value.failing && is_recent(v.created_at)).count()
+    }
+
+    /// Records a key location that this node found. Returns none if it is already known, and recent.
+    pub fn record_location(&mut self, now: Ms, node: NodeId, key: u32, server: u32) -> Option<KeyLocation> {
+        if self
+            .locations
+            .values
+            .get(&key)
+            .is_some_and(|p| p.value.server == server && now - p.created_at < 1000)
+        {
             return None;
         }
-        let place = KeyLocation { number: self.next(), node, server };
-        self.place(key, place, now).then_some(place)
+        let location = KeyLocation { number: self.next_number(), node, server };
+        self.merge_location(key, location, now).then_some(location)
     }
 
-    /// Takes in a place. True: it is news.
-    pub fn place(&mut self, key: u32, place: KeyLocation, made: Ms) -> bool {
-        let news = self.fits(place.number) && self.places.join(&key, place, made);
-        self.places.bound(|v| (true, v.made));
-        news
+    /// Merges a key location. Returns true if it is new.
+    pub fn merge_location(&mut self, key: u32, location: KeyLocation, created_at: Ms) -> bool {
+        let is_new =
+            self.accept_number(location.number) && self.locations.merge(&key, location, created_at);
+        self.locations.evict(|v| (true, v.created_at));
+        is_new
     }
 
-    /// Where a key is.
-    pub fn placed(&self, key: u32) -> Option<Aged<KeyLocation>> {
-        self.places.all.get(&key).copied()
+    /// Returns the location of a key.
+    pub fn location(&self, key: u32) -> Option<Aged<KeyLocation>> {
+        self.locations.values.get(&key).copied()
     }
 
-    /// This node was told that a server is out, or back.
-    pub fn say(
+    /// Records an operator's order that this node received.
+    pub fn record_order(
         &mut self,
         now: Ms,
         node: NodeId,
-        server: &str,
+        subject: &str,
         cordoned: bool,
         for_s: u32,
     ) -> OperatorOrder {
-        let word = OperatorOrder { number: self.next(), node, cordoned, for_s };
-        self.word(server, word, now);
-        word
+        let order = OperatorOrder { number: self.next_number(), node, cordoned, for_s };
+        self.merge_order(subject, order, now);
+        order
     }
 
-    /// Takes in a word. True: it is news.
-    pub fn word(&mut self, server: &str, word: OperatorOrder, made: Ms) -> bool {
-        let news = self.fits(word.number) && self.words.join(&server.to_owned(), word, made);
-        // Words that took something back go first.
-        self.words.bound(|v| (v.value.cordoned, v.made));
-        news
+    /// Merges an operator's order. Returns true if it is new.
+    pub fn merge_order(&mut self, subject: &str, order: OperatorOrder, created_at: Ms) -> bool {
+        let is_new =
+            self.accept_number(order.number) && self.orders.merge(&subject.to_owned(), order, created_at);
+        // Orders that put a server or zone back in use are dropped first.
+        self.orders.evict(|v| (v.value.cordoned, v.created_at));
+        is_new
     }
 
-    /// What was last said of a server.
-    pub fn operator_order(&self, server: &str) -> Option<Aged<OperatorOrder>> {
-        self.words.all.get(server).copied()
+    /// Returns the latest order on a server or zone.
+    pub fn operator_order(&self, subject: &str) -> Option<Aged<OperatorOrder>> {
+        self.orders.values.get(subject).copied()
     }
 
-    /// All words, by server.
-    pub fn words(&self) -> impl Iterator<Item = (&str, OperatorOrder)> {
-        self.words.all.iter().map(|(server, v)| (server.as_str(), v.value))
+    /// Returns all orders by server or zone.
+    pub fn orders(&self) -> impl Iterator<Item = (&str, OperatorOrder)> {
+        self.orders.values.iter().map(|(subject, v)| (subject.as_str(), v.value))
     }
 
-    /// Differs where the words do.
+    /// Returns a digest of the orders; it differs where the orders differ.
     pub fn digest(&self) -> u32 {
         let mut hash = crc32fast::Hasher::new();
-        for (server, word) in self.words() {
-            hash.update(server.as_bytes());
-            hash.update(&word.number.to_be_bytes());
-            hash.update(&word.node.to_be_bytes());
-            hash.update(&[u8::from(word.cordoned)]);
-            hash.update(&word.for_s.to_be_bytes());
+        for (subject, order) in self.orders() {
+            hash.update(subject.as_bytes());
+            hash.update(&order.number.to_be_bytes());
+            hash.update(&order.node.to_be_bytes());
+            hash.update(&[u8::from(order.cordoned)]);
+            hash.update(&order.for_s.to_be_bytes());
         }
         hash.finalize()
     }
 
-    /// Forgets what is past its age; words are never too old.
-    pub fn expire(&mut self, now: Ms, verdicts: Ms, places: Ms) {
-        // A finding that is too old to be used still tells older ones of its author that they are.
-        self.findings.expire(now, 4 * verdicts);
-        self.places.expire(now, places);
+    /// Drops verdicts and key locations that are too old. Orders have no maximum age.
+    pub fn expire(&mut self, now: Ms, max_verdict_age: Ms, max_location_age: Ms) {
+        // A verdict that is too old to be used still marks earlier verdicts of its node as outdated.
+        self.verdicts.expire(now, 4 * max_verdict_age);
+        self.locations.expire(now, max_location_age);
     }
 
-    /// Ages of the findings and of the places that may be used.
-    pub fn ages(&self, now: Ms, verdicts: Ms) -> (Vec<Ms>, Vec<Ms>) {
-        let age = |made: Ms| now.saturating_sub(made);
-        let findings = self.findings.all.values().map(|v| age(v.made)).filter(|a| *a <= verdicts).collect();
-        (findings, self.places.all.values().map(|v| age(v.made)).collect())
+    /// Returns the ages of the verdicts and key locations that may be used, in milliseconds.
+    pub fn ages(&self, now: Ms, max_verdict_age: Ms) -> (Vec<Ms>, Vec<Ms>) {
+        let age = |created_at: Ms| now.saturating_sub(created_at);
+        let verdicts = self
+            .verdicts
+            .values
+            .values()
+            .map(|v| age(v.created_at))
+            .filter(|a| *a <= max_verdict_age)
+            .collect();
+        (verdicts, self.locations.values.values().map(|v| age(v.created_at)).collect())
     }
 
-    /// How many findings, places and words are held.
+    /// Returns the numbers of verdicts, key locations and orders held.
     pub fn counts(&self) -> [usize; 3] {
-        [self.findings.all.len(), self.places.all.len(), self.words.all.len()]
+        [self.verdicts.values.len(), self.locations.values.len(), self.orders.values.len()]
     }
 }
 
@@ -309,9 +330,9 @@
     }
 
     fn fact() -> impl Strategy<Value = Fact> {
-        let finding =
+        let verdict =
             (0_u32..3, 0_u16..3, 1_u32..3, 0_u16..4, any::<bool>()).prop_map(|(s, w, i, n, failing)| {
-                // An author gives a number to one finding only.
+                // A node gives a number to one verdict only.
                 let start = u32::from(n) / 2;
                 Fact::Verdict(
                     s,
@@ -319,67 +340,74 @@
                     Verdict { incarnation: i, number: n, start, failing: failing && n > 0 || n == 3 },
                 )
             });
-        let place = (0_u32..3, 1_u32..9, 0_u16..3).prop_map(|(k, n, w)| {
+        let location = (0_u32..3, 1_u32..9, 0_u16..3).prop_map(|(k, n, w)| {
             Fact::KeyLocation(k, KeyLocation { number: n, node: w, server: n * 7 + u32::from(w) })
         });
-        let word = (0_u32..3, 1_u32..9, 0_u16..3).prop_map(|(s, n, w)| {
+        let order = (0_u32..3, 1_u32..9, 0_u16..3).prop_map(|(s, n, w)| {
             Fact::OperatorOrder(
                 format!("s-{s}"),
                 OperatorOrder { number: n, node: w, cordoned: (n + u32::from(w)) % 2 == 0, for_s: 0 },
             )
         });
-        prop_oneof![finding, place, word]
+        prop_oneof![verdict, location, order]
     }
 
-    fn take(shared: &mut SharedState, fact: &Fact) {
+    fn merge(shared: &mut SharedState, fact: &Fact) {
         match fact.clone() {
-            Fact::Verdict(s, w, f) => drop(shared.finding(s, w, f, 5)),
-            Fact::KeyLocation(k, p) => drop(shared.place(k, p, 5)),
-            Fact::OperatorOrder(s, w) => drop(shared.word(&s, w, 5)),
+            Fact::Verdict(s, w, f) => drop(shared.merge_verdict(s, w, f, 5)),
+            Fact::KeyLocation(k, p) => drop(shared.merge_location(k, p, 5)),
+            Fact::OperatorOrder(s, w) => drop(shared.merge_order(&s, w, 5)),
         }
     }
 
     fn values(s: &SharedState) -> impl PartialEq + std::fmt::Debug + use<> {
-        (s.findings.all.clone(), s.places.all.clone(), s.words.all.clone())
+        (s.verdicts.values.clone(), s.locations.values.clone(), s.orders.values.clone())
     }
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
-        /// In any order, each as often as it likes, the same is known in the end.
+        /// Facts merged in any order, any number of times, lead to the same state.
         #[test]
         fn facts_converge(facts in prop::collection::vec(fact(), 1..20), order in any::<u64>()) {
             let mut one = SharedState::default();
-            facts.iter().for_each(|f| take(&mut one, f));
+            facts.iter().for_each(|f| merge(&mut one, f));
             let mut rng = fastrand::Rng::with_seed(order);
-            let mut doubled: Vec<Fact> = facts.iter().chain(&facts).cloned().collect();
-            rng.shuffle(&mut doubled);
+            let mut repeated: Vec<Fact> = facts.iter().chain(&facts).cloned().collect();
+            rng.shuffle(&mut repeated);
             let mut other = SharedState::default();
-            doubled.iter().for_each(|f| take(&mut other, f));
+            repeated.iter().for_each(|f| merge(&mut other, f));
             prop_assert_eq!(values(&one), values(&other));
             prop_assert_eq!(one.digest(), other.digest());
         }
     }
 
     #[test]
-    fn all_of_it_is_bounded() {
+    fn verdicts_locations_and_orders_are_bounded() {
         let mut shared = SharedState::default();
-        let finding = Verdict { incarnation: 1, number: 1, start: 0, failing: true };
+        let verdict = Verdict { incarnation: 1, number: 1, start: 0, failing: true };
         for n in 0..5000_u32 {
-            shared.finding(n, 1, finding, Ms::from(n));
-            shared.put(Ms::from(n), 1, n, 7);
-            shared.say(Ms::from(n), 1, &format!("s-{n}"), n % 2 == 0, 0);
+            shared.merge_verdict(n, 1, verdict, Ms::from(n));
+            shared.record_location(Ms::from(n), 1, n, 7);
+            shared.record_order(Ms::from(n), 1, &format!("s-{n}"), n % 2 == 0, 0);
         }
-        assert_eq!(shared.counts(), [VERDICTS, PLACES, WORDS]);
-        assert!(shared.words().all(|w| w.1.cordoned), "words that took something back went first");
-        assert!(shared.found(0, 1).is_none() && shared.found(4999, 1).is_some());
+        assert_eq!(shared.counts(), [MAX_VERDICTS, MAX_KEY_LOCATIONS, MAX_ORDERS]);
+        assert!(
+            shared.orders().all(|w| w.1.cordoned),
+            "orders that put something back in use are dropped first"
+        );
+        assert!(shared.verdict(0, 1).is_none() && shared.verdict(4999, 1).is_some());
         assert!(
-            !shared.word("far", OperatorOrder { number: u32::MAX, node: 1, cordoned: true, for_s: 0 }, 0),
-            "from the far future"
+            !shared.merge_order(
+                "far",
+                OperatorOrder { number: u32::MAX, node: 1, cordoned: true, for_s: 0 },
+                0
+            ),
+            "an implausible number"
         );
     }
 
     #[test]
-    fn totals_keep_to_the_tenants_that_ask_most_and_to_rates_that_can_be() {
+    fn totals_keep_the_highest_plausible_rates() {
         let mut all = TenantTotals::default();
         for n in 0..20 {
             all.add(&TenantTotals {
