--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -1,10 +1,11 @@
-//! The fleet's shared state in one node: waves of totals up and down a tree of the members, news pressed along its
-//! edges, and comparisons that repair what was lost. A machine without I/O and clock; whoever drives it hands in
-//! datagrams and ticks, and sends what it says.
+//! Gossip between the nodes of a fleet, as one node takes part in it: waves of totals up and down a tree of
+//! the members, updates pushed along its edges, and comparisons that repair losses. A state machine without
+//! I/O or a clock: the caller passes in datagrams and ticks, and carries out the returned actions.
 //!
-//! A wave costs each node one datagram up and one down. The root begins one every [`PERIOD_MS`]; each node passes it
-//! on at once, and reports shortly before the next, its children a little earlier, so that what the root tells is
-//! half a second old and not a period for each level. What is missing is asked for again within that half second.
+//! A wave costs each node one datagram up and one down. The root begins one every [`PERIOD_MS`]. Each node
+//! passes it on at once, and reports to its parent shortly before the next wave, a little after its own
+//! children, so the root's totals are half a second old instead of one period per level. What is missing is
+//! requested again within that half second.
 
 use super::datagram::{self, Body, DatagramError, Header, MAX_COMPARED_MEMBERS, MAX_NAME_BYTES, Update};
 use super::membership::{MemberState, Membership, Message, Ms, NodeId, Output, Status};
@@ -13,444 +14,478 @@
 
 /// Time between two waves.
 pub const PERIOD_MS: Ms = 1250;
-/// A node reports so long before the next wave, for each level that it is below the root.
-const SLOT_MS: Ms = 250;
-/// What has not come is asked for after so long, and again.
-const AGAIN_MS: [Ms; 3] = [100, 160, 215];
-/// Deeper nodes ask later: what their parents get again comes to them unasked.
-const AGAIN_LEVEL_MS: Ms = 110;
-/// A neighbour that has not spoken for so long is checked.
+/// Time before the next wave at which a node reports, for each level that it is below the root.
+const REPORT_SLOT_MS: Ms = 250;
+/// Times after which a missing datagram of a wave is requested again.
+const REREQUEST_MS: [Ms; 3] = [100, 160, 215];
+/// Extra delay of these requests for each further level below the root: what a parent receives late reaches
+/// its children without a request.
+const REREQUEST_LEVEL_MS: Ms = 110;
+/// A neighbour that was not heard for this long is checked.
 const SILENT_MS: Ms = PERIOD_MS * 3 / 2;
-/// News waits for more to go with it.
-const GATHER_MS: Ms = 15;
-/// And is told again until it is acknowledged, so often.
+/// Time for which updates are collected before they are sent.
+const COLLECT_MS: Ms = 15;
+/// Time after which unacknowledged updates are sent again, and the maximum number of times that they are
+/// sent.
 const RESEND_MS: Ms = 110;
-const RESENDS: u32 = 7;
-/// Datagrams of news, and answers to comparisons, that a node may send a second for each neighbour, and at once.
-const NEWS_A_SECOND: f64 = 1.0;
-const NEWS_AT_ONCE: f64 = 24.0;
-/// News that waits for one neighbour; beyond that it is left to comparisons.
-const WAITING: usize = 512;
-/// Places that wait for room in a wave.
-const IDLE: usize = 64;
-/// A member that fell silent keeps its part of what is shared out for so long: it may serve beyond a cut.
-const HOLD_MS: Ms = 60_000;
-/// Differences that are answered at once to a comparison.
-const DIFFERENCES: usize = 80;
-const LOWEST: usize = 20;
-/// Views that differ are compared when nothing has changed here for so long.
-const UNDER_WAY_MS: Ms = 600;
-/// What was asked for again counts so much, one wave takes one of it; from so much on, waves go twice.
-const LOST: u32 = 3;
-const LOSSY: u32 = 4;
-/// Datagrams of one member that may overtake each other.
-const WINDOW: u32 = 64;
-
-/// How old what is shared may be to be used.
+const MAX_SENDS: u32 = 7;
+/// Maximum number of datagrams with updates that a node may send for each neighbour: per second, and in a
+/// burst.
+const UPDATE_DATAGRAMS_PER_S: f64 = 1.0;
+const UPDATE_DATAGRAMS_BURST: f64 = 24.0;
+/// Maximum number of updates queued for one neighbour; comparisons repair what is dropped.
+const MAX_QUEUED_UPDATES: usize = 512;
+/// Maximum number of key locations queued for a neighbour until a wave has space for them.
+const MAX_QUEUED_LOCATIONS: usize = 64;
+/// Time for which a silent member keeps its part of a divided quota: it may still serve on its side of a
+/// network partition.
+const QUOTA_HOLD_MS: Ms = 60_000;
+/// Maximum number of differences sent in response to a comparison, and how many of them are the lowest
+/// members.
+const MAX_DIFFERENCES: usize = 80;
+const MAX_LOWEST_DIFFERENCES: usize = 20;
+/// Views that differ are compared at once if no status has changed here for this long, otherwise after the
+/// second wave in a row that shows a difference.
+const SETTLE_MS: Ms = 600;
+/// A wave's datagram that was requested again raises the neighbour's loss score by the first number, and each
+/// wave sent lowers it by one. From the second number on, waves are sent twice.
+const LOSS_SCORE_STEP: u32 = 3;
+const MIN_LOSSY_SCORE: u32 = 4;
+/// Number of a member's latest datagrams that may arrive out of order.
+const REPLAY_WINDOW: u32 = 64;
+
+/// Maximum ages at which shared state is used, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MaxAges {
-    /// Tenants' totals.
+    /// Totals of tenants.
     pub limits_ms: Ms,
     /// Verdicts on servers.
     pub verdicts_ms: Ms,
-    /// Places of keys.
+    /// Locations of keys.
     pub affinity_ms: Ms,
 }
 
-/// What happens.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// Time passes; comes every 20 ms or so.
+    /// Time has passed; expected about every 20 ms.
     Tick,
-    /// A datagram from a member's address.
+    /// A datagram has arrived from this member's address.
     Datagram(NodeId, &'a [u8]),
-    /// Requests a second that tenants ask of this node, by short hash.
+    /// Rates of the tenants at this node, in requests a second, by the tenant's short hash.
     TenantRates(&'a [(u32, f32)]),
-    /// This node found that a server fails, or serves again; `start` tells its starts apart.
+    /// This node found that a server fails, or that it serves again.
     Verdict {
-        /// The server's short id.
+        /// The server's short ID.
         server: u32,
-        /// Which of its starts.
+        /// Identifies the server's start.
         start: u32,
-        /// It fails.
+        /// True if the server fails.
         failing: bool,
     },
-    /// A key went to a server that is none of its candidates.
+    /// This node sent a key to a server that is not one of the key's candidates.
     KeyLocation {
         /// The key's short hash.
         key: u32,
-        /// The server's short id.
+        /// The server's short ID.
         server: u32,
     },
-    /// An operator's word for the whole fleet.
+    /// An operator gave this node an order for the whole fleet.
     OperatorOrder {
-        /// What it is about: a server's uid, or `zone:` and a zone's name.
+        /// A server's uid, or `zone:` and a zone's name.
         subject: &'a str,
-        /// It is out.
+        /// True if the server or zone is out of use.
         cordoned: bool,
-        /// For so many seconds; 0 until it is taken back.
+        /// Duration of the order in seconds; 0 means until it is withdrawn.
         for_s: u32,
     },
     /// This node ends.
     Leave,
 }
 
-/// What is to be done, or known.
+/// What the caller has to do or to take note of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send(NodeId, Vec<u8>),
-    /// Another node found something of a server, so long ago.
+    /// Another node has found that a server fails, or that it serves again.
     Verdict {
-        /// The server's short id.
+        /// The server's short ID.
         server: u32,
-        /// Which of its starts.
+        /// Identifies the server's start.
         start: u32,
-        /// Who.
+        /// The node that found it.
         node: NodeId,
-        /// It fails, or serves again.
+        /// True if the server fails.
         failing: bool,
-        /// Age in milliseconds.
+        /// Age of the verdict in milliseconds.
         age: Ms,
     },
-    /// Another node knows where a key is.
+    /// Another node has located a key.
     KeyLocation {
         /// The key's short hash.
         key: u32,
-        /// The server's short id.
+        /// The server's short ID.
         server: u32,
-        /// Age in milliseconds.
+        /// Age of the location in milliseconds.
         age: Ms,
     },
-    /// An operator's word to another node.
+    /// An operator gave another node an order.
     OperatorOrder {
-        /// What it is about.
+        /// A server's uid, or `zone:` and a zone's name.
         subject: String,
-        /// It is out.
+        /// True if the server or zone is out of use.
         cordoned: bool,
-        /// For so many seconds; 0 until it is taken back.
+        /// Duration of the order in seconds; 0 means until it is withdrawn.
         for_s: u32,
-        /// Age in milliseconds.
+        /// Age of the order in milliseconds.
         age: Ms,
     },
 }
 
-/// What was rejected, and why.
+/// Numbers of rejected datagrams, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectedDatagrams {
-    /// Cut, spoilt or strange.
+    /// Truncated, corrupt, or not a gossip datagram.
     pub corrupt: u64,
-    /// Of another version.
+    /// Of an unsupported version.
     pub version: u64,
-    /// Under another's number.
+    /// Sent under another member's number.
     pub wrong_sender: u64,
-    /// Doubled, or of an earlier time.
+    /// Received before, or from an earlier incarnation.
     pub replayed: u64,
 }
 
-/// Counts since the start.
+/// Numbers of datagrams since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Datagrams taken in.
+    /// Datagrams accepted.
     pub received: u64,
     /// Datagrams rejected.
     pub rejected: RejectedDatagrams,
 }
 
-/// A reference to a piece of news; its content is looked up when it is sent.
+/// Key of an update; its content is looked up when it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum News {
+enum UpdateKey {
     OperatorOrder(String),
     Member(NodeId),
     Verdict(u32, NodeId),
     KeyLocation(u32),
 }
 
+/// Updates that were sent to one neighbour in one datagram.
 #[derive(Clone, Debug)]
-struct Out {
+struct SentBatch {
     id: u16,
-    news: Vec<News>,
-    again_at: Ms,
-    tries: u32,
+    update_keys: Vec<UpdateKey>,
+    resend_at: Ms,
+    sends: u32,
 }
 
-/// What goes to one neighbour.
+/// Updates that wait to be sent to one neighbour.
 #[derive(Clone, Debug, Default)]
-struct Line {
-    waiting: BTreeSet<News>,
-    since: Ms,
-    out: Option<Out>,
-    idle: VecDeque<u32>,
-    /// Grows with each wave's datagram that was lost on the way there.
-    lossy: u32,
+struct Queue {
+    pending: BTreeSet<UpdateKey>,
+    pending_since: Ms,
+    unacknowledged: Option<SentBatch>,
+    locations: VecDeque<u32>,
+    /// Loss score; rises with each datagram of a wave that the neighbour did not receive.
+    loss_score: u32,
 }
 
+/// A node that reports to this one, and its latest totals.
 #[derive(Clone, Debug, Default)]
 struct Child {
     totals: TenantTotals,
-    at: Ms,
-    asked: usize,
+    reported_at: Ms,
+    /// Number of requests sent for the totals of the current wave.
+    requests: usize,
 }
 
-/// Datagrams of one member that have come, so that none counts twice.
+/// Replay protection: the datagrams of one member that have arrived.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct ReplayWindow {
     incarnation: u32,
-    last: u32,
-    bits: u64,
+    /// Highest sequence number received.
+    highest: u32,
+    /// Bit `n` is set if the datagram with the number `highest - n` has arrived.
+    received: u64,
 }
 
-impl Seen {
-    /// True: it has not come before, and is not from an earlier time.
-    fn fresh(&mut self, incarnation: u32, number: u32) -> bool {
+impl ReplayWindow {
+    /// Returns true if the datagram has not arrived before and is not from an earlier incarnation.
+    fn accept(&mut self, incarnation: u32, number: u32) -> bool {
         if incarnation != self.incarnation {
-            let later = incarnation > self.incarnation;
-            if later {
-                *self = Seen { incarnation, last: number, bits: 1 };
+            let is_later = incarnation > self.incarnation;
+            if is_later {
+                *self = ReplayWindow { incarnation, highest: number, received: 1 };
             }
-            return later;
+            return is_later;
         }
-        if number > self.last {
-            let step = number - self.last;
-            self.bits = if step < WINDOW { self.bits << step | 1 } else { 1 };
-            self.last = number;
+        if number > self.highest {
+            let step = number - self.highest;
+            self.received = if step < REPLAY_WINDOW { self.received << step | 1 } else { 1 };
+            self.highest = number;
             return true;
         }
-        let back = self.last - number;
+        let back = self.highest - number;
         let bit = 1_u64.checked_shl(back).unwrap_or(0);
-        let fresh = bit != 0 && self.bits & bit == 0;
-        self.bits |= bit;
-        fresh
+        let is_new = bit != 0 && self.received & bit == 0;
+        self.received |= bit;
+        is_new
     }
 }
 
-/// The wave that this node has last passed on.
+/// The latest wave that this node has passed on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Wave {
     root: (NodeId, u32),
     number: u32,
     depth: u8,
-    at: Ms,
+    received_at: Ms,
 }
 
-/// One node's part of the fleet.
+/// One node's part in the gossip.
 #[derive(Debug)]
 pub struct Gossip {
-    bounds: MaxAges,
+    max_ages: MaxAges,
     rng: fastrand::Rng,
     members: Membership,
     shared: SharedState,
-    /// What tenants ask here.
-    own: Vec<(u32, f32)>,
+    /// Rates of the tenants at this node.
+    local_rates: Vec<(u32, f32)>,
     children: BTreeMap<NodeId, Child>,
     parent: Option<NodeId>,
     neighbours: Vec<NodeId>,
-    version: Option<u64>,
+    /// Version of the membership for which the place in the tree was computed.
+    membership_version: Option<u64>,
     wave: Wave,
-    wave_at: Ms,
-    up_at: Ms,
-    down_asked: usize,
-    /// When somebody's status last changed here: news of it is under way for a moment.
-    changed: Ms,
-    unlike: u32,
-    /// The totals of all, and when they were made.
-    total: Option<(TenantTotals, Ms)>,
-    lines: BTreeMap<NodeId, Line>,
-    tokens: f64,
-    ticked: Ms,
-    number: u32,
-    news: u16,
-    finding: u16,
-    seen: Vec<Seen>,
-    left: bool,
-    digest: (u64, u32),
+    next_wave_at: Ms,
+    next_report_at: Ms,
+    /// Number of requests for the next wave sent to the parent.
+    wave_requests: usize,
+    /// Time at which a member's status last changed here: updates about it are still under way for a while.
+    status_changed_at: Ms,
+    digest_mismatches: u32,
+    /// Totals of the fleet and the time at which they were created.
+    fleet_totals: Option<(TenantTotals, Ms)>,
+    queues: BTreeMap<NodeId, Queue>,
+    /// Token bucket of datagrams with updates.
+    update_tokens: f64,
+    ticked_at: Ms,
+    datagram_number: u32,
+    batch_number: u16,
+    verdict_number: u16,
+    replay_windows: Vec<ReplayWindow>,
+    /// This node has announced that it ends.
+    has_left: bool,
+    /// Version of the membership, and the digest of its presence codes.
+    presence_digest: (u64, u32),
     counts: Counts,
 }
 
 impl Gossip {
-    /// The part of node `own` of `count`. `incarnation` must be greater at each start; where it is not, the others
-    /// say so, and this node goes above what they know.
-    pub fn new(now: Ms, own: NodeId, count: u16, incarnation: u32, bounds: MaxAges, seed: u64) -> Gossip {
+    /// Creates the part of node `local_id` of `count` nodes. `incarnation` must be greater at each start; if
+    /// it is not, the other nodes report the known one, and this node goes above it.
+    pub fn new(
+        now: Ms,
+        local_id: NodeId,
+        count: u16,
+        incarnation: u32,
+        max_ages: MaxAges,
+        seed: u64,
+    ) -> Gossip {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let members = Membership::new(now, own, count, incarnation);
+        let members = Membership::new(now, local_id, count, incarnation);
         let first = now + rng.u64(..PERIOD_MS);
         Gossip {
-            bounds,
-            seen: vec![Seen::default(); members.count()],
+            max_ages,
+            replay_windows: vec![ReplayWindow::default(); members.count()],
             members,
             shared: SharedState::default(),
-            own: Vec::new(),
+            local_rates: Vec::new(),
             children: BTreeMap::new(),
             parent: None,
             neighbours: Vec::new(),
-            version: None,
-            wave: Wave { at: now, ..Wave::default() },
-            wave_at: first,
-            up_at: first,
-            down_asked: 0,
-            changed: now,
-            unlike: 0,
-            total: None,
-            lines: BTreeMap::new(),
-            // Full with the first neighbours.
-            tokens: f64::INFINITY,
-            ticked: now,
-            number: 0,
-            news: 0,
-            finding: 0,
-            left: false,
-            digest: (u64::MAX, 0),
+            membership_version: None,
+            wave: Wave { received_at: now, ..Wave::default() },
+            next_wave_at: first,
+            next_report_at: first,
+            wave_requests: 0,
+            status_changed_at: now,
+            digest_mismatches: 0,
+            fleet_totals: None,
+            queues: BTreeMap::new(),
+            // The first tick limits this to a full burst.
+            update_tokens: f64::INFINITY,
+            ticked_at: now,
+            datagram_number: 0,
+            batch_number: 0,
+            verdict_number: 0,
+            has_left: false,
+            presence_digest: (u64::MAX, 0),
             counts: Counts::default(),
             rng,
         }
     }
 
-    /// Other bounds from here on.
-    pub fn update_settings(&mut self, bounds: MaxAges) {
-        self.bounds = bounds;
+    /// Takes new maximum ages from the settings.
+    pub fn update_settings(&mut self, max_ages: MaxAges) {
+        self.max_ages = max_ages;
     }
 
-    /// Who is in the fleet.
+    /// Returns the membership.
     pub fn members(&self) -> &Membership {
         &self.members
     }
 
-    /// What is shared.
+    /// Returns the shared state.
     pub fn shared(&self) -> &SharedState {
         &self.shared
     }
 
-    /// Datagrams so far.
+    /// Returns the numbers of datagrams since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Whom this node reports to; none at the root.
+    /// Returns the node that this node reports to; none at the root.
     pub fn parent(&self) -> Option<NodeId> {
         self.parent
     }
 
-    /// The totals of the fleet and their age, if they are young enough to be used.
+    /// Returns the totals of the fleet and their age, if they are recent enough to be used.
     pub fn totals(&self, now: Ms) -> Option<(&TenantTotals, Ms)> {
-        let (totals, made) = self.total.as_ref()?;
-        let age = now.saturating_sub(*made);
-        (age <= self.bounds.limits_ms && totals.counted > 0).then_some((totals, age))
+        let (totals, created_at) = self.fleet_totals.as_ref()?;
+        let age = now.saturating_sub(*created_at);
+        (age <= self.max_ages.limits_ms && totals.counted > 0).then_some((totals, age))
     }
 
-    /// What part of a tenant's requests is within its share of `quota` requests a second over the whole fleet; none
-    /// where the totals are too old, or do not tell of it. Who is not counted keeps its part of the quota: it may
-    /// serve beyond a cut.
+    /// Returns the share of a tenant's requests, 0 to 1, that is within its quota of `quota` requests a
+    /// second over the whole fleet; none if the totals are too old or do not include the tenant. Members that
+    /// the totals leave out keep their part of the quota: they may still serve on their side of a network
+    /// partition.
     pub fn share_within_quota(&self, now: Ms, tenant: u32, quota: f64) -> Option<f64> {
         let (totals, _) = self.totals(now)?;
-        let asked = f64::from(totals.rate(tenant)?);
-        let parties = self.members.quota_holders(now, HOLD_MS).max(usize::from(totals.counted)).max(1);
-        let ours = quota * f64::from(totals.counted) / parties as f64;
-        (asked > 0.0 && quota > 0.0).then(|| (ours / asked).min(1.0))
+        let rate = f64::from(totals.rate(tenant)?);
+        let quota_holders =
+            self.members.quota_holders(now, QUOTA_HOLD_MS).max(usize::from(totals.counted)).max(1);
+        let counted_quota = quota * f64::from(totals.counted) / quota_holders as f64;
+        (rate > 0.0 && quota > 0.0).then(|| (counted_quota / rate).min(1.0))
     }
 
-    /// Takes one event at the time `now` and adds what is to be done to `out`.
+    /// Handles one event at the time `now` and appends the actions to `out`.
     pub fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Datagram(from, bytes) => self.heard(now, from, bytes, out),
+            Event::Datagram(from, bytes) => self.handle_datagram(now, from, bytes, out),
             Event::TenantRates(rates) => {
-                self.own = rates.iter().copied().filter(|r| r.1.is_finite() && r.1 > 0.0).collect();
-                self.own.sort_by_key(|r| r.0);
-                self.own.dedup_by_key(|r| r.0);
+                self.local_rates = rates.iter().copied().filter(|r| r.1.is_finite() && r.1 > 0.0).collect();
+                self.local_rates.sort_by_key(|r| r.0);
+                self.local_rates.dedup_by_key(|r| r.0);
             }
             Event::Verdict { server, start, failing } => {
-                self.finding = self.finding.wrapping_add(1);
+                self.verdict_number = self.verdict_number.wrapping_add(1);
                 let own = self.members.local_state(now).incarnation;
-                let finding = Verdict { incarnation: own, number: self.finding, start, failing };
+                let verdict = Verdict { incarnation: own, number: self.verdict_number, start, failing };
                 let node = self.members.local_id();
-                if self.shared.merge_verdict(server, node, finding, now) {
-                    self.spread(now, &News::Verdict(server, node), None);
+                if self.shared.merge_verdict(server, node, verdict, now) {
+                    self.disseminate(now, &UpdateKey::Verdict(server, node), None);
                 }
             }
             Event::KeyLocation { key, server } => {
                 if self.shared.record_location(now, self.members.local_id(), key, server).is_some() {
-                    self.spread(now, &News::KeyLocation(key), None);
+                    self.disseminate(now, &UpdateKey::KeyLocation(key), None);
                 }
             }
             Event::OperatorOrder { subject, cordoned, for_s } => {
                 if !subject.is_empty() && subject.len() <= MAX_NAME_BYTES {
                     self.shared.record_order(now, self.members.local_id(), subject, cordoned, for_s);
-                    self.spread(now, &News::OperatorOrder(subject.to_owned()), None);
+                    self.disseminate(now, &UpdateKey::OperatorOrder(subject.to_owned()), None);
                 }
             }
             Event::Leave => {
                 let mut outputs = Vec::new();
                 self.members.leave(now, &mut outputs);
-                self.left = true;
+                self.has_left = true;
                 self.carry_out(now, outputs, None, out);
-                // There is no time to gather.
-                self.flush(now + GATHER_MS, out);
+                // The process ends: updates are not collected any longer.
+                self.send_queued(now + COLLECT_MS, out);
             }
         }
     }
 
     fn tick(&mut self, now: Ms, out: &mut Vec<Action>) {
-        if self.left {
-            return self.flush(now, out);
-        }
-        let seconds = now.saturating_sub(self.ticked) as f64 / 1000.0;
-        let lines = self.neighbours.len().max(1) as f64;
-        self.tokens = (self.tokens + seconds * NEWS_A_SECOND * lines).min(NEWS_AT_ONCE * lines);
-        self.ticked = now;
-        self.settle(now, out);
+        if self.has_left {
+            return self.send_queued(now, out);
+        }
+        let seconds = now.saturating_sub(self.ticked_at) as f64 / 1000.0;
+        let neighbours = self.neighbours.len().max(1) as f64;
+        self.update_tokens = (self.update_tokens + seconds * UPDATE_DATAGRAMS_PER_S * neighbours)
+            .min(UPDATE_DATAGRAMS_BURST * neighbours);
+        self.ticked_at = now;
+        self.update_tree(now, out);
         let mut outputs = Vec::new();
         let neighbours = std::mem::take(&mut self.neighbours);
         let rng = &mut self.rng;
         self.members.tick(now, &neighbours, SILENT_MS, &mut || rng.u64(..), &mut outputs);
         self.neighbours = neighbours;
         self.carry_out(now, outputs, None, out);
-        self.waves(now, out);
-        self.flush(now, out);
-        self.shared.expire(now, self.bounds.verdicts_ms, self.bounds.affinity_ms);
+        self.tick_waves(now, out);
+        self.send_queued(now, out);
+        self.shared.expire(now, self.max_ages.verdicts_ms, self.max_ages.affinity_ms);
     }
 
-    /// Finds this node's place in the tree anew, where somebody's status has changed.
-    fn settle(&mut self, now: Ms, out: &mut Vec<Action>) {
-        if self.version == Some(self.members.version()) {
+    /// Recomputes this node's place in the tree if a member's status has changed.
+    fn update_tree(&mut self, now: Ms, out: &mut Vec<Action>) {
+        if self.membership_version == Some(self.members.version()) {
             return;
         }
-        self.version = Some(self.members.version());
-        self.changed = now;
+        self.membership_version = Some(self.members.version());
+        self.status_changed_at = now;
         let before = (self.parent, std::mem::take(&mut self.neighbours));
         self.parent = self.members.parent(self.members.local_id());
         let children = self.members.children();
-        // One that reports here by its own view is heard until it does not any more.
-        let adopted =
-            |n: &NodeId, c: &Child| now.saturating_sub(c.at) < 2 * PERIOD_MS && self.members.is_present(*n);
+        // A node that reports here by its own view of the tree stays a child until it stops reporting.
+        let adopted = |n: &NodeId, c: &Child| {
+            now.saturating_sub(c.reported_at) < 2 * PERIOD_MS && self.members.is_present(*n)
+        };
         self.children.retain(|n, c| children.contains(n) || adopted(n, c));
         for child in children {
-            self.children.entry(child).or_insert(Child { at: now, ..Child::default() });
+            self.children.entry(child).or_insert(Child { reported_at: now, ..Child::default() });
         }
         self.neighbours = self.parent.into_iter().chain(self.children.keys().copied()).collect();
-        let met = self.neighbours.iter().filter(|n| !before.1.contains(n)).count();
-        self.tokens += NEWS_AT_ONCE * met as f64;
+        let new_neighbours = self.neighbours.iter().filter(|n| !before.1.contains(n)).count();
+        self.update_tokens += UPDATE_DATAGRAMS_BURST * new_neighbours as f64;
         let neighbours = &self.neighbours;
-        self.lines.retain(|n, _| neighbours.contains(n));
+        self.queues.retain(|n, _| neighbours.contains(n));
         let mut outputs = Vec::new();
         if let Some(parent) = self.parent.filter(|p| before.0.is_some_and(|b| b != *p)) {
             self.members.check_now(now, parent, &mut outputs);
-            // And it hears at once what is counted here.
-            self.up_at = self.up_at.min(now + self.rng.u64(20..120));
+            // The new parent gets this node's totals at once.
+            self.next_report_at = self.next_report_at.min(now + self.rng.u64(20..120));
         }
         if self.parent.is_none() && before.0.is_some() {
-            self.wave_at = now + self.rng.u64(20..SLOT_MS);
+            self.next_wave_at = now + self.rng.u64(20..REPORT_SLOT_MS);
             self.wave.number = self.wave.number.wrapping_add(1);
         }
         if self.parent != before.0 {
-            self.down_asked = 0;
-            self.wave.at = now;
+            self.wave_requests = 0;
+            self.wave.received_at = now;
         }
         self.carry_out(now, outputs, None, out);
     }
 
-    fn carry_out(&mut self, now: Ms, outputs: Vec<Output>, but: Option<NodeId>, out: &mut Vec<Action>) {
+    fn carry_out(
+        &mut self,
+        now: Ms,
+        outputs: Vec<Output>,
+        excluded: Option<NodeId>,
+        out: &mut Vec<Action>,
+    ) {
         for output in outputs {
             match output {
                 Output::Send(to, message) => {
@@ -458,17 +493,18 @@
                 }
                 Output::Disseminate(node) => {
                     if !self.members.is_flapping(node) {
-                        self.spread(now, &News::Member(node), but);
+                        self.disseminate(now, &UpdateKey::Member(node), excluded);
                     }
                 }
                 Output::Notify(node) => {
                     let known = self.members.state(node);
-                    let items: Vec<Update> = known.map(|l| Update::Member(node, l)).into_iter().collect();
+                    let updates: Vec<Update> =
+                        known.map(|state| Update::Member(node, state)).into_iter().collect();
                     self.send(
                         now,
                         node,
                         &Body::MembershipCheck(Message::Ping(self.members.local_id())),
-                        &items,
+                        &updates,
                         out,
                     );
                 }
@@ -476,160 +512,174 @@
         }
     }
 
-    /// Writes and sends; says how many of the items went along.
-    fn send(&mut self, now: Ms, to: NodeId, body: &Body, items: &[Update], out: &mut Vec<Action>) -> usize {
+    /// Encodes and sends a datagram. Returns the number of updates that fit.
+    fn send(
+        &mut self,
+        now: Ms,
+        to: NodeId,
+        body: &Body,
+        updates: &[Update],
+        out: &mut Vec<Action>,
+    ) -> usize {
         let state = self.members.local_state(now);
-        self.number = self.number.wrapping_add(1);
-        let head = Header { from: self.members.local_id(), state, number: self.number };
-        let (bytes, written) = datagram::encode(&head, body, items);
+        self.datagram_number = self.datagram_number.wrapping_add(1);
+        let header = Header { from: self.members.local_id(), state, number: self.datagram_number };
+        let (bytes, written) = datagram::encode(&header, body, updates);
         self.counts.sent += 1;
         out.push(Action::Send(to, bytes));
         written
     }
 
-    /// News for all neighbours but the one it came from.
-    fn spread(&mut self, now: Ms, news: &News, but: Option<NodeId>) {
-        for n in self.neighbours.iter().filter(|n| Some(**n) != but) {
-            let line = self.lines.entry(*n).or_default();
-            Gossip::wait(line, now, news.clone());
+    /// Queues an update for all neighbours but the one that it came from.
+    fn disseminate(&mut self, now: Ms, update_key: &UpdateKey, excluded: Option<NodeId>) {
+        for n in self.neighbours.iter().filter(|n| Some(**n) != excluded) {
+            let queue = self.queues.entry(*n).or_default();
+            Gossip::enqueue(queue, now, update_key.clone());
         }
     }
 
-    fn wait(line: &mut Line, now: Ms, news: News) {
-        if let News::KeyLocation(key) = news {
-            line.idle.push_back(key);
-            if line.idle.len() > IDLE {
-                line.idle.pop_front();
+    fn enqueue(queue: &mut Queue, now: Ms, update_key: UpdateKey) {
+        if let UpdateKey::KeyLocation(key) = update_key {
+            queue.locations.push_back(key);
+            if queue.locations.len() > MAX_QUEUED_LOCATIONS {
+                queue.locations.pop_front();
             }
             return;
         }
-        if line.waiting.is_empty() {
-            line.since = now;
+        if queue.pending.is_empty() {
+            queue.pending_since = now;
         }
-        if line.waiting.len() < WAITING {
-            line.waiting.insert(news);
+        if queue.pending.len() < MAX_QUEUED_UPDATES {
+            queue.pending.insert(update_key);
         }
     }
 
-    /// What news says now; none where it is forgotten or too old to be used.
-    fn item(&self, now: Ms, news: &News) -> Option<Update> {
-        let age = |made: Ms| now.saturating_sub(made);
-        Some(match news {
-            News::Member(node) => Update::Member(*node, self.members.state(*node)?),
-            News::Verdict(server, node) => {
-                let found = self.shared.verdict(*server, *node)?;
-                Update::Verdict(*server, *node, found.value, age(found.created_at))
+    /// Returns the current content of an update; none if it was dropped.
+    fn current_update(&self, now: Ms, update_key: &UpdateKey) -> Option<Update> {
+        let age = |created_at: Ms| now.saturating_sub(created_at);
+        Some(match update_key {
+            UpdateKey::Member(node) => Update::Member(*node, self.members.state(*node)?),
+            UpdateKey::Verdict(server, node) => {
+                let verdict = self.shared.verdict(*server, *node)?;
+                Update::Verdict(*server, *node, verdict.value, age(verdict.created_at))
             }
-            News::KeyLocation(key) => {
-                let place = self.shared.location(*key)?;
-                Update::KeyLocation(*key, place.value, age(place.created_at))
+            UpdateKey::KeyLocation(key) => {
+                let location = self.shared.location(*key)?;
+                Update::KeyLocation(*key, location.value, age(location.created_at))
             }
-            News::OperatorOrder(server) => {
-                let said = self.shared.operator_order(server)?;
-                Update::OperatorOrder(server.clone(), said.value, age(said.created_at))
+            UpdateKey::OperatorOrder(subject) => {
+                let order = self.shared.operator_order(subject)?;
+                Update::OperatorOrder(subject.clone(), order.value, age(order.created_at))
             }
         })
     }
 
-    /// What waits for a neighbour and may go along with a wave; it counts as told where so many of it fit.
-    fn along(&self, now: Ms, to: NodeId) -> Vec<(Option<News>, Update)> {
-        let Some(line) = self.lines.get(&to) else { return Vec::new() };
-        let waiting = line.waiting.iter().filter_map(|n| Some((Some(n.clone()), self.item(now, n)?)));
-        let idle = line.idle.iter().filter_map(|k| Some((None, self.item(now, &News::KeyLocation(*k))?)));
-        waiting.take(20).chain(idle.take(20)).collect()
+    /// Returns the queued updates that may go along with a wave. Updates that fit count as sent.
+    fn wave_updates(&self, now: Ms, to: NodeId) -> Vec<(Option<UpdateKey>, Update)> {
+        let Some(queue) = self.queues.get(&to) else { return Vec::new() };
+        let pending =
+            queue.pending.iter().filter_map(|n| Some((Some(n.clone()), self.current_update(now, n)?)));
+        let locations = queue
+            .locations
+            .iter()
+            .filter_map(|k| Some((None, self.current_update(now, &UpdateKey::KeyLocation(*k))?)));
+        pending.take(20).chain(locations.take(20)).collect()
     }
 
     fn send_wave(&mut self, now: Ms, to: NodeId, body: &Body, out: &mut Vec<Action>) {
-        let along = self.along(now, to);
-        let items: Vec<Update> = along.iter().map(|a| a.1.clone()).collect();
-        let written = self.send(now, to, body, &items, out);
-        let lossy = self.lines.get(&to).map_or(0, |l| l.lossy);
-        if lossy >= LOSSY {
-            self.send(now, to, body, &items, out);
-        }
-        let spare = self.tokens >= 1.0;
-        let Some(line) = self.lines.get_mut(&to) else { return };
-        line.lossy = lossy.saturating_sub(1);
-        for (news, _) in along.into_iter().take(written) {
-            match news {
-                // With a datagram to spare it goes again, to be acknowledged.
-                Some(news) if !spare => {
-                    line.waiting.remove(&news);
+        let candidates = self.wave_updates(now, to);
+        let updates: Vec<Update> = candidates.iter().map(|a| a.1.clone()).collect();
+        let written = self.send(now, to, body, &updates, out);
+        let loss_score = self.queues.get(&to).map_or(0, |queue| queue.loss_score);
+        if loss_score >= MIN_LOSSY_SCORE {
+            self.send(now, to, body, &updates, out);
+        }
+        let spare = self.update_tokens >= 1.0;
+        let Some(queue) = self.queues.get_mut(&to) else { return };
+        queue.loss_score = loss_score.saturating_sub(1);
+        for (update_key, _) in candidates.into_iter().take(written) {
+            match update_key {
+                // The budget allows a further datagram: the update is sent again there, to be acknowledged.
+                Some(update_key) if !spare => {
+                    queue.pending.remove(&update_key);
                 }
                 Some(_) => {}
                 None => {
-                    line.idle.pop_front();
+                    queue.locations.pop_front();
                 }
             }
         }
     }
 
-    /// Presses news on neighbours, again until they have it.
-    fn flush(&mut self, now: Ms, out: &mut Vec<Action>) {
-        let due: Vec<NodeId> = (self.lines.iter())
-            .filter(|(_, l)| match &l.out {
-                Some(sent) => now >= sent.again_at,
-                None => !l.waiting.is_empty() && now >= l.since + GATHER_MS,
+    /// Sends queued updates to neighbours until they are acknowledged.
+    fn send_queued(&mut self, now: Ms, out: &mut Vec<Action>) {
+        let due: Vec<NodeId> = (self.queues.iter())
+            .filter(|(_, queue)| match &queue.unacknowledged {
+                Some(sent) => now >= sent.resend_at,
+                None => !queue.pending.is_empty() && now >= queue.pending_since + COLLECT_MS,
             })
             .map(|(n, _)| *n)
             .collect();
         for to in due {
-            let Some(line) = self.lines.get(&to) else { continue };
-            if self.tokens < 1.0 {
+            let Some(queue) = self.queues.get(&to) else { continue };
+            if self.update_tokens < 1.0 {
                 return;
             }
-            let (id, news, tries) = match &line.out {
-                Some(sent) if sent.tries >= RESENDS || !self.members.is_present(to) => {
-                    // It is not there, or cannot answer: comparisons repair that.
-                    self.lines.entry(to).or_default().out = None;
+            let (id, update_keys, sends) = match &queue.unacknowledged {
+                Some(sent) if sent.sends >= MAX_SENDS || !self.members.is_present(to) => {
+                    // The neighbour is not present or cannot answer: comparisons repair the loss.
+                    self.queues.entry(to).or_default().unacknowledged = None;
                     continue;
                 }
-                Some(sent) => (sent.id, sent.news.clone(), sent.tries + 1),
+                Some(sent) => (sent.id, sent.update_keys.clone(), sent.sends + 1),
                 None => {
-                    self.news = self.news.wrapping_add(1);
-                    (self.news, line.waiting.iter().take(24).cloned().collect(), 1)
+                    self.batch_number = self.batch_number.wrapping_add(1);
+                    (self.batch_number, queue.pending.iter().take(24).cloned().collect(), 1)
                 }
             };
-            let known: Vec<(News, Update)> =
-                news.into_iter().filter_map(|n| Some((n.clone(), self.item(now, &n)?))).collect();
-            let items: Vec<Update> = known.iter().map(|k| k.1.clone()).collect();
-            self.tokens -= 1.0;
-            let written = self.send(now, to, &Body::Updates(id), &items, out);
-            let news: Vec<News> = known.into_iter().take(written).map(|k| k.0).collect();
-            let line = self.lines.entry(to).or_default();
-            if tries == 1 {
-                line.waiting.retain(|n| !news.contains(n));
-                line.waiting.retain(|n| !matches!(n, News::KeyLocation(_)));
+            let known: Vec<(UpdateKey, Update)> = update_keys
+                .into_iter()
+                .filter_map(|n| Some((n.clone(), self.current_update(now, &n)?)))
+                .collect();
+            let updates: Vec<Update> = known.iter().map(|k| k.1.clone()).collect();
+            self.update_tokens -= 1.0;
+            let written = self.send(now, to, &Body::Updates(id), &updates, out);
+            let update_keys: Vec<UpdateKey> = known.into_iter().take(written).map(|k| k.0).collect();
+            let queue = self.queues.entry(to).or_default();
+            if sends == 1 {
+                queue.pending.retain(|n| !update_keys.contains(n));
+                queue.pending.retain(|n| !matches!(n, UpdateKey::KeyLocation(_)));
             }
-            let again_at = now + RESEND_MS + 30 * Ms::from(tries);
-            line.out = (!news.is_empty()).then_some(Out { id, news, again_at, tries });
-            if line.out.is_none() {
-                line.waiting.clear();
+            let resend_at = now + RESEND_MS + 30 * Ms::from(sends);
+            queue.unacknowledged =
+                (!update_keys.is_empty()).then_some(SentBatch { id, update_keys, resend_at, sends });
+            if queue.unacknowledged.is_none() {
+                queue.pending.clear();
             }
         }
     }
 
     fn digests(&mut self) -> [u32; 2] {
-        if self.digest.0 != self.members.version() {
-            let classes = self.members.presence_codes(0, self.members.count());
-            self.digest = (self.members.version(), crc32fast::hash(&classes));
+        if self.presence_digest.0 != self.members.version() {
+            let presence_codes = self.members.presence_codes(0, self.members.count());
+            self.presence_digest = (self.members.version(), crc32fast::hash(&presence_codes));
         }
-        [self.digest.1, self.shared.digest()]
+        [self.presence_digest.1, self.shared.digest()]
     }
 
-    /// How far below the root this node is.
+    /// Returns this node's distance from the root.
     fn level(&self) -> u8 {
         if self.parent.is_none() { 0 } else { self.wave.depth.max(1) }
     }
 
-    /// What is counted here and below, of what is young enough.
-    fn counted(&self, now: Ms) -> TenantTotals {
-        let mut all = TenantTotals { tenants: self.own.clone(), counted: 1, age: 0 };
+    /// Returns the totals of this node and the nodes below it, as far as they are recent enough.
+    fn subtree_totals(&self, now: Ms) -> TenantTotals {
+        let mut all = TenantTotals { tenants: self.local_rates.clone(), counted: 1, age: 0 };
         for child in self.children.values().filter(|c| c.totals.counted > 0) {
-            let age = child.totals.age + now.saturating_sub(child.at);
-            // By the time that all others have used it, it must be young enough still: the oldest part of a total
-            // is what its age is, and each level above may miss a wave.
-            if age + PERIOD_MS * (2 + Ms::from(self.level())) <= self.bounds.limits_ms {
+            let age = child.totals.age + now.saturating_sub(child.reported_at);
+            // The totals must still be recent enough when all nodes have used them. Their age is that of
+            // their oldest part, and each level above may miss a wave.
+            if age + PERIOD_MS * (2 + Ms::from(self.level())) <= self.max_ages.limits_ms {
                 all.add(&TenantTotals { age, ..child.totals.clone() });
             }
         }
@@ -637,16 +687,19 @@
         all
     }
 
-    fn report(&mut self, now: Ms, out: &mut Vec<Action>) {
+    fn send_report(&mut self, now: Ms, out: &mut Vec<Action>) {
         let Some(parent) = self.parent else { return };
-        let body =
-            Body::TotalsUp { wave: self.wave.number, totals: self.counted(now), digests: self.digests() };
+        let body = Body::TotalsUp {
+            wave: self.wave.number,
+            totals: self.subtree_totals(now),
+            digests: self.digests(),
+        };
         self.send_wave(now, parent, &body, out);
     }
 
-    fn pass_on(&mut self, now: Ms, to: &[NodeId], out: &mut Vec<Action>) {
-        let Some((totals, made)) = self.total.clone() else { return };
-        let totals = TenantTotals { age: now.saturating_sub(made), ..totals };
+    fn forward_totals(&mut self, now: Ms, to: &[NodeId], out: &mut Vec<Action>) {
+        let Some((totals, created_at)) = self.fleet_totals.clone() else { return };
+        let totals = TenantTotals { age: now.saturating_sub(created_at), ..totals };
         let (root, wave, depth) = (self.wave.root, self.wave.number, self.wave.depth);
         let body = Body::TotalsDown { root, wave, depth, totals, digests: self.digests() };
         for n in to {
@@ -654,207 +707,213 @@
         }
     }
 
-    fn child_nodes(&self) -> Vec<NodeId> {
+    fn present_children(&self) -> Vec<NodeId> {
         self.children.keys().copied().filter(|n| self.members.is_present(*n)).collect()
     }
 
-    fn waves(&mut self, now: Ms, out: &mut Vec<Action>) {
-        let due = if self.parent.is_none() { self.wave_at } else { self.up_at };
-        // Children that have not reported for this wave are asked to.
-        if now + SLOT_MS >= due && !self.children.is_empty() {
-            let since = due.saturating_sub(SLOT_MS);
+    fn tick_waves(&mut self, now: Ms, out: &mut Vec<Action>) {
+        let due = if self.parent.is_none() { self.next_wave_at } else { self.next_report_at };
+        // Request the totals of children that have not reported for this wave.
+        if now + REPORT_SLOT_MS >= due && !self.children.is_empty() {
+            let since = due.saturating_sub(REPORT_SLOT_MS);
             let late: Vec<NodeId> = (self.children.iter())
                 .filter(|(n, c)| {
-                    let overdue = AGAIN_MS.get(c.asked).is_some_and(|ms| now >= since + ms);
-                    overdue && c.at + PERIOD_MS / 2 < due && self.members.is_present(**n)
+                    let is_overdue = REREQUEST_MS.get(c.requests).is_some_and(|ms| now >= since + ms);
+                    is_overdue && c.reported_at + PERIOD_MS / 2 < due && self.members.is_present(**n)
                 })
                 .map(|(n, _)| *n)
                 .collect();
             for n in late {
                 if let Some(child) = self.children.get_mut(&n) {
-                    child.asked += 1;
+                    child.requests += 1;
                 }
                 self.send(now, n, &Body::Resend { up: true, wave: self.wave.number }, &[], out);
             }
         }
         if self.parent.is_none() {
-            if now >= self.wave_at {
-                self.wave_at = (self.wave_at + PERIOD_MS).max(now + PERIOD_MS / 2);
+            if now >= self.next_wave_at {
+                self.next_wave_at = (self.next_wave_at + PERIOD_MS).max(now + PERIOD_MS / 2);
                 let own = self.members.local_state(now).incarnation;
                 let number = self.wave.number.wrapping_add(1);
-                self.wave = Wave { root: (self.members.local_id(), own), number, depth: 0, at: now };
-                let totals = self.counted(now);
-                self.total = Some((totals.clone(), now.saturating_sub(totals.age)));
-                self.children.values_mut().for_each(|c| c.asked = 0);
-                let children = self.child_nodes();
-                self.pass_on(now, &children, out);
+                self.wave =
+                    Wave { root: (self.members.local_id(), own), number, depth: 0, received_at: now };
+                let totals = self.subtree_totals(now);
+                self.fleet_totals = Some((totals.clone(), now.saturating_sub(totals.age)));
+                self.children.values_mut().for_each(|c| c.requests = 0);
+                let children = self.present_children();
+                self.forward_totals(now, &children, out);
             }
             return;
         }
-        if now >= self.up_at {
-            self.up_at = now + PERIOD_MS;
-            self.children.values_mut().for_each(|c| c.asked = 0);
-            self.report(now, out);
+        if now >= self.next_report_at {
+            self.next_report_at = now + PERIOD_MS;
+            self.children.values_mut().for_each(|c| c.requests = 0);
+            self.send_report(now, out);
         }
-        let expected =
-            self.wave.at + PERIOD_MS + AGAIN_LEVEL_MS * Ms::from(self.wave.depth.saturating_sub(1));
-        if AGAIN_MS.get(self.down_asked).is_some_and(|ms| now >= expected + ms)
+        let expected = self.wave.received_at
+            + PERIOD_MS
+            + REREQUEST_LEVEL_MS * Ms::from(self.wave.depth.saturating_sub(1));
+        if REREQUEST_MS.get(self.wave_requests).is_some_and(|ms| now >= expected + ms)
             && let Some(parent) = self.parent
         {
-            self.down_asked += 1;
+            self.wave_requests += 1;
             self.send(now, parent, &Body::Resend { up: false, wave: self.wave.number }, &[], out);
         }
-        if now >= self.wave.at + 2 * PERIOD_MS {
-            // None came: this one counts as missed, and the next is waited for.
-            self.wave.at += PERIOD_MS;
-            self.down_asked = 0;
+        if now >= self.wave.received_at + 2 * PERIOD_MS {
+            // No wave came: count it as missed and wait for the next.
+            self.wave.received_at += PERIOD_MS;
+            self.wave_requests = 0;
         }
     }
 
-    fn heard(&mut self, now: Ms, from: NodeId, bytes: &[u8], out: &mut Vec<Action>) {
+    fn handle_datagram(&mut self, now: Ms, from: NodeId, bytes: &[u8], out: &mut Vec<Action>) {
         let rejected = &mut self.counts.rejected;
-        let (head, body, items) = match datagram::decode(bytes) {
-            Ok(read) => read,
+        let (header, body, updates) = match datagram::decode(bytes) {
+            Ok(decoded) => decoded,
             Err(DatagramError::Version(_)) => return rejected.version += 1,
             Err(_) => return rejected.corrupt += 1,
         };
-        if head.from != from || from == self.members.local_id() {
+        if header.from != from || from == self.members.local_id() {
             return rejected.wrong_sender += 1;
         }
-        let Some(seen) = self.seen.get_mut(usize::from(from)) else { return rejected.wrong_sender += 1 };
-        let known = self.members.state(from).map_or(0, |l| l.incarnation);
-        if seen.incarnation > known {
-            // Its numbers were believed by mistake, or it went back to what the others know.
-            *seen = Seen::default();
+        let Some(window) = self.replay_windows.get_mut(usize::from(from)) else {
+            return rejected.wrong_sender += 1;
+        };
+        let known = self.members.state(from).map_or(0, |state| state.incarnation);
+        if window.incarnation > known {
+            // The incarnation was accepted by mistake, or the member went back to the one that the other
+            // nodes know.
+            *window = ReplayWindow::default();
         }
-        if !seen.fresh(head.state.incarnation, head.number) {
+        if !window.accept(header.state.incarnation, header.number) {
             rejected.replayed += 1;
-            if self.members.state(from).is_some_and(|known| head.state < known) {
-                // Should it be a start with lower numbers, it hears of that.
-                let item = self.members.state(from).map(|l| Update::Member(from, l));
-                let items: Vec<Update> = item.into_iter().collect();
+            if self.members.state(from).is_some_and(|known| header.state < known) {
+                // If the sender restarted with lower numbers, it learns the known ones from this.
+                let update = self.members.state(from).map(|state| Update::Member(from, state));
+                let updates: Vec<Update> = update.into_iter().collect();
                 self.send(
                     now,
                     from,
                     &Body::MembershipCheck(Message::Ping(self.members.local_id())),
-                    &items,
+                    &updates,
                     out,
                 );
             }
             return;
         }
         self.counts.received += 1;
-        let was = self.members.state(from).map(|l| l.status);
+        let previous_status = self.members.state(from).map(|state| state.status);
         let mut outputs = Vec::new();
-        self.members.heard_from(now, from, head.state, &mut outputs);
+        self.members.heard_from(now, from, header.state, &mut outputs);
         self.carry_out(now, outputs, Some(from), out);
-        for item in items {
-            self.learn(now, from, item, out);
+        for update in updates {
+            self.apply_update(now, from, update, out);
         }
-        if was == Some(Status::Dead) && self.members.is_present(from) {
-            // Back from beyond a cut, perhaps with others: both compare whom they know.
-            self.compare(now, from, out);
+        if previous_status == Some(Status::Dead) && self.members.is_present(from) {
+            // The member returns after a network partition, perhaps with others: compare both views of the
+            // membership.
+            self.send_comparison(now, from, out);
         }
-        self.settle(now, out);
-        self.take(now, from, body, out);
+        self.update_tree(now, out);
+        self.handle_body(now, from, body, out);
     }
 
-    fn learn(&mut self, now: Ms, from: NodeId, item: Update, out: &mut Vec<Action>) {
-        match item {
+    fn apply_update(&mut self, now: Ms, from: NodeId, update: Update, out: &mut Vec<Action>) {
+        match update {
             Update::Member(node, state) => {
                 let (draw, mut outputs) = (self.rng.u64(..), Vec::new());
-                let news = self.members.apply_update(now, node, state, draw, &mut outputs);
+                let is_new = self.members.apply_update(now, node, state, draw, &mut outputs);
                 self.carry_out(now, outputs, Some(from), out);
                 let known = self.members.state(node);
-                if !news
+                if !is_new
                     && known
                         .is_some_and(|k| k > state && k.status.is_present() != state.status.is_present())
                 {
-                    // The teller is behind.
-                    let line = self.lines.entry(from).or_default();
-                    Gossip::wait(line, now, News::Member(node));
+                    // The sender's view is outdated.
+                    let queue = self.queues.entry(from).or_default();
+                    Gossip::enqueue(queue, now, UpdateKey::Member(node));
                 }
             }
-            Update::Verdict(server, node, finding, age) => {
-                let made = now.saturating_sub(age);
+            Update::Verdict(server, node, verdict, age) => {
+                let created_at = now.saturating_sub(age);
                 if node == self.members.local_id() || usize::from(node) >= self.members.count() {
                     return;
                 }
-                if self.shared.merge_verdict(server, node, finding, made) {
-                    self.spread(now, &News::Verdict(server, node), Some(from));
-                    if age <= self.bounds.verdicts_ms {
-                        let Verdict { start, failing, .. } = finding;
+                if self.shared.merge_verdict(server, node, verdict, created_at) {
+                    self.disseminate(now, &UpdateKey::Verdict(server, node), Some(from));
+                    if age <= self.max_ages.verdicts_ms {
+                        let Verdict { start, failing, .. } = verdict;
                         out.push(Action::Verdict { server, start, node, failing, age });
                     }
                 }
             }
-            Update::KeyLocation(key, place, age) => {
-                let young = age <= self.bounds.affinity_ms;
-                if young && self.shared.merge_location(key, place, now.saturating_sub(age)) {
-                    self.spread(now, &News::KeyLocation(key), Some(from));
-                    out.push(Action::KeyLocation { key, server: place.server, age });
+            Update::KeyLocation(key, location, age) => {
+                let is_recent = age <= self.max_ages.affinity_ms;
+                if is_recent && self.shared.merge_location(key, location, now.saturating_sub(age)) {
+                    self.disseminate(now, &UpdateKey::KeyLocation(key), Some(from));
+                    out.push(Action::KeyLocation { key, server: location.server, age });
                 }
             }
-            Update::OperatorOrder(server, word, age) => {
-                if self.shared.merge_order(&server, word, now.saturating_sub(age)) {
-                    self.spread(now, &News::OperatorOrder(server.clone()), Some(from));
+            Update::OperatorOrder(subject, order, age) => {
+                if self.shared.merge_order(&subject, order, now.saturating_sub(age)) {
+                    self.disseminate(now, &UpdateKey::OperatorOrder(subject.clone()), Some(from));
                     out.push(Action::OperatorOrder {
-                        subject: server,
-                        cordoned: word.cordoned,
-                        for_s: word.for_s,
+                        subject,
+                        cordoned: order.cordoned,
+                        for_s: order.for_s,
                         age,
                     });
-                } else if self.shared.operator_order(&server).is_some_and(|known| known.value > word) {
-                    // The teller is behind.
-                    let line = self.lines.entry(from).or_default();
-                    Gossip::wait(line, now, News::OperatorOrder(server));
+                } else if self.shared.operator_order(&subject).is_some_and(|known| known.value > order) {
+                    // The sender's view is outdated.
+                    let queue = self.queues.entry(from).or_default();
+                    Gossip::enqueue(queue, now, UpdateKey::OperatorOrder(subject));
                 }
             }
         }
     }
 
-    fn compare(&mut self, now: Ms, with: NodeId, out: &mut Vec<Action>) {
+    fn send_comparison(&mut self, now: Ms, to: NodeId, out: &mut Vec<Action>) {
         let count = self.members.count();
         let first =
             if count > MAX_COMPARED_MEMBERS { self.rng.usize(..=count - MAX_COMPARED_MEMBERS) } else { 0 };
         let first = NodeId::try_from(first).unwrap_or(0);
         let presence_codes = self.members.presence_codes(first, MAX_COMPARED_MEMBERS);
         let orders_digest = self.shared.digest();
-        self.send(now, with, &Body::Comparison { first, presence_codes, orders_digest }, &[], out);
+        self.send(now, to, &Body::Comparison { first, presence_codes, orders_digest }, &[], out);
     }
 
-    fn take(&mut self, now: Ms, from: NodeId, body: Body, out: &mut Vec<Action>) {
+    fn handle_body(&mut self, now: Ms, from: NodeId, body: Body, out: &mut Vec<Action>) {
         match body {
             Body::TotalsUp { mut totals, .. } => {
                 totals.trim();
                 if Some(from) == self.parent || !self.members.is_present(from) {
                     return;
                 }
-                let new = !self.children.contains_key(&from);
+                let is_new_child = !self.children.contains_key(&from);
                 let child = self.children.entry(from).or_default();
-                *child = Child { totals, at: now, asked: child.asked };
-                if new {
-                    // By its view it reports here: it hears what goes down, too.
+                *child = Child { totals, reported_at: now, requests: child.requests };
+                if is_new_child {
+                    // By its own view of the tree the sender reports here, so it gets the waves, too.
                     self.neighbours.push(from);
                 }
             }
             Body::TotalsDown { root, wave, depth, mut totals, digests } => {
                 totals.trim();
-                self.down(
+                self.handle_totals_down(
                     now,
                     from,
-                    Wave { root, number: wave, depth: depth.saturating_add(1), at: now },
+                    Wave { root, number: wave, depth: depth.saturating_add(1), received_at: now },
                     totals,
                     out,
                 );
                 let own = self.digests();
-                self.unlike = if digests == own { 0 } else { self.unlike + 1 };
-                let settled = now.saturating_sub(self.changed) > UNDER_WAY_MS;
-                if self.unlike >= if settled { 1 } else { 2 } {
-                    self.unlike = 0;
-                    self.compare(now, from, out);
+                self.digest_mismatches = if digests == own { 0 } else { self.digest_mismatches + 1 };
+                let is_settled = now.saturating_sub(self.status_changed_at) > SETTLE_MS;
+                if self.digest_mismatches >= if is_settled { 1 } else { 2 } {
+                    self.digest_mismatches = 0;
+                    self.send_comparison(now, from, out);
                     if digests[1] != own[1] {
-                        self.tell_words(now, from, out);
+                        self.send_orders(now, from, out);
                     }
                 }
             }
@@ -862,23 +921,23 @@
                 self.send(now, from, &Body::Ack(id), &[], out);
             }
             Body::Ack(id) => {
-                if let Some(line) = self.lines.get_mut(&from)
-                    && line.out.as_ref().is_some_and(|o| o.id == id)
+                if let Some(queue) = self.queues.get_mut(&from)
+                    && queue.unacknowledged.as_ref().is_some_and(|o| o.id == id)
                 {
-                    line.out = None;
-                    line.since = now.saturating_sub(GATHER_MS);
+                    queue.unacknowledged = None;
+                    queue.pending_since = now.saturating_sub(COLLECT_MS);
                 }
             }
             Body::Resend { up: true, .. } => {
                 if Some(from) == self.parent {
-                    self.lost(from);
-                    self.report(now, out);
+                    self.record_loss(from);
+                    self.send_report(now, out);
                 }
             }
             Body::Resend { up: false, wave } => {
-                if wave != self.wave.number && now.saturating_sub(self.wave.at) < PERIOD_MS {
-                    self.lost(from);
-                    self.pass_on(now, &[from], out);
+                if wave != self.wave.number && now.saturating_sub(self.wave.received_at) < PERIOD_MS {
+                    self.record_loss(from);
+                    self.forward_totals(now, &[from], out);
                 }
             }
             Body::MembershipCheck(message) => {
@@ -887,40 +946,48 @@
                 self.carry_out(now, outputs, Some(from), out);
             }
             Body::Comparison { first, presence_codes, orders_digest } => {
-                self.compared(now, from, first, &presence_codes, orders_digest, out)
+                self.handle_comparison(now, from, first, &presence_codes, orders_digest, out)
             }
         }
     }
 
-    fn lost(&mut self, to: NodeId) {
-        let line = self.lines.entry(to).or_default();
-        line.lossy = (line.lossy + LOST).min(4 * LOSSY);
+    fn record_loss(&mut self, to: NodeId) {
+        let queue = self.queues.entry(to).or_default();
+        queue.loss_score = (queue.loss_score + LOSS_SCORE_STEP).min(4 * MIN_LOSSY_SCORE);
     }
 
-    /// A wave from the root: taken and passed on if it is a newer one.
-    fn down(&mut self, now: Ms, from: NodeId, wave: Wave, totals: TenantTotals, out: &mut Vec<Action>) {
+    /// Handles a wave from the root: accepts it and passes it on if it is newer.
+    fn handle_totals_down(
+        &mut self,
+        now: Ms,
+        from: NodeId,
+        wave: Wave,
+        totals: TenantTotals,
+        out: &mut Vec<Action>,
+    ) {
         if self.parent.is_none() || wave.root.0 == self.members.local_id() {
             return;
         }
-        let stale = now.saturating_sub(self.wave.at) > 2 * PERIOD_MS;
-        let newer = if wave.root == self.wave.root {
-            wave.number > self.wave.number || stale
+        let is_stale = now.saturating_sub(self.wave.received_at) > 2 * PERIOD_MS;
+        let is_newer = if wave.root == self.wave.root {
+            wave.number > self.wave.number || is_stale
         } else {
-            Some(from) == self.parent || stale
+            Some(from) == self.parent || is_stale
         };
-        if !newer {
+        if !is_newer {
             return;
         }
         self.wave = wave;
-        self.down_asked = 0;
-        self.up_at = now + PERIOD_MS - (SLOT_MS * Ms::from(wave.depth)).min(PERIOD_MS - SLOT_MS);
-        self.total = Some((totals.clone(), now.saturating_sub(totals.age)));
-        let children = self.child_nodes();
-        self.pass_on(now, &children, out);
+        self.wave_requests = 0;
+        self.next_report_at =
+            now + PERIOD_MS - (REPORT_SLOT_MS * Ms::from(wave.depth)).min(PERIOD_MS - REPORT_SLOT_MS);
+        self.fleet_totals = Some((totals.clone(), now.saturating_sub(totals.age)));
+        let children = self.present_children();
+        self.forward_totals(now, &children, out);
     }
 
-    /// Another knows these statuses: it hears of those that are others here.
-    fn compared(
+    /// Handles another node's presence codes: sends it the states that differ here.
+    fn handle_comparison(
         &mut self,
         now: Ms,
         from: NodeId,
@@ -930,55 +997,58 @@
         out: &mut Vec<Action>,
     ) {
         let own = self.members.presence_codes(first, presence_codes.len());
-        let unlike =
+        let differing =
             own.iter().zip(presence_codes).zip(first..).filter(|((a, b), _)| a != b).map(|(_, n)| n);
-        let known = unlike.filter_map(|n| Some((n, self.members.state(n)?)));
-        // Of one that was never heard here there is nothing to tell but that it is gone.
-        let (told, unheard): (Vec<_>, Vec<_>) =
-            known.partition(|(_, l)| l.incarnation > 0 || !l.status.is_present());
-        let mut items: Vec<Update> = told.into_iter().map(|(n, l)| Update::Member(n, l)).collect();
-        if !unheard.is_empty() && self.tokens >= 1.0 {
-            // The other one knows more of it, and says so when asked the same.
-            self.tokens -= 1.0;
-            self.compare(now, from, out);
-        }
-        if items.len() > DIFFERENCES {
-            // The lowest have most below them; of the others some, by lot.
-            if let Some(others) = items.get_mut(LOWEST..) {
+        let known = differing.filter_map(|n| Some((n, self.members.state(n)?)));
+        // Of a member that was never heard here, only the status dead is sent.
+        let (heard, unheard): (Vec<_>, Vec<_>) =
+            known.partition(|(_, state)| state.incarnation > 0 || !state.status.is_present());
+        let mut updates: Vec<Update> =
+            heard.into_iter().map(|(node, state)| Update::Member(node, state)).collect();
+        if !unheard.is_empty() && self.update_tokens >= 1.0 {
+            // The other node knows more about the member and sends it in response to a comparison.
+            self.update_tokens -= 1.0;
+            self.send_comparison(now, from, out);
+        }
+        if updates.len() > MAX_DIFFERENCES {
+            // The lowest members have the most nodes below them; of the others a random part is sent.
+            if let Some(others) = updates.get_mut(MAX_LOWEST_DIFFERENCES..) {
                 self.rng.shuffle(others);
             }
-            items.truncate(DIFFERENCES);
+            updates.truncate(MAX_DIFFERENCES);
         }
-        self.press(now, from, &items, out);
+        self.send_now(now, from, &updates, out);
         if orders_digest != self.shared.digest() {
-            self.tell_words(now, from, out);
+            self.send_orders(now, from, out);
         }
     }
 
-    fn tell_words(&mut self, now: Ms, to: NodeId, out: &mut Vec<Action>) {
-        let all: Vec<String> = self.shared.orders().map(|w| w.0.to_owned()).collect();
-        let items: Vec<Update> =
-            all.into_iter().filter_map(|w| self.item(now, &News::OperatorOrder(w))).collect();
-        self.press(now, to, &items, out);
+    fn send_orders(&mut self, now: Ms, to: NodeId, out: &mut Vec<Action>) {
+        let all: Vec<String> = self.shared.orders().map(|order| order.0.to_owned()).collect();
+        let updates: Vec<Update> = all
+            .into_iter()
+            .filter_map(|subject| self.current_update(now, &UpdateKey::OperatorOrder(subject)))
+            .collect();
+        self.send_now(now, to, &updates, out);
     }
 
-    /// Sends items at once, in as many datagrams as they need and the budget has.
-    fn press(&mut self, now: Ms, to: NodeId, items: &[Update], out: &mut Vec<Action>) {
-        let mut left = items;
-        while !left.is_empty() && self.tokens >= 1.0 {
-            self.tokens -= 1.0;
-            self.news = self.news.wrapping_add(1);
-            let written = self.send(now, to, &Body::Updates(self.news), left, out);
-            left = left.get(written.max(1)..).unwrap_or_default();
+    /// Sends updates at once, in as many datagrams as they need and the budget allows.
+    fn send_now(&mut self, now: Ms, to: NodeId, updates: &[Update], out: &mut Vec<Action>) {
+        let mut remaining = updates;
+        while !remaining.is_empty() && self.update_tokens >= 1.0 {
+            self.update_tokens -= 1.0;
+            self.batch_number = self.batch_number.wrapping_add(1);
+            let written = self.send(now, to, &Body::Updates(self.batch_number), remaining, out);
+            remaining = remaining.get(written.max(1)..).unwrap_or_default();
         }
     }
 
-    /// Ages of the verdicts and places that may be used now.
+    /// Returns the ages of the verdicts and key locations that may be used now, in milliseconds.
     pub fn ages(&self, now: Ms) -> (Vec<Ms>, Vec<Ms>) {
-        self.shared.ages(now, self.bounds.verdicts_ms)
+        self.shared.ages(now, self.max_ages.verdicts_ms)
     }
 
-    /// What this node says of itself.
+    /// Returns the state that this node reports of itself.
     pub fn local_state(&mut self, now: Ms) -> MemberState {
         self.members.local_state(now)
     }
