--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -304,7 +304,7 @@
 
     /// Records that a client arrived with a request, before its first try.
     pub fn client_arrived(&mut self, arrival: &Arrival) {
-        if arrival.wrong {
+        if arrival.invalid {
             // An invalid request must be answered, but has no worth.
             return;
         }
@@ -1070,9 +1070,9 @@
             key: 1,
             work_ms: 10.0,
             hint_ms: None,
-            honours: true,
+            honours_retry_after: true,
             slow: false,
-            wrong: false,
+            invalid: false,
         }
     }
 
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -1,4 +1,5 @@
-//! What a seed decides of a day: machines, who is met by which trouble, and every client's arrival, ahead of time.
+//! The plan of a run, drawn from a scenario and a seed ahead of time: machines, targets of faults, and
+//! every client's arrival.
 
 use crate::scenario::{FaultKind, Scenario};
 use rand::seq::SliceRandom;
@@ -6,269 +7,277 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Zipf};
 
-/// A server as drawn.
+/// A server, as drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Machine {
     /// Its name in discovery's list.
     pub name: String,
-    /// Number of its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Speed of a core.
+    /// Speed of a core; 1 is the reference speed in which work is measured.
     pub speed: f64,
-    /// How late discovery learns of its changes, in milliseconds.
+    /// Delay until discovery notices a change of this server, in milliseconds.
     pub notice_ms: f64,
 }
 
-/// One end of a link, or all that a trouble meets.
+/// The parties that a fault affects, or one end of a faulty link.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
-    /// Servers, by number.
+pub struct Parties {
+    /// Indices of servers.
     pub servers: Vec<usize>,
-    /// Nodes, by number.
+    /// Indices of nodes.
     pub nodes: Vec<usize>,
-    /// Zones whose clients are meant.
+    /// Indices of zones whose clients are affected.
     pub clients: Vec<usize>,
-    /// Discovery.
+    /// True if discovery is affected.
     pub discovery: bool,
 }
 
-/// A trouble with its members drawn.
+/// A fault with its targets drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
-    /// Its place in the scenario.
+    /// Its index in the scenario.
     pub number: usize,
-    /// When it begins, in milliseconds of the day.
+    /// Start, in milliseconds of the run.
     pub at_ms: f64,
-    /// When it ends; none where it has no length.
+    /// End, in milliseconds of the run; `None` if it has no duration.
     pub until_ms: Option<f64>,
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Whom it meets.
-    pub on: Ends,
-    /// The other end of a link.
-    pub to: Ends,
-    /// How much of it.
+    /// The parties that it affects.
+    pub on: Parties,
+    /// The other end of a faulty link.
+    pub to: Parties,
+    /// Magnitude, in the unit that the kind defines.
     pub size: f64,
-    /// What is said.
+    /// Text of an operator's call, an order to a release, or a tenant's name, depending on the kind.
     pub say: String,
 }
 
-/// A client's first try.
+/// A client's request, at its first try.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its number in the day.
+    /// Its number within the run.
     pub number: u64,
-    /// When, in milliseconds of the day.
+    /// Arrival time, in milliseconds of the run.
     pub at_ms: f64,
-    /// Class, by number.
+    /// Index of its class.
     pub class: usize,
-    /// Tenant, by number.
+    /// Index of its tenant.
     pub tenant: usize,
-    /// Zone of its client, by number.
+    /// Index of its client's zone.
     pub zone: usize,
     /// Its key.
     pub key: u64,
     /// Work at a server that does not know the key, in milliseconds of a core of speed 1.
     pub work_ms: f64,
-    /// What the client says of that.
+    /// The client's estimate of that work, in milliseconds; `None` if it sends no hint.
     pub hint_ms: Option<f64>,
-    /// It heeds Retry-After.
-    pub honours: bool,
-    /// It writes slowly.
+    /// True if the client honours Retry-After.
+    pub honours_retry_after: bool,
+    /// True if the client sends slowly.
     pub slow: bool,
-    /// It asks for what no server takes.
-    pub wrong: bool,
+    /// True if the request is invalid for every server.
+    pub invalid: bool,
 }
 
-/// What passes a link.
+/// What a link lets through.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Passing {
-    /// From the node to the other end.
-    pub there: bool,
-    /// From the other end to the node.
-    pub back: bool,
-    /// One way, in milliseconds, beyond what the network takes anyway.
+pub struct LinkState {
+    /// True if traffic from the node to the other end passes.
+    pub outbound: bool,
+    /// True if traffic from the other end to the node passes.
+    pub inbound: bool,
+    /// Additional one-way delay, in milliseconds.
     pub delay_ms: f64,
 }
 
-impl Passing {
-    /// All of it, at once.
-    pub const FREE: Passing = Passing { there: true, back: true, delay_ms: 0.0 };
+impl LinkState {
+    /// Everything passes without additional delay.
+    pub const OPEN: LinkState = LinkState { outbound: true, inbound: true, delay_ms: 0.0 };
 }
 
-/// What passes between a node and a party, by all faults of links. Where a fault names no other end, all that it
-/// does not name is meant.
-pub fn passing(faults: &[&PlannedFault], node: usize, party: &dyn Fn(&Ends) -> bool) -> Passing {
-    let mut all = Passing::FREE;
+/// Returns the state of the link between a node and a party under all active link faults. Where a fault
+/// names no other end, the other end is everything that it does not name.
+pub fn link_state(faults: &[&PlannedFault], node: usize, party: &dyn Fn(&Parties) -> bool) -> LinkState {
+    let mut all = LinkState::OPEN;
     for f in faults {
         let one_way = f.kind == FaultKind::LinkOneWay;
         if !matches!(f.kind, FaultKind::LinkCut | FaultKind::LinkOneWay | FaultKind::LinkDelay) {
             continue;
         }
-        let other = f.to == Ends::default();
-        let (node_on, party_on) = (f.on.nodes.contains(&node), party(&f.on));
-        let node_to = if other { !node_on } else { f.to.nodes.contains(&node) };
-        let party_to = if other { !party_on } else { party(&f.to) };
-        let (from_node, to_node) = (node_on && party_to, party_on && node_to);
+        let to_is_rest = f.to == Parties::default();
+        let (on_has_node, on_has_party) = (f.on.nodes.contains(&node), party(&f.on));
+        let to_has_node = if to_is_rest { !on_has_node } else { f.to.nodes.contains(&node) };
+        let to_has_party = if to_is_rest { !on_has_party } else { party(&f.to) };
+        let (from_node, to_node) = (on_has_node && to_has_party, on_has_party && to_has_node);
         if f.kind == FaultKind::LinkDelay {
             if from_node || to_node {
                 all.delay_ms += f.size.max(0.0);
             }
         } else {
-            all.there &= !(from_node || (to_node && !one_way));
-            all.back &= !(to_node || (from_node && !one_way));
+            all.outbound &= !(from_node || (to_node && !one_way));
+            all.inbound &= !(to_node || (from_node && !one_way));
         }
     }
     all
 }
 
-/// A day, drawn.
+/// The plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// The scenario that it was drawn from.
     pub scenario: Scenario,
-    /// By which seed.
+    /// The seed that it was drawn with.
     pub seed: u64,
     /// The servers.
     pub machines: Vec<Machine>,
-    /// Zone of each node.
+    /// Index of each node's zone.
     pub node_zones: Vec<usize>,
-    /// The troubles, in the order of their beginnings.
+    /// The faults, ordered by start.
     pub faults: Vec<PlannedFault>,
-    /// First tries a second, in usual times.
+    /// First tries per second while no fault changes the load.
     pub rate: f64,
 }
 
-/// Spreads the bits of a number over all of it.
+/// Mixes the bits of a number (the finalizer of SplitMix64).
 pub fn mix_bits(mut h: u64) -> u64 {
     h = (h ^ (h >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     h = (h ^ (h >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     h ^ (h >> 31)
 }
 
-/// Such a number as one from 0 up to 1.
-pub fn unit(h: u64) -> f64 {
+/// Maps 64 mixed bits to a number in [0, 1).
+pub fn unit_interval(h: u64) -> f64 {
     (h >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// A source of draws for one purpose, so that more draws of one thing move no other.
-fn rng(seed: u64, purpose: u64) -> ChaCha8Rng {
+/// Returns a random generator for one purpose. Each purpose has a stream of its own, which keeps the draws
+/// of one independent of how many another makes.
+fn generator(seed: u64, purpose: u64) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(purpose);
     rng
 }
 
-fn between(rng: &mut ChaCha8Rng, range: [f64; 2]) -> f64 {
+fn uniform(rng: &mut ChaCha8Rng, range: [f64; 2]) -> f64 {
     range[0] + (range[1] - range[0]) * rng.random::<f64>()
 }
 
 impl Plan {
-    /// Draws a day.
+    /// Draws the plan of a run.
     pub fn draw(scenario: &Scenario, seed: u64) -> Plan {
-        let f = &scenario.fleet;
-        let mut draws = rng(seed, 1);
-        let machines: Vec<Machine> = (0..f.servers)
+        let fleet = &scenario.fleet;
+        let mut draws = generator(seed, 1);
+        let machines: Vec<Machine> = (0..fleet.servers)
             .map(|n| Machine {
                 name: format!("s-{n}"),
-                zone: n % f.zones.len(),
-                speed: between(&mut draws, f.speed),
-                notice_ms: 1000.0 * between(&mut draws, scenario.discovery.notice_s),
+                zone: n % fleet.zones.len(),
+                speed: uniform(&mut draws, fleet.speed),
+                notice_ms: 1000.0 * uniform(&mut draws, scenario.discovery.notice_s),
             })
             .collect();
-        let node_zones = (0..f.nodes).map(|n| n % f.zones.len()).collect();
-        let mean_work = mean_work(scenario);
-        let capacity: f64 = machines.iter().map(|m| m.speed * f.cores * 1000.0 / mean_work).sum();
+        let node_zones = (0..fleet.nodes).map(|n| n % fleet.zones.len()).collect();
+        let mean_work_ms = mean_work_ms(scenario);
+        let capacity_per_s: f64 =
+            machines.iter().map(|m| m.speed * fleet.cores * 1000.0 / mean_work_ms).sum();
         let rate = if scenario.load.rate > 0.0 {
             scenario.load.rate
         } else {
-            scenario.load.of_capacity * capacity
+            scenario.load.of_capacity * capacity_per_s
         };
         let mut plan =
             Plan { scenario: scenario.clone(), seed, machines, node_zones, faults: Vec::new(), rate };
-        let mut draws = rng(seed, 2);
-        for (number, t) in scenario.trouble.iter().enumerate() {
-            let mut ends = |words: &[toml::Spanned<String>]| {
-                let mut ends = Ends::default();
-                words.iter().for_each(|w| plan.name(w.get_ref(), t.kind, &mut draws, &mut ends));
-                ends
+        let mut draws = generator(seed, 2);
+        for (number, fault) in scenario.trouble.iter().enumerate() {
+            let mut parties = |words: &[toml::Spanned<String>]| {
+                let mut parties = Parties::default();
+                words
+                    .iter()
+                    .for_each(|w| plan.add_parties(w.get_ref(), fault.kind, &mut draws, &mut parties));
+                parties
             };
-            let (on, to) = (ends(&t.on), ends(&t.to));
-            let at_ms = t.at_s * 1000.0;
-            let until_ms = (t.for_s > 0.0).then_some(at_ms + t.for_s * 1000.0);
-            let (size, say) = (t.size, t.say.clone());
-            plan.faults.push(PlannedFault { number, at_ms, until_ms, kind: t.kind, on, to, size, say });
+            let (on, to) = (parties(&fault.on), parties(&fault.to));
+            let at_ms = fault.at_s * 1000.0;
+            let until_ms = (fault.for_s > 0.0).then_some(at_ms + fault.for_s * 1000.0);
+            let (size, say) = (fault.size, fault.say.clone());
+            plan.faults.push(PlannedFault { number, at_ms, until_ms, kind: fault.kind, on, to, size, say });
         }
         plan.faults.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         plan
     }
 
-    /// Adds what a word names: servers or nodes by what the trouble meets, everything of a zone for a link.
-    fn name(&self, word: &str, kind: FaultKind, draws: &mut ChaCha8Rng, ends: &mut Ends) {
+    /// Adds the parties that a word of the scenario names: servers or nodes, depending on the kind of the
+    /// fault, and for a link fault everything in a zone.
+    fn add_parties(&self, word: &str, kind: FaultKind, draws: &mut ChaCha8Rng, parties: &mut Parties) {
         let of_nodes = kind.of_nodes();
-        let link = matches!(kind, FaultKind::LinkCut | FaultKind::LinkOneWay | FaultKind::LinkDelay);
+        let is_link_fault =
+            matches!(kind, FaultKind::LinkCut | FaultKind::LinkOneWay | FaultKind::LinkDelay);
         let (servers, nodes) = (self.machines.len(), self.node_zones.len());
         let zones = self.scenario.fleet.zones.len();
         match word {
-            "all" if of_nodes => ends.nodes.extend(0..nodes),
-            "all" if link => {
-                ends.servers.extend(0..servers);
-                ends.nodes.extend(0..nodes);
-                ends.clients.extend(0..zones);
-                ends.discovery = true;
+            "all" if of_nodes => parties.nodes.extend(0..nodes),
+            "all" if is_link_fault => {
+                parties.servers.extend(0..servers);
+                parties.nodes.extend(0..nodes);
+                parties.clients.extend(0..zones);
+                parties.discovery = true;
             }
-            "all" | "servers" => ends.servers.extend(0..servers),
-            "nodes" => ends.nodes.extend(0..nodes),
-            "clients" => ends.clients.extend(0..zones),
-            "discovery" => ends.discovery = true,
+            "all" | "servers" => parties.servers.extend(0..servers),
+            "nodes" => parties.nodes.extend(0..nodes),
+            "clients" => parties.clients.extend(0..zones),
+            "discovery" => parties.discovery = true,
             _ => {
                 if let Some(zone) = word.strip_prefix("zone:") {
                     let Some(zone) = self.scenario.fleet.zones.iter().position(|z| z == zone) else {
                         return;
                     };
                     if !of_nodes {
-                        ends.servers.extend((0..servers).filter(|s| self.machines[*s].zone == zone));
+                        parties.servers.extend((0..servers).filter(|s| self.machines[*s].zone == zone));
                     }
-                    if of_nodes || link {
-                        ends.nodes.extend((0..nodes).filter(|n| self.node_zones[*n] == zone));
+                    if of_nodes || is_link_fault {
+                        parties.nodes.extend((0..nodes).filter(|n| self.node_zones[*n] == zone));
                     }
-                    ends.clients.push(zone);
+                    parties.clients.push(zone);
                 } else if let Some(part) = word.strip_prefix("part:").and_then(|p| p.parse::<f64>().ok()) {
                     let all = if of_nodes { nodes } else { servers };
                     let mut order: Vec<usize> = (0..all).collect();
                     order.shuffle(draws);
                     order.truncate(((all as f64 * part).round() as usize).max(1));
                     order.sort_unstable();
-                    if of_nodes { &mut ends.nodes } else { &mut ends.servers }.extend(order);
+                    if of_nodes { &mut parties.nodes } else { &mut parties.servers }.extend(order);
                 } else if let Some(n) = word.strip_prefix('s').and_then(|n| n.parse().ok()) {
-                    ends.servers.push(n);
+                    parties.servers.push(n);
                 } else if let Some(n) = word.strip_prefix('n').and_then(|n| n.parse().ok()) {
-                    ends.nodes.push(n);
+                    parties.nodes.push(n);
                 }
             }
         }
     }
 
-    /// The arrivals, one after the other; the same each time.
+    /// Returns the arrivals in order; every call yields the same sequence.
     pub fn arrivals(&self) -> Arrivals<'_> {
-        let s = &self.scenario;
-        let keys = Zipf::new(s.load.keys.max(1) as f64, s.load.zipf).ok();
-        let zones = (0..s.fleet.zones.len()).map(|z| (1.0 - s.load.zone_skew).powi(z as i32)).collect();
+        let scenario = &self.scenario;
+        let keys = Zipf::new(scenario.load.keys.max(1) as f64, scenario.load.zipf).ok();
+        let zones = (0..scenario.fleet.zones.len())
+            .map(|z| (1.0 - scenario.load.zone_skew).powi(z as i32))
+            .collect();
         Arrivals {
             plan: self,
-            rng: rng(self.seed, 3),
+            rng: generator(self.seed, 3),
             keys,
-            classes: s.class.iter().map(|c| c.share).collect(),
-            tenants: s.tenant.iter().map(|t| t.share).collect(),
+            classes: scenario.class.iter().map(|c| c.share).collect(),
+            tenants: scenario.tenant.iter().map(|t| t.share).collect(),
             zones,
             at_ms: 0.0,
             number: 0,
         }
     }
 
-    /// How many times as often clients of a zone and tenant come at a moment.
-    fn factor(&self, at_ms: f64, zone: usize, tenant: usize) -> f64 {
-        let on = |f: &&PlannedFault| at_ms >= f.at_ms && f.until_ms.is_none_or(|u| at_ms < u);
-        self.faults.iter().filter(on).fold(1.0, |all, f| match f.kind {
+    /// Returns the factor on the arrival rate of a zone's and tenant's clients at a given time.
+    fn rate_factor(&self, at_ms: f64, zone: usize, tenant: usize) -> f64 {
+        let is_active = |f: &&PlannedFault| at_ms >= f.at_ms && f.until_ms.is_none_or(|u| at_ms < u);
+        self.faults.iter().filter(is_active).fold(1.0, |all, f| match f.kind {
             FaultKind::Burst => all * f.size,
             FaultKind::ZoneBurst if f.on.clients.contains(&zone) => all * f.size,
             FaultKind::TenantFlood if self.scenario.tenant[tenant].name == f.say => all * f.size,
@@ -276,34 +285,34 @@
         })
     }
 
-    fn most(&self) -> f64 {
-        let more = |f: &PlannedFault| {
+    fn max_rate_factor(&self) -> f64 {
+        let raises_rate = |f: &PlannedFault| {
             matches!(f.kind, FaultKind::Burst | FaultKind::ZoneBurst | FaultKind::TenantFlood)
         };
-        self.faults.iter().filter(|f| more(f)).map(|f| f.size.max(1.0)).product()
+        self.faults.iter().filter(|f| raises_rate(f)).map(|f| f.size.max(1.0)).product()
     }
 
-    /// Part of the clients that a trouble of theirs meets.
-    fn part(&self, kind: FaultKind, at_ms: f64) -> f64 {
-        let on =
+    /// Returns the share of the clients that an active fault of that kind affects.
+    fn affected_share(&self, kind: FaultKind, at_ms: f64) -> f64 {
+        let is_active =
             |f: &&PlannedFault| f.kind == kind && at_ms >= f.at_ms && f.until_ms.is_none_or(|u| at_ms < u);
-        self.faults.iter().filter(on).map(|f| f.size).fold(0.0, f64::max)
+        self.faults.iter().filter(is_active).map(|f| f.size).fold(0.0, f64::max)
     }
 
-    /// How long the day is, in milliseconds, without what is still open at its end.
+    /// Returns how long clients arrive, in milliseconds. Requests still open at the end take longer.
     pub fn length_ms(&self) -> f64 {
         self.scenario.seconds * 1000.0
     }
 }
 
-/// Mean work of a request, in milliseconds of a core of speed 1, where no server knows its key.
-pub fn mean_work(s: &Scenario) -> f64 {
+/// Returns the mean work of a request whose key no server knows, in milliseconds of a core of speed 1.
+pub fn mean_work_ms(s: &Scenario) -> f64 {
     let shares: f64 = s.class.iter().map(|c| c.share).sum();
     let work: f64 = s.class.iter().map(|c| c.share * (c.work_ms[0] + c.work_ms[1]) / 2.0).sum();
     (s.load.work * work / shares.max(1e-9)).max(1e-6)
 }
 
-/// The arrivals of a day.
+/// Iterator over the arrivals of a run.
 pub struct Arrivals<'a> {
     plan: &'a Plan,
     rng: ChaCha8Rng,
@@ -315,8 +324,8 @@
     number: u64,
 }
 
-/// Which of the weights a draw between 0 and 1 meets.
-fn weighed(weights: &[f64], draw: f64) -> usize {
+/// Returns the index that a draw in [0, 1) selects among the weights.
+fn weighted_index(weights: &[f64], draw: f64) -> usize {
     let mut left = draw * weights.iter().sum::<f64>();
     for (n, w) in weights.iter().enumerate() {
         left -= w;
@@ -331,32 +340,36 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        let s = &self.plan.scenario;
-        let most = self.plan.most();
+        let scenario = &self.plan.scenario;
+        let max_factor = self.plan.max_rate_factor();
         loop {
             let gap: f64 = Exp1.sample(&mut self.rng);
-            self.at_ms += gap * 1000.0 / (self.plan.rate * most).max(1e-9);
+            self.at_ms += gap * 1000.0 / (self.plan.rate * max_factor).max(1e-9);
             if self.at_ms >= self.plan.length_ms() {
                 return None;
             }
-            let class = weighed(&self.classes, self.rng.random());
-            let tenant = weighed(&self.tenants, self.rng.random());
-            let zone = weighed(&self.zones, self.rng.random());
+            let class = weighted_index(&self.classes, self.rng.random());
+            let tenant = weighted_index(&self.tenants, self.rng.random());
+            let zone = weighted_index(&self.zones, self.rng.random());
             let key = self.keys.map_or(0, |k| k.sample(&mut self.rng) as u64);
-            let work_ms = s.load.work * between(&mut self.rng, s.class[class].work_ms);
-            let hinted = self.rng.random::<f64>() < s.load.hints;
-            let rough = 0.7 + 0.6 * self.rng.random::<f64>();
-            let honours = self.rng.random::<f64>() < s.load.honour;
-            let slow = self.rng.random::<f64>() < self.plan.part(FaultKind::SlowClients, self.at_ms);
-            let kept = self.rng.random::<f64>() < self.plan.factor(self.at_ms, zone, tenant) / most;
-            if !kept {
+            let work_ms = scenario.load.work * uniform(&mut self.rng, scenario.class[class].work_ms);
+            let hinted = self.rng.random::<f64>() < scenario.load.hints;
+            let hint_factor = 0.7 + 0.6 * self.rng.random::<f64>();
+            let honours_retry_after = self.rng.random::<f64>() < scenario.load.honour;
+            let slow =
+                self.rng.random::<f64>() < self.plan.affected_share(FaultKind::SlowClients, self.at_ms);
+            // Arrivals are drawn at the maximum rate and thinned to the current one.
+            let accepted =
+                self.rng.random::<f64>() < self.plan.rate_factor(self.at_ms, zone, tenant) / max_factor;
+            if !accepted {
                 continue;
             }
-            // No draw where there are none: the days of before stay as they are.
-            let wrong = self.plan.part(FaultKind::WrongRequests, self.at_ms);
-            let wrong = wrong > 0.0 && self.rng.random::<f64>() < wrong;
+            // Draws no random number if there is no such fault, which keeps the arrivals of scenarios
+            // without it unchanged.
+            let invalid_share = self.plan.affected_share(FaultKind::WrongRequests, self.at_ms);
+            let invalid = invalid_share > 0.0 && self.rng.random::<f64>() < invalid_share;
             self.number += 1;
-            let hint_ms = hinted.then_some(work_ms * rough);
+            let hint_ms = hinted.then_some(work_ms * hint_factor);
             let at_ms = self.at_ms;
             let number = self.number;
             return Some(Arrival {
@@ -368,9 +381,9 @@
                 key,
                 work_ms,
                 hint_ms,
-                honours,
+                honours_retry_after,
                 slow,
-                wrong,
+                invalid,
             });
         }
     }
@@ -385,16 +398,16 @@
     }
 
     #[test]
-    fn the_same_seed_draws_the_same_day_and_another_does_not() {
+    fn a_seed_determines_the_arrivals() {
         let s = scenario("[load]\nrate = 200\nzone_skew = 0.4\n");
-        let day = |seed| Plan::draw(&s, seed).arrivals().collect::<Vec<_>>();
-        assert_eq!(day(7), day(7));
-        assert_ne!(day(7), day(8));
-        assert!((3600..4400).contains(&day(7).len()), "{}", day(7).len());
+        let arrivals = |seed| Plan::draw(&s, seed).arrivals().collect::<Vec<_>>();
+        assert_eq!(arrivals(7), arrivals(7));
+        assert_ne!(arrivals(7), arrivals(8));
+        assert!((3600..4400).contains(&arrivals(7).len()), "{}", arrivals(7).len());
     }
 
     #[test]
-    fn shares_and_bursts_are_as_the_scenario_says() {
+    fn arrivals_follow_the_shares_and_bursts_of_the_scenario() {
         let s = scenario(
             "[load]\nrate = 400\nzone_skew = 0.5\n[[trouble]]\nkind = \"burst\"\nat_s = 10\nfor_s = 5\nsize = 2\n\
              [[trouble]]\nkind = \"tenant-flood\"\nat_s = 0\nfor_s = 5\nsize = 3\nsay = \"b\"\n\
@@ -412,7 +425,7 @@
     }
 
     #[test]
-    fn a_trouble_meets_whom_it_names() {
+    fn a_fault_affects_the_parties_that_it_names() {
         let s = scenario(
             "[[trouble]]\nkind = \"server-down\"\non = [\"zone:monza-a\", \"s1\"]\n\
              [[trouble]]\nkind = \"node-kill\"\non = [\"part:0.5\"]\n\
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -177,7 +177,7 @@
     async fn open(&self, world: &World, zone: usize, node: usize, slow: bool) -> Option<Conn> {
         let way = self.ways.get(zone)?.get(node)?;
         // What does not pass does not come up.
-        while !way.link.passing().back || !way.link.passing().there {
+        while !way.link.link_state().inbound || !way.link.link_state().outbound {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let stream = TcpStream::connect(world.nodes.get(node)?.listen).await.ok()?;
@@ -246,14 +246,14 @@
                 Some(node) => {
                     let tried = Try { world: &world, arrival: &arrival, number, node, wait };
                     match tried.make().await {
-                        _ if arrival.wrong => return,
+                        _ if arrival.invalid => return,
                         Tried::Served => return,
                         Tried::Refused(after) => after,
                         Tried::Else => None,
                     }
                 }
             };
-            let pause = match (retry_after.filter(|_| arrival.honours), s.load.backoff) {
+            let pause = match (retry_after.filter(|_| arrival.honours_retry_after), s.load.backoff) {
                 (_, Backoff::None) => return,
                 (Some(ms), _) => ms,
                 (None, Backoff::AtOnce) => 0.0,
@@ -288,7 +288,7 @@
     /// Asks a node that has just been started, again and again, until it has served: how long that took.
     pub async fn first_answer(world: Arc<World>, node: usize, started: std::time::Instant) {
         let Some(template) = world.plan.arrivals().find(|a| {
-            !a.wrong && world.plan.scenario.class.get(a.class).is_some_and(|c| c.repeat == Repeat::Safe)
+            !a.invalid && world.plan.scenario.class.get(a.class).is_some_and(|c| c.repeat == Repeat::Safe)
         }) else {
             return;
         };
@@ -340,7 +340,7 @@
             .uri("/api")
             .header("host", "api.internal")
             .header("x-trace-id", format!("{id:016x}"))
-            .header("x-qos", if a.wrong { format!("{}-old", class.name) } else { class.name.clone() })
+            .header("x-qos", if a.invalid { format!("{}-old", class.name) } else { class.name.clone() })
             .header("x-customer", &s.tenant.get(a.tenant)?.name)
             .header("x-object", format!("k{:06x}", a.key))
             .header("x-expires-in-ms", format!("{:.0}", self.wait.floor()));
@@ -376,8 +376,8 @@
                 || n.excused.load(Ordering::SeqCst)
                 || sent <= n.woke_ms.load(Ordering::SeqCst) as f64
         });
-        let passing = world.clients.ways[self.arrival.zone][node].link.passing();
-        let cut = excused || !passing.there || !passing.back || world.ending();
+        let link_state = world.clients.ways[self.arrival.zone][node].link.link_state();
+        let cut = excused || !link_state.outbound || !link_state.inbound || world.ending();
         let answer = match answer {
             Answer::Lost | Answer::Silence if cut => Answer::Cut,
             answer => answer,
--- a/crates/lab/src/real/discovery.rs
+++ b/crates/lab/src/real/discovery.rs
@@ -109,7 +109,7 @@
 
     /// New connections from a node meet what the link is like.
     pub fn door(&self, node: usize) {
-        let passes = self.links.get(node).is_none_or(|l| l.passing().there);
+        let passes = self.links.get(node).is_none_or(|l| l.link_state().outbound);
         if let Some(gate) = lock(&self.gates).get(node) {
             gate.set(if passes { Door::Open } else { Door::Silent });
         }
--- a/crates/lab/src/real/links.rs
+++ b/crates/lab/src/real/links.rs
@@ -1,7 +1,7 @@
 //! Links between parties: each pair has an address of its own, and what passes there can be stopped in either
 //! direction, slowed, refused, or met with silence.
 
-use crate::plan::Passing;
+use crate::plan::LinkState;
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener as StdListener};
@@ -23,7 +23,7 @@
 
 /// A link between a node and another party.
 pub struct Link {
-    passing: Mutex<Passing>,
+    link_state: Mutex<LinkState>,
     /// Rises when what is open must break.
     broken: AtomicU64,
     parked: Mutex<Vec<Waker>>,
@@ -34,7 +34,7 @@
 impl Default for Link {
     fn default() -> Link {
         Link {
-            passing: Mutex::new(Passing::FREE),
+            link_state: Mutex::new(LinkState::OPEN),
             broken: AtomicU64::new(0),
             parked: Mutex::new(Vec::new()),
             twice: AtomicBool::new(false),
@@ -44,13 +44,13 @@
 
 impl Link {
     /// What passes now.
-    pub fn passing(&self) -> Passing {
-        *lock(&self.passing)
+    pub fn link_state(&self) -> LinkState {
+        *lock(&self.link_state)
     }
 
     /// From now on this passes.
-    pub fn set(&self, passing: Passing) {
-        *lock(&self.passing) = passing;
+    pub fn set(&self, link_state: LinkState) {
+        *lock(&self.link_state) = link_state;
         self.wake();
     }
 
@@ -110,8 +110,8 @@
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
         let open = || {
-            let passing = self.link.passing();
-            if (self.end == End::Party) == reading { passing.there } else { passing.back }
+            let link_state = self.link.link_state();
+            if (self.end == End::Party) == reading { link_state.outbound } else { link_state.inbound }
         };
         if open() {
             return Poll::Ready(Ok(()));
@@ -303,16 +303,16 @@
         let soon = Duration::from_millis(100);
         node.write_all(b"a").await.unwrap();
         party.read_exact(&mut byte).await.unwrap();
-        link.set(Passing { there: false, ..Passing::FREE });
+        link.set(LinkState { outbound: false, ..LinkState::OPEN });
         node.write_all(b"b").await.unwrap();
         assert!(tokio::time::timeout(soon, party.read_exact(&mut byte)).await.is_err());
         party.write_all(b"c").await.unwrap();
         node.read_exact(&mut byte).await.unwrap();
-        link.set(Passing { back: false, ..Passing::FREE });
+        link.set(LinkState { inbound: false, ..LinkState::OPEN });
         party.read_exact(&mut byte).await.unwrap();
         assert_eq!(&byte, b"b", "what was on its way comes through");
         assert!(tokio::time::timeout(soon, party.write_all(b"d")).await.is_err());
-        link.set(Passing::FREE);
+        link.set(LinkState::OPEN);
         let broken = tokio::spawn(async move { party.read_exact(&mut [0]).await.map(drop) });
         tokio::time::sleep(Duration::from_millis(10)).await;
         link.reset();
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -12,7 +12,7 @@
 mod timer;
 
 use crate::checker::{Checker, Figures, Rule, Verdict};
-use crate::plan::{Arrival, Ends, Passing, Plan, PlannedFault, mix_bits, passing, unit};
+use crate::plan::{Arrival, LinkState, Parties, Plan, PlannedFault, link_state, mix_bits, unit_interval};
 use crate::scenario::{FaultKind, ReleaseTarget, Scenario};
 use clients::Clients;
 use daleturn_store::scripted_faults::FaultOrders;
@@ -197,12 +197,12 @@
     /// A draw between 0 and 1.
     pub fn draw(&self) -> f64 {
         let n = self.draws.fetch_add(1, Ordering::Relaxed);
-        unit(mix_bits(self.plan.seed ^ mix_bits(n)))
+        unit_interval(mix_bits(self.plan.seed ^ mix_bits(n)))
     }
 
     /// The luck of one thing, the same each time.
     pub fn luck(&self, of: u64) -> f64 {
-        unit(mix_bits(self.plan.seed.wrapping_add(mix_bits(of))))
+        unit_interval(mix_bits(self.plan.seed.wrapping_add(mix_bits(of))))
     }
 
     /// The day is over but for its end.
@@ -280,7 +280,7 @@
         let zone = self.plan.machines.get(server).map(|m| m.zone);
         let own = self.plan.node_zones.get(node).copied();
         let usual = if zone == own { net.same_ms } else { net.cross_ms };
-        let more = links.get(node).map_or(0.0, |l| l.passing().delay_ms);
+        let more = links.get(node).map_or(0.0, |l| l.link_state().delay_ms);
         if net.relays && usual + more > 0.0 {
             self.timer.sleep(Duration::from_secs_f64((usual + more) / 1000.0)).await;
         }
@@ -580,12 +580,12 @@
             for node in 0..world.nodes.len() {
                 if let Some(link) = host.link(node) {
                     link.double(is(FaultKind::ServerTwice));
-                    let party = |e: &Ends| e.servers.contains(&n);
-                    let mut passing = passing(&faults, node, &party);
+                    let party = |e: &Parties| e.servers.contains(&n);
+                    let mut link_state = link_state(&faults, node, &party);
                     if is(FaultKind::ServerVanish) {
-                        passing = Passing { there: false, back: false, ..passing };
+                        link_state = LinkState { outbound: false, inbound: false, ..link_state };
                     }
-                    link.set(passing);
+                    link.set(link_state);
                     host.door(node, is(FaultKind::ServerVanish));
                 }
             }
@@ -601,14 +601,14 @@
             });
             for node in 0..world.nodes.len() {
                 if let Some(link) = discovery.link(node) {
-                    link.set(passing(&faults, node, &|e: &Ends| e.discovery));
+                    link.set(link_state(&faults, node, &|e: &Parties| e.discovery));
                     discovery.door(node);
                 }
             }
         }
         for (zone, ways) in world.clients.ways.iter().enumerate() {
             for (node, way) in ways.iter().enumerate() {
-                way.link.set(passing(&faults, node, &|e: &Ends| e.clients.contains(&zone)));
+                way.link.set(link_state(&faults, node, &|e: &Parties| e.clients.contains(&zone)));
             }
         }
         if world.rehearses() {
@@ -637,7 +637,7 @@
             let mut cut = std::collections::HashSet::new();
             for i in 0..world.nodes.len() {
                 for j in (0..world.nodes.len()).filter(|j| *j != i) {
-                    if !passing(&faults, i, &|e: &Ends| e.nodes.contains(&j)).there {
+                    if !link_state(&faults, i, &|e: &Parties| e.nodes.contains(&j)).outbound {
                         cut.insert((i, j));
                     }
                 }
--- a/crates/lab/src/real/servers.rs
+++ b/crates/lab/src/real/servers.rs
@@ -157,7 +157,7 @@
 
     /// What new connections from a node meet, by what the link and the server are like.
     pub fn door(&self, node: usize, vanished: bool) {
-        let passes = self.links.get(node).is_none_or(|l| l.passing().there);
+        let passes = self.links.get(node).is_none_or(|l| l.link_state().outbound);
         let door = match self.up.load(Ordering::SeqCst) {
             _ if !passes || vanished => Door::Silent,
             true => Door::Open,
@@ -175,7 +175,7 @@
         lock(&self.waiting).clear();
         for (node, link) in self.links.iter().enumerate() {
             if vanished {
-                link.set(crate::plan::Passing { there: false, back: false, ..link.passing() });
+                link.set(crate::plan::LinkState { outbound: false, inbound: false, ..link.link_state() });
             } else {
                 link.reset();
             }
@@ -190,7 +190,7 @@
         self.up.store(true, Ordering::SeqCst);
         self.starts.fetch_add(1, Ordering::SeqCst);
         for (node, link) in self.links.iter().enumerate() {
-            link.set(crate::plan::Passing { there: true, back: true, ..link.passing() });
+            link.set(crate::plan::LinkState { outbound: true, inbound: true, ..link.link_state() });
             // What was open before the machine was away is reset once it is back.
             link.reset();
             self.door(node, false);
@@ -326,7 +326,7 @@
         if wrong.silent {
             std::future::pending::<()>().await;
         }
-        if arrival.wrong {
+        if arrival.invalid {
             world.way(node, self.number, &self.links).await;
             return Ok(answer(StatusCode::BAD_REQUEST, "no such class".to_owned()));
         }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -3,7 +3,7 @@
 //! own. What a day asks for that is not modelled is refused, not left out.
 
 use crate::checker::{ANSWER_SLACK_MS, Answer, Checker, Figures, Rule, Verdict};
-use crate::plan::{Arrival, Ends, Plan, PlannedFault, mix_bits, passing, unit};
+use crate::plan::{Arrival, Parties, Plan, PlannedFault, link_state, mix_bits, unit_interval};
 use crate::scenario::{Backoff, FaultKind, Repeat, Scenario};
 use crate::server::{Admit, Server, spec};
 use crate::settings::settings;
@@ -564,8 +564,8 @@
         let same = self.plan.node_zones[node] == self.plan.machines[server].zone;
         let usual = if same { net.same_ms } else { net.cross_ms };
         let faults = self.faults();
-        let p = passing(&faults, node, &|e: &Ends| e.servers.contains(&server));
-        (usual + p.delay_ms, p.there, p.back)
+        let p = link_state(&faults, node, &|e: &Parties| e.servers.contains(&server));
+        (usual + p.delay_ms, p.outbound, p.inbound)
     }
 
     fn faults(&self) -> Vec<&PlannedFault> {
@@ -622,7 +622,8 @@
         let Some(judged) = self.checker.attempt_delivered(now, begun, trace, node, server) else { return };
         let zone = self.plan.machines[server].zone;
         let (ms, _, back) = self.way(node, server);
-        let luck = unit(mix_bits(self.plan.seed.wrapping_add(mix_bits(trace ^ (server as u64) << 48))));
+        let luck =
+            unit_interval(mix_bits(self.plan.seed.wrapping_add(mix_bits(trace ^ (server as u64) << 48))));
         let class = &self.plan.scenario.class[arrival.class];
         let mut work = arrival.work_ms;
         if class.repeat == Repeat::Keyed {
@@ -705,7 +706,9 @@
             else {
                 continue;
             };
-            let luck = unit(mix_bits(self.plan.seed.wrapping_add(mix_bits(trace ^ (server as u64) << 48))));
+            let luck = unit_interval(mix_bits(
+                self.plan.seed.wrapping_add(mix_bits(trace ^ (server as u64) << 48)),
+            ));
             let reset = luck < self.machines[server].resets;
             self.checker.attempt_ended(now, trace, judged, false);
             if reset || !back {
@@ -806,7 +809,7 @@
     fn again(&mut self, client: u64, retry_after: Option<f64>) {
         let load = &self.plan.scenario.load;
         let Some(c) = self.clients.get_mut(&client) else { return };
-        let pause = match (retry_after.filter(|_| c.arrival.honours), load.backoff) {
+        let pause = match (retry_after.filter(|_| c.arrival.honours_retry_after), load.backoff) {
             (_, Backoff::None) => None,
             (Some(ms), _) => Some(ms),
             (None, Backoff::AtOnce) => Some(0.0),
@@ -850,8 +853,8 @@
         let Some(node) = self.pick(arrival.zone) else { return self.again(client, None) };
         let trace = mix_bits(self.plan.seed ^ mix_bits((arrival.number << 8) | (u64::from(number) + 1)));
         let faults = self.faults();
-        let p = passing(&faults, node, &|e: &Ends| e.clients.contains(&arrival.zone));
-        if self.nodes[node].is_none() || !p.there || !p.back {
+        let p = link_state(&faults, node, &|e: &Parties| e.clients.contains(&arrival.zone));
+        if self.nodes[node].is_none() || !p.outbound || !p.inbound {
             // It meets nobody until its time is over, or a reset at once where the node has ended.
             return self.again(client, None);
         }
@@ -909,7 +912,7 @@
         let faults = self.faults();
         let most =
             |kind: FaultKind| faults.iter().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max);
-        let cut = !passing(&faults, from, &|e: &Ends| e.nodes.contains(&to)).there;
+        let cut = !link_state(&faults, from, &|e: &Parties| e.nodes.contains(&to)).outbound;
         let loss = loss + most(FaultKind::PeerLoss);
         let luck: f64 = self.rng.random();
         let ms = range[0] + (range[1] - range[0]) * self.rng.random::<f64>();
@@ -1101,12 +1104,12 @@
         let (call_ms, timeout_ms) = (d.call_ms * slow, d.timeout_ms);
         let epoch = self.epochs[node];
         let faults = self.faults();
-        let p = passing(&faults, node, &|e: &Ends| e.discovery);
+        let p = link_state(&faults, node, &|e: &Parties| e.discovery);
         if let Some(host) = &mut self.nodes[node] {
             host.watching = false;
         }
         let wait = (self.discovery_busy - self.now).max(0.0);
-        if silent || !p.there || !p.back || wait > timeout_ms {
+        if silent || !p.outbound || !p.inbound || wait > timeout_ms {
             let after = if wait > timeout_ms { timeout_ms } else { timeout_ms + 1000.0 };
             return self.push(self.now + after, What::Listed { node, epoch, failed: true });
         }
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -89,7 +89,7 @@
         let swing: Vec<f64> = (0..60).map(|n| (f64::from(n) * std::f64::consts::TAU / 6.0).sin()).collect();
         assert!(autocorrelation(&swing, 6) > 0.8 && autocorrelation(&swing, 3) < -0.8);
         let noise: Vec<f64> =
-            (0..400_u64).map(|n| crate::plan::unit(crate::plan::mix_bits(n + 1))).collect();
+            (0..400_u64).map(|n| crate::plan::unit_interval(crate::plan::mix_bits(n + 1))).collect();
         assert!((1..20).all(|lag| autocorrelation(&noise, lag).abs() < 0.2));
         assert_eq!((autocorrelation(&[1.0; 30], 2), autocorrelation(&[1.0, 2.0], 2)), (0.0, 0.0));
     }
