--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,7 +1,7 @@
 //! The hunt: draws schedules of faults over a scenario, plays them in virtual time, and looks for a broken rule or a
 //! collapse. What it finds is shrunk to the few troubles that matter.
 
-use crate::scenario::{Fault, FaultKind, LEAST_RESTART_S, Scenario};
+use crate::scenario::{Fault, FaultKind, MIN_RESTART_S, Scenario};
 use crate::sim::{SimError, Simulated, simulate};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -63,7 +63,7 @@
     let kind = KINDS.choose(rng).copied().unwrap_or_default();
     let end = (s.seconds - QUIET_S[1]).max(QUIET_S[0] + 1.0);
     let at_s = rng.random_range(QUIET_S[0]..end);
-    let least = if kind == FaultKind::ServerRestart { LEAST_RESTART_S } else { 0.5 };
+    let least = if kind == FaultKind::ServerRestart { MIN_RESTART_S } else { 0.5 };
     let for_s = rng.random_range(0.5..6.0_f64).min(end - at_s + 0.5).max(least);
     let zone =
         |rng: &mut ChaCha8Rng| format!("zone:{}", s.fleet.zones[rng.random_range(0..s.fleet.zones.len())]);
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -210,13 +210,13 @@
     /// Adds the parties that a word of the scenario names: servers or nodes, depending on the kind of the
     /// fault, and for a link fault everything in a zone.
     fn add_parties(&self, word: &str, kind: FaultKind, draws: &mut ChaCha8Rng, parties: &mut Parties) {
-        let of_nodes = kind.of_nodes();
+        let affects_nodes = kind.affects_nodes();
         let is_link_fault =
             matches!(kind, FaultKind::LinkCut | FaultKind::LinkOneWay | FaultKind::LinkDelay);
         let (servers, nodes) = (self.machines.len(), self.node_zones.len());
         let zones = self.scenario.fleet.zones.len();
         match word {
-            "all" if of_nodes => parties.nodes.extend(0..nodes),
+            "all" if affects_nodes => parties.nodes.extend(0..nodes),
             "all" if is_link_fault => {
                 parties.servers.extend(0..servers);
                 parties.nodes.extend(0..nodes);
@@ -232,20 +232,20 @@
                     let Some(zone) = self.scenario.fleet.zones.iter().position(|z| z == zone) else {
                         return;
                     };
-                    if !of_nodes {
+                    if !affects_nodes {
                         parties.servers.extend((0..servers).filter(|s| self.machines[*s].zone == zone));
                     }
-                    if of_nodes || is_link_fault {
+                    if affects_nodes || is_link_fault {
                         parties.nodes.extend((0..nodes).filter(|n| self.node_zones[*n] == zone));
                     }
                     parties.clients.push(zone);
                 } else if let Some(part) = word.strip_prefix("part:").and_then(|p| p.parse::<f64>().ok()) {
-                    let all = if of_nodes { nodes } else { servers };
+                    let all = if affects_nodes { nodes } else { servers };
                     let mut order: Vec<usize> = (0..all).collect();
                     order.shuffle(draws);
                     order.truncate(((all as f64 * part).round() as usize).max(1));
                     order.sort_unstable();
-                    if of_nodes { &mut parties.nodes } else { &mut parties.servers }.extend(order);
+                    if affects_nodes { &mut parties.nodes } else { &mut parties.servers }.extend(order);
                 } else if let Some(n) = word.strip_prefix('s').and_then(|n| n.parse().ok()) {
                     parties.servers.push(n);
                 } else if let Some(n) = word.strip_prefix('n').and_then(|n| n.parse().ok()) {
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -238,7 +238,7 @@
 
     /// Whether disks of this day fail or lose power: then nodes are told to rehearse that.
     fn rehearses(&self) -> bool {
-        self.plan.faults.iter().any(|f| f.kind == FaultKind::NodePowerLoss || f.kind.of_disks())
+        self.plan.faults.iter().any(|f| f.kind == FaultKind::NodePowerLoss || f.kind.affects_disks())
     }
 
     /// The id of a client's try.
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,5 +1,5 @@
-//! A day as a file: fleet, load, troubles on a time line, and what is expected of it. `docs/scenarios.md` tells
-//! every key.
+//! Scenario files: the fleet, its load, faults with their times, and the expected results.
+//! `docs/scenarios.md` describes every key.
 
 use daleturn::files::read_text;
 use daleturn::tomlfile::{self, TomlError};
@@ -7,98 +7,102 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// A longer file is no scenario.
-const LONGEST: u64 = 1024 * 1024;
-/// A planned restart is over no sooner.
-pub const LEAST_RESTART_S: f64 = 1.5;
+/// Maximum size of a scenario file, in bytes.
+const MAX_FILE_BYTES: u64 = 1024 * 1024;
+/// Minimum duration of a planned restart, in seconds: the server drains for the first second.
+pub const MIN_RESTART_S: f64 = 1.5;
 
-/// A day.
+/// A scenario.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name, in one word.
+    /// Name: letters, digits and dashes.
     pub name: String,
-    /// What it shows.
+    /// Purpose of the scenario.
     pub about: String,
-    /// The seed that holds where none is given.
+    /// Seed used if none is given on the command line.
     pub seed: u64,
-    /// How long clients come, in seconds.
+    /// Time for which clients arrive, in seconds.
     pub seconds: f64,
     /// Nodes and servers.
     pub fleet: Fleet,
-    /// What clients ask, and how.
+    /// Client load.
     pub load: Load,
-    /// Classes of requests; those of the operators' pages where there are none.
+    /// Request classes; [`default_classes`] if empty.
     pub class: Vec<Class>,
-    /// Tenants; one without a quota where there are none.
+    /// Tenants; one without a quota if empty.
     pub tenant: Vec<Tenant>,
-    /// The list of servers.
+    /// The discovery service.
     pub discovery: Discovery,
-    /// Delays.
+    /// Network delays and losses.
     pub net: Net,
-    /// What nodes may do, and the operators' rules.
+    /// What nodes may do, and the limits of the operators' rules.
     pub rules: Rules,
-    /// The release of a new version of the servers, begun by the trouble `release`.
+    /// The release that a fault of kind `release` starts.
     pub release: Release,
-    /// What goes wrong.
+    /// Faults to inject.
     pub trouble: Vec<Fault>,
-    /// What the day must bring.
+    /// Expected results.
     pub expect: Expect,
-    /// The product's own configuration, handed to each node as `DALETURN_CONFIG`.
+    /// The node's own configuration file, passed to each node as `DALETURN_CONFIG`.
     pub product: toml::Table,
 }
 
-/// `[fleet]`.
+/// Table `[fleet]`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Nodes, dealt out over the zones.
+    /// Number of nodes, distributed over the zones in turn.
     pub nodes: usize,
-    /// Servers, dealt out over the zones.
+    /// Number of servers, distributed over the zones in turn.
     pub servers: usize,
-    /// Names under which discovery lists each server: a long list on few servers. On real processes only.
+    /// Names under which discovery lists each server, for a long list with few servers. Only for runs with
+    /// real processes.
     pub names: usize,
     /// Cores of a server.
     pub cores: f64,
-    /// Speed of a core, drawn between these; 1 is the yardstick that work is told in.
+    /// Range from which the speed of a server's cores is drawn; 1 is the reference speed in which work is
+    /// measured.
     pub speed: [f64; 2],
-    /// Requests in work at a server, for each core.
+    /// Requests that a server processes at the same time, per core.
     pub slots_per_core: f64,
-    /// Requests that may wait at a server, for each core.
+    /// Requests that a server may queue, per core.
     pub queue_per_core: f64,
-    /// Part of its capacity that a server loses for each request held beyond `thrash_at` for each core.
+    /// Loss of capacity by overload: with n requests held beyond `thrash_at` per core, a server's capacity
+    /// is divided by 1 + n * `thrash`.
     pub thrash: f64,
-    /// Requests held for each core from which it thrashes.
+    /// Requests held per core above which a server loses capacity.
     pub thrash_at: f64,
-    /// Part of its capacity that a server starts with.
+    /// Share of its capacity that a server has when it starts.
     pub cold_from: f64,
-    /// Seconds until it is warm.
+    /// Time until a started server has its full capacity, in seconds.
     pub cold_s: f64,
-    /// Part of the work that a server saves that met the key lately.
+    /// Share of a request's work that a server saves if it knows the key.
     pub key_saving: f64,
-    /// Seconds for which it remembers a key.
+    /// Time for which a server remembers a key, in seconds.
     pub key_s: f64,
-    /// Keys that it remembers.
+    /// Number of keys that a server remembers.
     pub keys: usize,
-    /// A cancel stops what is in work, too, and not only what waits.
+    /// True if cancelling a request also stops it when it is being processed, not only while it is queued.
     pub cancel_stops: bool,
-    /// Connections that a server takes.
+    /// Maximum number of connections to a server.
     pub connections: usize,
-    /// Work of a handshake at a server, in microseconds.
+    /// Work of accepting a connection at a server, in microseconds.
     pub handshake_us: f64,
-    /// Work of a probe at a server, in microseconds.
+    /// Work of answering a probe at a server, in microseconds.
     pub probe_us: f64,
-    /// How often a server renews what it says of its load, in milliseconds.
+    /// Interval at which a server updates the load that it reports, in milliseconds.
     pub report_ms: f64,
-    /// Limit on a node's descriptors.
+    /// Limit on a node's open file descriptors.
     pub sockets: usize,
-    /// Limit on a node's memory, in MB, as it is told.
+    /// Memory limit that a node is configured with, in MB.
     pub memory_mb: u64,
-    /// Pins each node to a core, in turns.
+    /// True if each node is pinned to a core, in turn.
     pub pin: bool,
-    /// In virtual time, where nodes keep state: what a node finds at its start was written so long before its death.
+    /// Minimum age of the saved state that a restarted node finds, in seconds. Only for runs in virtual
+    /// time in which nodes keep state.
     pub store_old_s: f64,
 }
 
@@ -133,38 +137,39 @@
     }
 }
 
-/// `[load]`.
+/// Table `[load]`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// First tries a second; where it is 0, `of_capacity` holds.
+    /// First tries per second; if 0, `of_capacity` applies.
     pub rate: f64,
-    /// Part of what all warm servers together can do, by mean work.
+    /// Load as a share of the capacity of all warm servers, by mean work.
     pub of_capacity: f64,
-    /// Multiplies the work of every class: below 1 a day has more requests of less work.
+    /// Factor on the work of every class. Below 1, there are more requests with less work each.
     pub work: f64,
-    /// How unevenly zones ask: 0 alike, 1 nearly all from the first.
+    /// Skew of the load over the zones: 0 for even load, 1 for nearly all of it from the first zone.
     pub zone_skew: f64,
-    /// Distinct keys.
+    /// Number of distinct keys.
     pub keys: u64,
-    /// Exponent of their Zipf law; 0 for alike.
+    /// Exponent of the keys' Zipf distribution; 0 for a uniform one.
     pub zipf: f64,
-    /// Tries beyond the first.
+    /// Tries after the first one.
     pub retries: u32,
-    /// When a client comes back: `none`, `at-once`, `fixed` or `exp`.
+    /// When a client retries: `none`, `at-once`, `fixed` or `exp`.
     pub backoff: Backoff,
-    /// Its wait, in milliseconds.
+    /// Base delay before a retry, in milliseconds.
     pub backoff_ms: f64,
-    /// Part of the clients that heed Retry-After.
+    /// Share of the clients that honour Retry-After.
     pub honour: f64,
-    /// Part of its time that a client gives its first try.
+    /// Share of its deadline that a client waits for any try but the last.
     pub try_share: f64,
-    /// Part of the requests that come with a hint of their cost.
+    /// Share of the requests with a hint of their cost.
     pub hints: f64,
-    /// Above 0 clients come as a closed loop of so many, each asking anew once it was answered: to find the most that
-    /// is served. `rate` then only draws what they ask for.
+    /// Above 0, number of clients in a closed loop, each of which sends its next request when the last one
+    /// is answered; used to find the maximum throughput. `rate` then only determines the requests that are
+    /// drawn.
     pub closed: usize,
-    /// Connections to each node that are opened at the beginning and carry nothing.
+    /// Connections to each node that are opened at the start and stay idle.
     pub idle: usize,
 }
 
@@ -189,58 +194,58 @@
     }
 }
 
-/// When a client comes back.
+/// When a client retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Backoff {
     /// Never.
     None,
-    /// Without a pause.
+    /// Without a delay.
     AtOnce,
-    /// After the same time each time.
+    /// After a constant delay.
     Fixed,
-    /// After twice the time each time.
+    /// After a delay that doubles with each retry.
     Exp,
 }
 
-/// `[[class]]`.
+/// An entry of `[[class]]`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Part of the requests.
+    /// Weight of the class among all requests.
     pub share: f64,
-    /// Work drawn between these, in milliseconds of a core of speed 1.
+    /// Range from which a request's work is drawn, in milliseconds of a core of speed 1.
     pub work_ms: [f64; 2],
-    /// Answers within this earn full worth, in milliseconds.
+    /// Latency objective: answers within this time earn the full worth, in milliseconds.
     pub aim_ms: f64,
-    /// The client's time, in milliseconds.
+    /// Time that the client waits at most, in milliseconds.
     pub deadline_ms: f64,
-    /// Worth of a unit of its work.
+    /// Worth per unit of work.
     pub worth: f64,
-    /// Part of the worth kept by an answer after the aim.
+    /// Share of the worth that an answer after the objective and before the deadline earns.
     pub late: f64,
-    /// How often it may run: `safe`, `once` or `keyed`.
+    /// How often a request may run: `safe`, `once` or `keyed`.
     pub repeat: Repeat,
-    /// How long servers of a zone drop a repeat of a keyed one, in milliseconds.
+    /// Time for which the servers of a zone drop a repeated request of a keyed class, in milliseconds.
     pub key_ttl_ms: f64,
 }
 
-/// How often a class may run.
+/// How often a request of a class may run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
     /// Any number of times.
     #[default]
     Safe,
-    /// Never twice.
+    /// At most once.
     Once,
-    /// Repeats are dropped in a zone for a time.
+    /// Repeatedly: the servers of a zone drop repeats for a time.
     Keyed,
 }
 
-/// The classes of the operators' pages.
+/// Returns the classes that the operators' pages define.
 pub fn default_classes() -> Vec<Class> {
     let class = |name: &str, share, work_ms, aim_ms, deadline_ms, worth, late, repeat| Class {
         name: name.to_owned(),
@@ -261,29 +266,30 @@
     ]
 }
 
-/// `[[tenant]]`.
+/// An entry of `[[tenant]]`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Part of the requests.
+    /// Weight of the tenant among all requests.
     pub share: f64,
-    /// Requests a second within its share; 0 for no quota.
+    /// Requests per second within the tenant's quota; 0 for no quota.
     pub quota_rps: f64,
 }
 
-/// `[discovery]`.
+/// Table `[discovery]`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// Nodes ask for the list, and pace that; else a watch costs nothing.
+    /// True if nodes may call discovery only when their decision logic asks for the list; otherwise they
+    /// watch it continuously, at no cost.
     pub asked: bool,
-    /// How late it learns of a change, drawn between these, in seconds.
+    /// Range from which the delay is drawn until discovery notices a change of a server, in seconds.
     pub notice_s: [f64; 2],
-    /// Time that one call takes of it, in milliseconds; calls wait in turn.
+    /// Time that discovery spends on one call, in milliseconds; calls are processed one at a time.
     pub call_ms: f64,
-    /// A call that waits longer fails, in milliseconds.
+    /// Maximum time that a call waits for its turn, in milliseconds; after that it fails.
     pub timeout_ms: f64,
 }
 
@@ -293,23 +299,24 @@
     }
 }
 
-/// `[net]`.
+/// Table `[net]`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Net {
-    /// One way within a zone, in milliseconds.
+    /// One-way delay within a zone, in milliseconds.
     pub same_ms: f64,
-    /// One way between zones, in milliseconds.
+    /// One-way delay between zones, in milliseconds.
     pub cross_ms: f64,
-    /// One way from a client to its node, in milliseconds.
+    /// One-way delay from a client to its node, in milliseconds.
     pub client_ms: f64,
-    /// Datagrams between nodes take a time drawn between these, in milliseconds.
+    /// Range from which the delay of a datagram between nodes is drawn, in milliseconds.
     pub peer_ms: [f64; 2],
-    /// Part of the datagrams that are lost.
+    /// Share of the datagrams between nodes that are lost.
     pub peer_loss: f64,
-    /// How late the front notices a dead node, in seconds.
+    /// Time until the front end notices that a node has failed, in seconds.
     pub front_s: f64,
-    /// Without relays servers are met directly, and no link can fail.
+    /// False to disable the emulated network between nodes and servers: with real processes there are no
+    /// delays, and in virtual time cut links do not stop requests.
     pub relays: bool,
 }
 
@@ -327,39 +334,39 @@
     }
 }
 
-/// `[release]`.
+/// Table `[release]`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Release {
     /// What is released: `servers`, or `nodes`, each of which then runs under a supervisor.
     pub what: ReleaseTarget,
-    /// Of a release of nodes, what the next build is like.
+    /// For a release of nodes, the behaviour of the new build.
     pub build: NextBuild,
-    /// Servers on the new version after each stage.
+    /// Number of members on the new version after each stage.
     pub stages: Vec<usize>,
-    /// Servers out at once.
+    /// Maximum number of members out of service at once.
     pub out: usize,
-    /// And in one zone.
+    /// Maximum number of members out of service at once in one zone.
     pub out_per_zone: usize,
-    /// Servers that must be in, in percent.
+    /// Share of the members that must be in service, in percent.
     pub in_percent: u32,
-    /// Time to warm, in seconds.
+    /// Time for a restarted member to warm up, in seconds.
     pub warm_s: u64,
-    /// Time to watch after each stage, in seconds.
+    /// Observation time after each stage, in seconds.
     pub watch_s: u64,
-    /// Requests that the gate wants of each group.
+    /// Minimum number of requests per version group that the gate needs.
     pub least: u64,
-    /// What a breach leads to: `halt` or `back`.
+    /// What the release does when its gate fails: `halt` or `back`.
     pub breach: String,
-    /// Time that a restart takes, in seconds.
+    /// Time that the restart of a server takes, in seconds.
     pub restart_s: f64,
-    /// Part of the requests that the new version answers with an error.
+    /// Share of the requests that the new version answers with an error.
     pub errors: f64,
-    /// How many times slower it is.
+    /// Factor by which the new version is slower.
     pub slower: f64,
-    /// It is bad only once so many servers have it.
+    /// Number of servers on the new version from which on it shows these faults.
     pub bad_from: usize,
-    /// Servers that do not start with it.
+    /// Servers that fail to start with the new version.
     pub broken: Vec<String>,
 }
 
@@ -389,45 +396,46 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReleaseTarget {
-    /// Servers.
+    /// The servers.
     Servers,
-    /// The program itself, node by node.
+    /// The nodes, one after the other.
     Nodes,
 }
 
-/// What the next build of the node is like.
+/// Behaviour of the new build in a release of nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NextBuild {
-    /// As the one before, or the one that `--next` names.
+    /// Works: the same build as before, or the one given with `--next`.
     Good,
-    /// It ends at once.
+    /// Exits immediately.
     Crash,
-    /// It starts and never says yes.
+    /// Starts, but never reports that it is healthy.
     Mute,
-    /// It says yes, and then gives every request far too little time.
+    /// Reports that it is healthy, and then serves with time limits that are far too short.
     Bad,
 }
 
-/// `[rules]`.
+/// Table `[rules]`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Attempts for a request.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
-    /// Nodes may probe.
+    /// True if nodes may probe servers.
     pub probes: bool,
-    /// Nodes may send each other messages.
+    /// True if nodes may send each other messages.
     pub peers: bool,
-    /// A second copy may run beside the first.
+    /// True if a second copy of a request may run while the first is in flight.
     pub second_copies: bool,
-    /// Nothing new to a server later than this after word of its drain, in milliseconds.
+    /// Time after a node learned that a server drains within which it may still send to it, in
+    /// milliseconds.
     pub drain_ms: f64,
-    /// Sent more than this multiple of what it can do ...
+    /// Work sent to a cold server, as a multiple of its capacity, above which it falls over ...
     pub fall_multiple: f64,
-    /// ... for this long, a cold server falls over, in seconds.
+    /// ... if sent within this time, in seconds.
     pub fall_s: f64,
-    /// Price of a crossing for each request, of its worth.
+    /// Price of an attempt that crosses zones, as a share of a request's worth.
     pub cross_price: f64,
 }
 
@@ -446,128 +454,129 @@
     }
 }
 
-/// `[[trouble]]`.
+/// An entry of `[[trouble]]`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins, in seconds.
+    /// Start, in seconds.
     pub at_s: f64,
-    /// How long it lasts, in seconds; 0 for once, or to the end.
+    /// Duration in seconds; if 0, a single event, or until the end of the run, depending on the kind.
     pub for_s: f64,
-    /// What it is.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Whom it meets: `s3`, `n1`, `zone:monza-a`, `part:0.25`, `all`.
+    /// Parties that the fault affects: `s3`, `n1`, `zone:monza-a`, `part:0.25` or `all`.
     pub on: Vec<Spanned<String>>,
-    /// The other end of a link, where that matters: `servers`, `clients`, `discovery`, `nodes`, or as `on`.
+    /// The other end of a faulty link: `servers`, `clients`, `discovery`, `nodes`, or as in `on`.
     pub to: Vec<Spanned<String>>,
-    /// How much of it; what that counts in is told with each kind.
+    /// Magnitude, in the unit that the kind defines.
     pub size: f64,
-    /// What is said, for an operator's word or a new file.
+    /// Text of an operator's call, an order to a release, or a tenant's name, depending on the kind.
     pub say: String,
 }
 
-/// What goes wrong.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Nothing: a mark on the time line.
+    /// No fault: a mark on the time line.
     #[default]
     Mark,
-    /// Servers: `size` times slower.
+    /// Servers are slower by the factor `size`.
     ServerSlow,
-    /// Servers: requests arrive and are never answered.
+    /// Servers accept requests and never answer.
     ServerSilent,
-    /// Servers: a part `size` of the requests is answered with an error at once.
+    /// Servers answer a share `size` of the requests with an error immediately.
     ServerErrors,
-    /// Servers: a part `size` of the connections breaks under a request that has run.
+    /// Servers reset the connection of a share `size` of the requests after processing them.
     ServerResets,
-    /// Servers: the process is gone, connections are refused; at the end it starts cold.
+    /// The servers' processes are down and connections are refused; at the end they start cold.
     ServerDown,
-    /// Servers: the machine is gone, connections stay silent; at the end it starts cold.
+    /// The servers' machines are gone and connections get no response; at the end they start cold.
     ServerVanish,
-    /// Servers: stand still for `size` ms every second.
+    /// Servers pause for `size` ms in every second.
     ServerPauses,
-    /// Servers: another program takes a part `size` of the cores.
+    /// Another program takes a share `size` of the servers' cores.
     ServerNeighbour,
-    /// Servers: take no further connection.
+    /// Servers reset new connections.
     ServerFull,
-    /// Servers: their word on their load is `size` s old.
+    /// The load that servers report is `size` s old.
     ServerReportsLate,
-    /// Servers: drain, as discovery lists them, and come back.
+    /// Servers drain, as listed by discovery, and return at the end.
     ServerDrain,
-    /// Servers: drain for a second, restart and return cold after `for_s`.
+    /// Servers drain for a second, stop, and start cold after `for_s`.
     ServerRestart,
-    /// Servers: are replaced by a machine of another name at once.
+    /// Servers are replaced by machines with other names immediately.
     ServerReplace,
-    /// Servers: say every answer twice.
+    /// Servers send every answer twice.
     ServerTwice,
-    /// Links between `on` and `to`: nothing passes, in no direction.
+    /// The links between `on` and `to` drop everything in both directions.
     LinkCut,
-    /// Links: what `on` sends to `to` is lost, the other direction passes.
+    /// The links drop what `on` sends to `to`; the other direction works.
     LinkOneWay,
-    /// Links: `size` ms more, one way.
+    /// The links take `size` ms longer one way.
     LinkDelay,
-    /// Datagrams between nodes: a part `size` is lost.
+    /// A share `size` of the datagrams between nodes is lost.
     PeerLoss,
-    /// Datagrams between nodes: a part `size` comes twice and late.
+    /// A share `size` of the datagrams between nodes arrives twice, and late.
     PeerDouble,
-    /// Nodes: SIGKILL; they start again after `for_s`.
+    /// Nodes get SIGKILL and start again after `for_s`.
     NodeKill,
-    /// Nodes: SIGKILL, and their disks as a power loss leaves them; they start again after `for_s`.
+    /// Nodes get SIGKILL, their disks are left as after a power loss, and they start again after `for_s`.
     NodePowerLoss,
-    /// Nodes: SIGKILL `size` times within `for_s` at drawn moments, one node after the other, started again at once.
+    /// Nodes get SIGKILL one after the other, `size` times within `for_s` at random times, and start again
+    /// immediately.
     NodeCrashes,
-    /// Nodes' disks: each sync takes `size` ms longer.
+    /// Each sync of the nodes' disks takes `size` ms longer.
     DiskSlow,
-    /// Nodes' disks: there is no room.
+    /// The nodes' disks are full.
     DiskFull,
-    /// Nodes' disks: syncs fail, and what they were to keep is lost.
+    /// Syncs of the nodes' disks fail, and the data to be synced is lost.
     DiskBroken,
-    /// Nodes' disks: nothing can be written.
+    /// The nodes' disks are read-only.
     DiskReadOnly,
-    /// Nodes: SIGSTOP for `for_s`.
+    /// Nodes get SIGSTOP, and SIGCONT after `for_s`.
     NodeFreeze,
-    /// Nodes: SIGTERM; they start again once they have ended, after `for_s` at the earliest.
+    /// Nodes get SIGTERM; they start again after they have ended and `for_s` has passed.
     NodeStop,
-    /// Nodes: the next process starts beside the old one, and takes over.
+    /// A new process of each node starts next to the old one and takes over.
     NodeUpgrade,
-    /// Nodes: SIGHUP with the same file.
+    /// Nodes get SIGHUP with an unchanged configuration.
     NodeReload,
-    /// Nodes: an operator says `say`.
+    /// An operator sends the call `say` to nodes.
     NodeCall,
-    /// A release of the servers begins, as `[release]` says.
+    /// The release described by `[release]` starts.
     Release,
-    /// Its controller is killed; the next one starts after `for_s`.
+    /// The release's controller is killed; the next one starts after `for_s`.
     ReleaseKill,
-    /// Its controller stands still for `for_s`.
+    /// The release's controller is frozen for `for_s`.
     ReleaseFreeze,
-    /// A person orders it to `say`: `halt`, `resume`, `back`, `abandon`.
+    /// An operator gives the release the order `say`: `halt`, `resume`, `back` or `abandon`.
     ReleaseOrder,
-    /// A second release is begun, which must be turned down.
+    /// A second release is started, which must be rejected.
     ReleaseSecond,
-    /// Discovery: refuses calls with 503.
+    /// Discovery answers calls with 503.
     DiscoveryDown,
-    /// Discovery: answers nothing.
+    /// Discovery does not answer.
     DiscoverySilent,
-    /// Discovery: each call takes `size` times as long.
+    /// Each call to discovery takes `size` times as long.
     DiscoverySlow,
-    /// Discovery: answers at another address from here on; nodes are told by SIGHUP.
+    /// Discovery moves to another address; nodes learn it by SIGHUP.
     DiscoveryMove,
-    /// Clients: `size` times as many.
+    /// All clients send `size` times as many requests.
     Burst,
-    /// Clients: those of `on`'s zone, `size` times as many.
+    /// Clients of the zones in `on` send `size` times as many requests.
     ZoneBurst,
-    /// Clients: tenant `say` asks `size` times as often.
+    /// Tenant `say` sends `size` times as many requests.
     TenantFlood,
-    /// Clients: a part `size` sends its request byte by byte.
+    /// A share `size` of the clients sends its requests in small pieces.
     SlowClients,
-    /// Clients: a part `size` more asks for what no server takes, and is answered 400 by each.
+    /// A share `size` of the clients sends requests that every server answers with 400.
     WrongRequests,
 }
 
 impl FaultKind {
-    /// It meets nodes, not servers.
-    pub fn of_nodes(self) -> bool {
+    /// Returns true if the fault affects nodes rather than servers.
+    pub fn affects_nodes(self) -> bool {
         matches!(
             self,
             FaultKind::NodeKill
@@ -578,11 +587,11 @@
                 | FaultKind::NodeUpgrade
                 | FaultKind::NodeReload
                 | FaultKind::NodeCall
-        ) || self.of_disks()
+        ) || self.affects_disks()
     }
 
-    /// It meets the disks of nodes.
-    pub fn of_disks(self) -> bool {
+    /// Returns true if the fault affects the disks of nodes.
+    pub fn affects_disks(self) -> bool {
         matches!(
             self,
             FaultKind::DiskSlow | FaultKind::DiskFull | FaultKind::DiskBroken | FaultKind::DiskReadOnly
@@ -590,86 +599,87 @@
     }
 }
 
-/// `[expect]`: absent, nothing is expected beyond the rules.
+/// Table `[expect]`; without it, only the rules must be kept.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expect {
-    /// Least part of the worth that is served.
+    /// Minimum share of the worth that is served.
     pub worth: Option<f64>,
-    /// Least part in the worst 5 s.
+    /// Minimum share in the worst 5 s.
     pub worst_5s: Option<f64>,
-    /// Least part in the worst class.
+    /// Minimum share in the worst class.
     pub worst_class: Option<f64>,
-    /// Least part in the worst tenant.
+    /// Minimum share for the worst tenant.
     pub worst_tenant: Option<f64>,
-    /// Most attempts for a request that had any.
+    /// Maximum number of attempts per try that had at least one.
     pub attempts: Option<f64>,
-    /// Most crossings of zones for a request that had an attempt.
+    /// Maximum number of attempts that cross zones, per request.
     pub crossings: Option<f64>,
-    /// Most seconds until service is back after each trouble's end.
+    /// Maximum time from the end of each fault until service recovers, in seconds.
     pub recover_s: Option<f64>,
-    /// How the release ends: `done`, `back`, `halted`, `abandoned`.
+    /// Final state of the release: `done`, `back`, `halted` or `abandoned`.
     pub release: Option<String>,
-    /// Servers on the new version at the end.
+    /// Members on the new version at the end.
     pub on_new: Option<usize>,
-    /// Most restarts of servers by the release.
+    /// Maximum number of restarts by the release.
     pub restarts: Option<usize>,
-    /// Rules that may be broken on this day, with a reason: for baselines.
+    /// Names of rules that may be broken in this run, for baselines.
     pub allow: Vec<String>,
-    /// Lateness of the lab itself, at the 99th percentile, from which the day does not count, in milliseconds.
+    /// Lateness of the lab itself, p99, at which the run does not count, in milliseconds.
     pub late_ms: Option<f64>,
 }
 
 impl Scenario {
-    /// Reads a file.
+    /// Reads a scenario file.
     ///
     /// # Errors
-    /// It cannot be read, or is no scenario; the line and the key are named.
+    /// Returns an error if the file cannot be read or is not a valid scenario; the error names the line and
+    /// the key.
     pub fn read(path: &Path) -> Result<Scenario, TomlError> {
-        Scenario::parse(&read_text(path, LONGEST)?)
+        Scenario::parse(&read_text(path, MAX_FILE_BYTES)?)
     }
 
-    /// Reads a text.
+    /// Parses the text of a scenario.
     ///
     /// # Errors
-    /// It is no scenario.
+    /// Returns an error that names the line and the key if the text is not a valid scenario.
     pub fn parse(text: &str) -> Result<Scenario, TomlError> {
-        let mut s: Scenario = tomlfile::parse(text)?;
-        if s.class.is_empty() {
-            s.class = default_classes();
+        let mut scenario: Scenario = tomlfile::parse(text)?;
+        if scenario.class.is_empty() {
+            scenario.class = default_classes();
         }
-        if s.tenant.is_empty() {
-            s.tenant = vec![Tenant { name: "all".to_owned(), share: 1.0, quota_rps: 0.0 }];
+        if scenario.tenant.is_empty() {
+            scenario.tenant = vec![Tenant { name: "all".to_owned(), share: 1.0, quota_rps: 0.0 }];
         }
-        s.check(text)?;
-        Ok(s)
+        scenario.validate(text)?;
+        Ok(scenario)
     }
 
-    fn check(&self, text: &str) -> Result<(), TomlError> {
+    fn validate(&self, text: &str) -> Result<(), TomlError> {
         let line_of = |key: &str| {
-            let word = key.rsplit('.').next().unwrap_or(key);
-            let at = text.lines().position(|l| l.trim_start().starts_with(word));
+            let last_part = key.rsplit('.').next().unwrap_or(key);
+            let at = text.lines().position(|l| l.trim_start().starts_with(last_part));
             at.map_or(1, |n| n + 1)
         };
-        let wrong = |key: &str, reason: &str| {
+        let invalid = |key: &str, reason: &str| {
             Err(TomlError::Content { line: line_of(key), key: key.to_owned(), reason: reason.to_owned() })
         };
         if self.name.is_empty() || !self.name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-') {
-            return wrong("name", "must be a word of letters, digits and dashes");
+            return invalid("name", "must be a word of letters, digits and dashes");
         }
-        let f = &self.fleet;
-        let figures = [
+        let fleet = &self.fleet;
+        let ranges = [
             ("seconds", self.seconds, 1.0, 86_400.0),
-            ("fleet.nodes", f.nodes as f64, 1.0, 100_000.0),
-            ("fleet.servers", f.servers as f64, 1.0, 100_000.0),
-            ("fleet.names", f.names as f64, 1.0, 10_000.0),
-            ("fleet.cores", f.cores, 0.1, 1024.0),
-            ("fleet.cold_from", f.cold_from, 0.01, 1.0),
-            ("fleet.cold_s", f.cold_s, 0.0, 3600.0),
-            ("fleet.store_old_s", f.store_old_s, 0.0, 1e6),
-            ("fleet.key_saving", f.key_saving, 0.0, 0.99),
-            ("fleet.slots_per_core", f.slots_per_core, 0.1, 1e4),
-            ("fleet.queue_per_core", f.queue_per_core, 0.0, 1e6),
+            ("fleet.nodes", fleet.nodes as f64, 1.0, 100_000.0),
+            ("fleet.servers", fleet.servers as f64, 1.0, 100_000.0),
+            ("fleet.names", fleet.names as f64, 1.0, 10_000.0),
+            ("fleet.cores", fleet.cores, 0.1, 1024.0),
+            ("fleet.cold_from", fleet.cold_from, 0.01, 1.0),
+            ("fleet.cold_s", fleet.cold_s, 0.0, 3600.0),
+            ("fleet.store_old_s", fleet.store_old_s, 0.0, 1e6),
+            ("fleet.key_saving", fleet.key_saving, 0.0, 0.99),
+            ("fleet.slots_per_core", fleet.slots_per_core, 0.1, 1e4),
+            ("fleet.queue_per_core", fleet.queue_per_core, 0.0, 1e6),
             ("load.rate", self.load.rate, 0.0, 1e7),
             ("load.of_capacity", self.load.of_capacity, 0.0, 100.0),
             ("load.work", self.load.work, 0.001, 1000.0),
@@ -682,42 +692,46 @@
             ("rules.fall_s", self.rules.fall_s, 0.0, 3600.0),
             ("rules.attempts", f64::from(self.rules.attempts), 1.0, 100.0),
         ];
-        for (key, value, least, most) in figures {
+        for (key, value, least, most) in ranges {
             if !(least..=most).contains(&value) {
-                return wrong(key, &format!("{value} is not within {least} to {most}"));
+                return invalid(key, &format!("{value} is not within {least} to {most}"));
             }
         }
-        if f.zones.is_empty() || f.zones.iter().any(|z| f.zones.iter().filter(|o| *o == z).count() > 1) {
-            return wrong("fleet.zones", "there must be one, and each once");
+        if fleet.zones.is_empty()
+            || fleet.zones.iter().any(|z| fleet.zones.iter().filter(|o| *o == z).count() > 1)
+        {
+            return invalid("fleet.zones", "must name at least one zone, and none twice");
         }
-        let pair = |p: [f64; 2], least: f64| p[0] >= least && p[1] >= p[0] && p[1].is_finite();
-        if !pair(f.speed, 0.01) {
-            return wrong("fleet.speed", "must be two figures, the lesser first");
+        let is_range = |p: [f64; 2], least: f64| p[0] >= least && p[1] >= p[0] && p[1].is_finite();
+        if !is_range(fleet.speed, 0.01) {
+            return invalid("fleet.speed", "must be two numbers, the smaller one first");
         }
-        for (n, c) in self.class.iter().enumerate() {
-            let fine =
-                pair(c.work_ms, 0.01) && c.aim_ms > 0.0 && c.deadline_ms >= c.aim_ms && c.share >= 0.0;
-            if !fine || c.name.is_empty() {
-                return wrong(
+        for (n, class) in self.class.iter().enumerate() {
+            let is_valid = is_range(class.work_ms, 0.01)
+                && class.aim_ms > 0.0
+                && class.deadline_ms >= class.aim_ms
+                && class.share >= 0.0;
+            if !is_valid || class.name.is_empty() {
+                return invalid(
                     &format!("class[{n}].name"),
                     "needs a name, work_ms, aim_ms and a later deadline_ms",
                 );
             }
         }
-        for (n, t) in self.trouble.iter().enumerate() {
+        for (n, fault) in self.trouble.iter().enumerate() {
             let key = format!("trouble[{n}]");
-            if !(t.at_s >= 0.0 && t.for_s >= 0.0 && t.size.is_finite()) {
-                return wrong(&key, "at_s and for_s must not be below 0");
+            if !(fault.at_s >= 0.0 && fault.for_s >= 0.0 && fault.size.is_finite()) {
+                return invalid(&key, "at_s and for_s must not be below 0");
             }
-            if t.kind == FaultKind::ServerRestart && t.for_s < LEAST_RESTART_S {
-                return wrong(
+            if fault.kind == FaultKind::ServerRestart && fault.for_s < MIN_RESTART_S {
+                return invalid(
                     &key,
-                    "a server-restart drains for a second first: for_s must be 1.5 at least",
+                    "a server-restart drains for a second first: for_s must be at least 1.5",
                 );
             }
-            for on in t.on.iter().chain(&t.to) {
-                if let Err(reason) = self.members(on.get_ref()) {
-                    let line = tomlfile::line(text, on.span().start);
+            for word in fault.on.iter().chain(&fault.to) {
+                if let Err(reason) = self.check_party(word.get_ref()) {
+                    let line = tomlfile::line(text, word.span().start);
                     return Err(TomlError::Content { line, key: format!("{key}.on"), reason });
                 }
             }
@@ -725,8 +739,8 @@
         Ok(())
     }
 
-    /// What a word of `on` or `to` names, where that does not need a draw.
-    fn members(&self, word: &str) -> Result<(), String> {
+    /// Checks that a word of `on` or `to` names parties of this fleet.
+    fn check_party(&self, word: &str) -> Result<(), String> {
         let number = |prefix: char, most: usize| {
             word.strip_prefix(prefix).and_then(|n| n.parse::<usize>().ok()).map(|n| n < most)
         };
@@ -740,7 +754,7 @@
         }
         if let Some(part) = word.strip_prefix("part:") {
             let fits = part.parse::<f64>().is_ok_and(|p| (0.0..=1.0).contains(&p));
-            return if fits { Ok(()) } else { Err(format!("{part:?} is no part between 0 and 1")) };
+            return if fits { Ok(()) } else { Err(format!("{part:?} is not a share between 0 and 1")) };
         }
         match number('s', self.fleet.servers).or(number('n', self.fleet.nodes)) {
             Some(true) => Ok(()),
@@ -754,12 +768,12 @@
 mod tests {
     use super::*;
 
-    fn why(text: &str) -> String {
+    fn error(text: &str) -> String {
         Scenario::parse(text).unwrap_err().to_string()
     }
 
     #[test]
-    fn a_short_file_is_a_day_of_the_operators_fleet() {
+    fn a_minimal_file_describes_the_operators_fleet() {
         let s = Scenario::parse("name = \"x\"\nseconds = 5\n").unwrap();
         assert_eq!((s.fleet.nodes, s.fleet.servers, s.class.len()), (4, 12, 4));
         assert_eq!(s.class[2].repeat, Repeat::Once);
@@ -767,18 +781,18 @@
 
     #[test]
     fn an_error_names_the_line_and_the_key() {
-        assert!(why("seconds = 5\n").contains("name: must be"));
-        assert!(why("name = \"x\"\nseconds = 0\n").starts_with("line 2: seconds: 0 is not within"));
-        assert!(why("name = \"x\"\nseconds = 5\nfoo = 1\n").starts_with("line 3: foo: unknown field"));
+        assert!(error("seconds = 5\n").contains("name: must be"));
+        assert!(error("name = \"x\"\nseconds = 0\n").starts_with("line 2: seconds: 0 is not within"));
+        assert!(error("name = \"x\"\nseconds = 5\nfoo = 1\n").starts_with("line 3: foo: unknown field"));
         let trouble =
-            |rest: &str| why(&format!("name = \"x\"\nseconds = 5\n[[trouble]]\nat_s = 1\n{rest}\n"));
+            |rest: &str| error(&format!("name = \"x\"\nseconds = 5\n[[trouble]]\nat_s = 1\n{rest}\n"));
         assert!(trouble("kind = \"server-bad\"").starts_with("line 5: trouble[0].kind: unknown variant"));
-        let wrong = trouble("kind = \"server-down\"\non = [\"s0\", \"s12\"]");
-        assert_eq!(wrong, "line 6: trouble[0].on: there is no s12: they are numbered from 0");
+        let unknown_server = trouble("kind = \"server-down\"\non = [\"s0\", \"s12\"]");
+        assert_eq!(unknown_server, "line 6: trouble[0].on: there is no s12: they are numbered from 0");
         assert!(trouble("on = [\"zone:b\"]").contains("there is no zone \"b\""));
-        assert!(trouble("on = [\"part:2\"]").contains("no part between"));
+        assert!(trouble("on = [\"part:2\"]").contains("not a share between"));
         assert!(trouble("on = [\"x\"]").contains("neither all"));
-        let hasty = trouble("kind = \"server-restart\"\nfor_s = 0.7\non = [\"s0\"]");
-        assert!(hasty.contains("drains for a second first"), "{hasty}");
+        let too_short = trouble("kind = \"server-restart\"\nfor_s = 0.7\non = [\"s0\"]");
+        assert!(too_short.contains("drains for a second first"), "{too_short}");
     }
 }
