--- a/crates/lab/src/real/addresses.rs
+++ b/crates/lab/src/real/addresses.rs
@@ -6,18 +6,20 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::Mutex;
 
-/// Draws until a new address comes up. The system hands out some 28,000 ports of an address.
-const DRAWS: usize = 1000;
+/// Maximum number of ports requested until one comes up that was not handed out before. The system assigns
+/// from about 28,000 ports per address.
+const MAX_DRAWS: usize = 1000;
 
-/// A free address of that ip, which this process hands out only once: until the process that it is meant for has bound it, the
-/// system takes it for free and may hand it out again. Another program could still take the port; then the one that it was meant
-/// for cannot start, and says so.
+/// Returns a free address on `ip` that this process has not handed out before. The system considers the
+/// port free until the process that it is meant for has bound it, and may assign it again. If another
+/// program takes the port first, that process fails to start with an error.
 ///
 /// # Errors
-/// The system has no free port of that ip.
+/// Returns an error if the system has no free port on `ip`, or assigns only ports that were handed out
+/// already.
 pub fn free_address(ip: Ipv4Addr) -> io::Result<SocketAddr> {
     static HANDED_OUT: Mutex<Option<HashSet<SocketAddr>>> = Mutex::new(None);
-    for _ in 0..DRAWS {
+    for _ in 0..MAX_DRAWS {
         let address = TcpListener::bind((ip, 0))?.local_addr()?;
         if lock(&HANDED_OUT).get_or_insert_default().insert(address) {
             return Ok(address);
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -1,7 +1,8 @@
-//! Clients: open loop, by class and tenant, with retries of their own, behind a front that deals them out.
+//! Emulated clients: an open loop by class and tenant, with retries, behind a front end that distributes
+//! them over the nodes.
 
 use super::World;
-use super::links::{End, Gated, Link, lock};
+use super::links::{Link, LinkStream, StreamEnd, lock};
 use crate::checker::{ANSWER_SLACK_MS, Answer};
 use crate::plan::Arrival;
 use crate::scenario::{Backoff, Repeat};
@@ -20,28 +21,28 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How often the front asks a node whether it takes clients.
-const ASK_EVERY: Duration = Duration::from_millis(100);
-/// New connections stop so long after a no.
-const STOP_AFTER: Duration = Duration::from_millis(200);
-/// What a client says that sends slowly, at once, and how often.
-const DRIP: usize = 48;
-const DRIP_EVERY: Duration = Duration::from_millis(20);
-/// Head and body of a request come to about so many bytes.
+/// Interval of the front end's health checks.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after the first failed health check at which the front end sends no more clients.
+const UNHEALTHY_AFTER: Duration = Duration::from_millis(200);
+/// Size in bytes and interval of the pieces in which a slow client sends.
+const SLOW_CHUNK_BYTES: usize = 48;
+const SLOW_CHUNK_INTERVAL: Duration = Duration::from_millis(20);
+/// Approximate size of a request with head and body, in bytes.
 const REQUEST_BYTES: usize = 400;
-/// A try with less time than this is not made, in milliseconds.
-const LEAST_MS: f64 = 5.0;
-/// A node that has started is asked for its first answer for so long.
-const FIRST_WITHIN: Duration = Duration::from_secs(10);
+/// Minimum time left for which a client starts a try, in milliseconds.
+const MIN_TRY_MS: f64 = 5.0;
+/// Time for which a restarted node is polled for its first answer.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A stream that may be slow to write.
-struct Paced {
-    stream: Gated,
+/// A stream that may write slowly.
+struct PacedStream {
+    stream: LinkStream,
     slow: bool,
     pause: Option<Pin<Box<tokio::time::Sleep>>>,
 }
 
-impl AsyncRead for Paced {
+impl AsyncRead for PacedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -51,7 +52,7 @@
     }
 }
 
-impl AsyncWrite for Paced {
+impl AsyncWrite for PacedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -64,9 +65,9 @@
             ready!(pause.as_mut().poll(cx));
             self.pause = None;
         }
-        let some = buf.get(..DRIP).unwrap_or(buf);
+        let some = buf.get(..SLOW_CHUNK_BYTES).unwrap_or(buf);
         let written = ready!(Pin::new(&mut self.stream).poll_write(cx, some))?;
-        self.pause = Some(Box::pin(tokio::time::sleep(DRIP_EVERY)));
+        self.pause = Some(Box::pin(tokio::time::sleep(SLOW_CHUNK_INTERVAL)));
         Poll::Ready(Ok(written))
     }
 
@@ -79,53 +80,54 @@
     }
 }
 
-type Conn = SendRequest<Full<Bytes>>;
+type Connection = SendRequest<Full<Bytes>>;
 
-/// What the front and the clients of one zone have of one node.
-pub struct Way {
+/// The path from the front end and the clients of one zone to one node.
+pub struct ClientPath {
     /// The link between them.
     pub link: Arc<Link>,
-    idle: Mutex<Vec<Conn>>,
+    idle: Mutex<Vec<Connection>>,
 }
 
-/// The front, and the connections of all clients.
+/// The front end and the connections of all clients.
 pub struct Clients {
-    /// By zone and node.
-    pub ways: Vec<Vec<Way>>,
+    /// Paths by zone and node.
+    pub paths: Vec<Vec<ClientPath>>,
     ready: Vec<AtomicBool>,
-    turn: AtomicUsize,
-    /// Connections that clients keep to servers, where no node is between them: by the node that they pass by.
-    direct: Mutex<HashMap<(usize, usize), Vec<Conn>>>,
+    /// Counter for the choice among the ready nodes in turn.
+    next_node: AtomicUsize,
+    /// Idle connections from clients directly to servers, by the node that they bypass and the server.
+    direct: Mutex<HashMap<(usize, usize), Vec<Connection>>>,
 }
 
 impl Clients {
-    /// Of so many zones and nodes.
+    /// Creates the front end for a number of zones and nodes.
     pub fn new(zones: usize, nodes: usize) -> Clients {
-        let way = |_| Way { link: Arc::default(), idle: Mutex::default() };
+        let path = |_| ClientPath { link: Arc::default(), idle: Mutex::default() };
         Clients {
-            ways: (0..zones).map(|_| (0..nodes).map(way).collect()).collect(),
+            paths: (0..zones).map(|_| (0..nodes).map(path).collect()).collect(),
             ready: (0..nodes).map(|_| AtomicBool::new(false)).collect(),
-            turn: AtomicUsize::new(0),
+            next_node: AtomicUsize::new(0),
             direct: Mutex::default(),
         }
     }
 
-    /// Whether the front sends clients to a node.
-    pub fn ready(&self, node: usize) -> bool {
+    /// Returns true if the front end sends clients to a node.
+    pub fn is_ready(&self, node: usize) -> bool {
         self.ready.get(node).is_some_and(|r| r.load(Ordering::SeqCst))
     }
 
-    /// Asks a node for as long as the day lasts.
-    pub async fn watch(world: Arc<World>, node: usize) {
+    /// Checks the health of a node until the end of the run.
+    pub async fn check_health(world: Arc<World>, node: usize) {
         let clients = &world.clients;
         let front_s = world.plan.scenario.net.front_s;
         let zone = world.plan.node_zones.get(node).copied().unwrap_or(0);
         let Some(ready) = clients.ready.get(node) else { return };
-        let mut bad_since: Option<tokio::time::Instant> = None;
-        let mut conn: Option<Conn> = None;
+        let mut unhealthy_since: Option<tokio::time::Instant> = None;
+        let mut conn: Option<Connection> = None;
         loop {
-            let ask = async {
-                let mut open = match conn.take().filter(Conn::is_ready) {
+            let check = async {
+                let mut open = match conn.take().filter(Connection::is_ready) {
                     Some(conn) => conn,
                     None => clients.open(&world, zone, node, false).await?,
                 };
@@ -135,81 +137,83 @@
                 response.into_body().collect().await.ok()?;
                 Some((open, status))
             };
-            let answer = tokio::time::timeout(Duration::from_millis(500), ask).await.ok().flatten();
+            let answer = tokio::time::timeout(Duration::from_millis(500), check).await.ok().flatten();
             match answer {
                 Some((open, status)) if status == StatusCode::OK => {
                     conn = Some(open);
-                    bad_since = None;
+                    unhealthy_since = None;
                     ready.store(true, Ordering::SeqCst);
                 }
                 Some((open, _)) => {
                     conn = Some(open);
-                    let since = *bad_since.get_or_insert_with(tokio::time::Instant::now);
-                    if since.elapsed() >= STOP_AFTER {
+                    let since = *unhealthy_since.get_or_insert_with(tokio::time::Instant::now);
+                    if since.elapsed() >= UNHEALTHY_AFTER {
                         ready.store(false, Ordering::SeqCst);
                     }
                 }
                 None => {
-                    let since = *bad_since.get_or_insert_with(tokio::time::Instant::now);
+                    let since = *unhealthy_since.get_or_insert_with(tokio::time::Instant::now);
                     if since.elapsed().as_secs_f64() >= front_s {
                         ready.store(false, Ordering::SeqCst);
                     }
                 }
             }
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
         }
     }
 
-    /// A node for a client of a zone: one of the zone where there is one, else any.
+    /// Chooses a node for a client: one in the client's zone if any is ready, otherwise any.
     fn pick(&self, world: &World, zone: usize) -> Option<usize> {
-        let of = |own: bool| {
-            let fits = |n: &usize| self.ready(*n) && (!own || world.plan.node_zones[*n] == zone);
+        let ready_nodes = |same_zone: bool| {
+            let fits = |n: &usize| self.is_ready(*n) && (!same_zone || world.plan.node_zones[*n] == zone);
             (0..self.ready.len()).filter(fits).collect::<Vec<usize>>()
         };
-        let mut nodes = of(true);
+        let mut nodes = ready_nodes(true);
         if nodes.is_empty() {
-            nodes = of(false);
+            nodes = ready_nodes(false);
         }
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
+        let turn = self.next_node.fetch_add(1, Ordering::Relaxed);
         nodes.get(turn % nodes.len().max(1)).copied()
     }
 
-    async fn open(&self, world: &World, zone: usize, node: usize, slow: bool) -> Option<Conn> {
-        let way = self.ways.get(zone)?.get(node)?;
-        // What does not pass does not come up.
-        while !way.link.link_state().inbound || !way.link.link_state().outbound {
+    /// Opens a connection from a client to a node.
+    async fn open(&self, world: &World, zone: usize, node: usize, slow: bool) -> Option<Connection> {
+        let path = self.paths.get(zone)?.get(node)?;
+        // A connection over a cut link is not established.
+        while !path.link.link_state().inbound || !path.link.link_state().outbound {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let stream = TcpStream::connect(world.nodes.get(node)?.listen).await.ok()?;
-        let stream = Gated::new(stream, way.link.clone(), End::Client);
+        let stream = LinkStream::new(stream, path.link.clone(), StreamEnd::Client);
         let (sender, connection) =
-            handshake(TokioIo::new(Paced { stream, slow, pause: None })).await.ok()?;
+            handshake(TokioIo::new(PacedStream { stream, slow, pause: None })).await.ok()?;
         tokio::spawn(async move {
-            // Its end is seen by whoever sends.
+            // The sender sees the end of the connection.
             let _ = connection.await;
         });
         Some(sender)
     }
 
-    /// The server that holds least for its speed, as only the lab knows: the client goes there by itself.
-    async fn open_direct(world: &World, node: usize, server: usize) -> Option<Conn> {
+    /// Opens a connection from a client directly to a server.
+    async fn open_direct(world: &World, node: usize, server: usize) -> Option<Connection> {
         let stream = TcpStream::connect(world.host(server)?.address(node)?).await.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(async move {
-            // Its end is seen by whoever sends.
+            // The sender sees the end of the connection.
             let _ = connection.await;
         });
         Some(sender)
     }
 
-    fn kept(&self, zone: usize, node: usize, server: Option<usize>) -> Option<Conn> {
+    /// Takes an idle connection to a node, or to a server directly.
+    fn take_idle(&self, zone: usize, node: usize, server: Option<usize>) -> Option<Connection> {
         if let Some(server) = server {
             let mut direct = lock(&self.direct);
             let idle = direct.get_mut(&(node, server))?;
             return std::iter::from_fn(|| idle.pop()).find(|c| c.is_ready() && !c.is_closed());
         }
-        let mut idle = lock(&self.ways.get(zone)?.get(node)?.idle);
+        let mut idle = lock(&self.paths.get(zone)?.get(node)?.idle);
         while let Some(conn) = idle.pop() {
             if conn.is_ready() && !conn.is_closed() {
                 return Some(conn);
@@ -218,59 +222,61 @@
         None
     }
 
-    fn keep(&self, zone: usize, node: usize, server: Option<usize>, conn: Conn) {
+    /// Keeps a connection for later use.
+    fn return_idle(&self, zone: usize, node: usize, server: Option<usize>, conn: Connection) {
         if let Some(server) = server {
             lock(&self.direct).entry((node, server)).or_default().push(conn);
-        } else if let Some(way) = self.ways.get(zone).and_then(|w| w.get(node))
+        } else if let Some(path) = self.paths.get(zone).and_then(|w| w.get(node))
             && !conn.is_closed()
         {
-            lock(&way.idle).push(conn);
+            lock(&path.idle).push(conn);
         }
     }
 
-    /// One client with its tries.
-    pub async fn come(world: Arc<World>, arrival: Arrival) {
+    /// Runs one client with all its tries.
+    pub async fn run_client(world: Arc<World>, arrival: Arrival) {
         lock(&world.checker).client_arrived(&arrival);
-        let s = &world.plan.scenario;
-        let Some(class) = s.class.get(arrival.class) else { return };
-        let end = arrival.at_ms + class.deadline_ms;
-        for number in 0..=s.load.retries {
-            let left = end - world.now();
-            if left < LEAST_MS {
+        let scenario = &world.plan.scenario;
+        let Some(class) = scenario.class.get(arrival.class) else { return };
+        let end_ms = arrival.at_ms + class.deadline_ms;
+        for number in 0..=scenario.load.retries {
+            let left_ms = end_ms - world.now();
+            if left_ms < MIN_TRY_MS {
                 return;
             }
-            let share = if number < s.load.retries { s.load.try_share } else { 1.0 };
-            let wait = left.min(class.deadline_ms * share);
+            let wait_share = if number < scenario.load.retries { scenario.load.try_share } else { 1.0 };
+            let wait_ms = left_ms.min(class.deadline_ms * wait_share);
             let retry_after = match world.clients.pick(&world, arrival.zone) {
                 None => None,
                 Some(node) => {
-                    let tried = Try { world: &world, arrival: &arrival, number, node, wait };
-                    match tried.make().await {
+                    let client_try = Try { world: &world, arrival: &arrival, number, node, wait_ms };
+                    match client_try.run().await {
                         _ if arrival.invalid => return,
-                        Tried::Served => return,
-                        Tried::Refused(after) => after,
-                        Tried::Else => None,
+                        TryResult::Served => return,
+                        TryResult::Refused(after) => after,
+                        TryResult::Failed => None,
                     }
                 }
             };
-            let pause = match (retry_after.filter(|_| arrival.honours_retry_after), s.load.backoff) {
-                (_, Backoff::None) => return,
-                (Some(ms), _) => ms,
-                (None, Backoff::AtOnce) => 0.0,
-                (None, Backoff::Fixed) => s.load.backoff_ms,
-                (None, Backoff::Exp) => s.load.backoff_ms * 2f64.powi(number as i32),
-            };
-            if world.now() + pause > end - LEAST_MS {
+            let pause_ms =
+                match (retry_after.filter(|_| arrival.honours_retry_after), scenario.load.backoff) {
+                    (_, Backoff::None) => return,
+                    (Some(ms), _) => ms,
+                    (None, Backoff::AtOnce) => 0.0,
+                    (None, Backoff::Fixed) => scenario.load.backoff_ms,
+                    (None, Backoff::Exp) => scenario.load.backoff_ms * 2f64.powi(number as i32),
+                };
+            if world.now() + pause_ms > end_ms - MIN_TRY_MS {
                 return;
             }
-            tokio::time::sleep(Duration::from_secs_f64(pause.max(0.0) / 1000.0)).await;
+            tokio::time::sleep(Duration::from_secs_f64(pause_ms.max(0.0) / 1000.0)).await;
         }
     }
 }
 
 impl Clients {
-    /// Opens connections to a node that carry nothing beyond one question, for as long as the day lasts.
-    pub async fn idle(world: Arc<World>, node: usize) {
+    /// Opens connections to a node that stay idle after one health check, until the end of the run.
+    pub async fn hold_idle_connections(world: Arc<World>, node: usize) {
         let zone = world.plan.node_zones.get(node).copied().unwrap_or(0);
         let mut open = Vec::new();
         for _ in 0..world.plan.scenario.load.idle {
@@ -285,17 +291,17 @@
         std::future::pending::<()>().await;
     }
 
-    /// Asks a node that has just been started, again and again, until it has served: how long that took.
-    pub async fn first_answer(world: Arc<World>, node: usize, started: std::time::Instant) {
+    /// Polls a restarted node until it serves a request, and records the time that this took.
+    pub async fn await_first_answer(world: Arc<World>, node: usize, started: std::time::Instant) {
         let Some(template) = world.plan.arrivals().find(|a| {
             !a.invalid && world.plan.scenario.class.get(a.class).is_some_and(|c| c.repeat == Repeat::Safe)
         }) else {
             return;
         };
         let zone = world.plan.node_zones.get(node).copied().unwrap_or(0);
-        static ASKED: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1 << 40);
-        while started.elapsed() < FIRST_WITHIN && !world.ending() {
-            let number = ASKED.fetch_add(1, Ordering::Relaxed);
+        static NEXT_NUMBER: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1 << 40);
+        while started.elapsed() < FIRST_ANSWER_TIMEOUT && !world.is_ending() {
+            let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
             let arrival =
                 Arrival { number, at_ms: world.now(), zone, work_ms: 1.0, slow: false, ..template };
             let listens = world.nodes.get(node).map(|n| n.listen);
@@ -304,8 +310,8 @@
                 None => false,
             };
             if up {
-                let tried = Try { world: &world, arrival: &arrival, number: 0, node, wait: 500.0 };
-                if matches!(tried.make().await, Tried::Served) {
+                let client_try = Try { world: &world, arrival: &arrival, number: 0, node, wait_ms: 500.0 };
+                if matches!(client_try.run().await, TryResult::Served) {
                     let took = started.elapsed().as_secs_f64() * 1000.0;
                     lock(&world.checker).record_first_answer(node, took);
                     return;
@@ -316,35 +322,39 @@
     }
 }
 
-/// What a client makes of a try.
-enum Tried {
+/// The result of a try, for the client.
+enum TryResult {
     Served,
     Refused(Option<f64>),
-    Else,
+    Failed,
 }
 
-/// One request of a client.
+/// One try of a client.
 struct Try<'a> {
     world: &'a Arc<World>,
     arrival: &'a Arrival,
     number: u32,
     node: usize,
-    wait: f64,
+    wait_ms: f64,
 }
 
 impl Try<'_> {
+    /// Builds the HTTP request.
     fn request(&self, id: u64) -> Option<Request<Full<Bytes>>> {
-        let (s, a) = (&self.world.plan.scenario, self.arrival);
-        let class = s.class.get(a.class)?;
+        let (scenario, arrival) = (&self.world.plan.scenario, self.arrival);
+        let class = scenario.class.get(arrival.class)?;
         let mut head = Request::builder()
             .uri("/api")
             .header("host", "api.internal")
             .header("x-trace-id", format!("{id:016x}"))
-            .header("x-qos", if a.invalid { format!("{}-old", class.name) } else { class.name.clone() })
-            .header("x-customer", &s.tenant.get(a.tenant)?.name)
-            .header("x-object", format!("k{:06x}", a.key))
-            .header("x-expires-in-ms", format!("{:.0}", self.wait.floor()));
-        if let Some(hint) = a.hint_ms {
+            .header(
+                "x-qos",
+                if arrival.invalid { format!("{}-old", class.name) } else { class.name.clone() },
+            )
+            .header("x-customer", &scenario.tenant.get(arrival.tenant)?.name)
+            .header("x-object", format!("k{:06x}", arrival.key))
+            .header("x-expires-in-ms", format!("{:.0}", self.wait_ms.floor()));
+        if let Some(hint) = arrival.hint_ms {
             head = head.header("x-size-hint", format!("{:.0}", hint * 1000.0));
         }
         let body = match class.repeat {
@@ -359,27 +369,29 @@
         head.body(Full::new(body)).ok()
     }
 
-    async fn make(&self) -> Tried {
+    /// Sends the request, and reports the answer to the checker.
+    async fn run(&self) -> TryResult {
         let (world, node) = (self.world, self.node);
         let id = world.try_id(self.arrival, self.number);
         let slow_ms = if self.arrival.slow {
-            (REQUEST_BYTES / DRIP) as f64 * DRIP_EVERY.as_secs_f64() * 1000.0
+            (REQUEST_BYTES / SLOW_CHUNK_BYTES) as f64 * SLOW_CHUNK_INTERVAL.as_secs_f64() * 1000.0
         } else {
             0.0
         };
-        world.send(id, self.arrival);
-        let sent = world.now();
+        world.register_try(id, self.arrival);
+        let sent_ms = world.now();
         let (answer, retry_after) = self.exchange(id, slow_ms).await;
-        let excused = world.nodes.get(node).is_some_and(|n| {
-            // Nobody stands between a client and a server that could owe it an answer.
+        let losses_excused = world.nodes.get(node).is_some_and(|n| {
+            // Without a node between client and server, no node can break a rule.
             world.direct
-                || n.excused.load(Ordering::SeqCst)
-                || sent <= n.woke_ms.load(Ordering::SeqCst) as f64
+                || n.losses_excused.load(Ordering::SeqCst)
+                || sent_ms <= n.resumed_ms.load(Ordering::SeqCst) as f64
         });
-        let link_state = world.clients.ways[self.arrival.zone][node].link.link_state();
-        let cut = excused || !link_state.outbound || !link_state.inbound || world.ending();
+        let link_state = world.clients.paths[self.arrival.zone][node].link.link_state();
+        let loss_expected =
+            losses_excused || !link_state.outbound || !link_state.inbound || world.is_ending();
         let answer = match answer {
-            Answer::Lost | Answer::Silence if cut => Answer::Cut,
+            Answer::Lost | Answer::Silence if loss_expected => Answer::Cut,
             answer => answer,
         };
         let now = world.now();
@@ -388,32 +400,33 @@
         match answer {
             Answer::Served { genuine: true } => {
                 checker.client_served(now, self.arrival.number);
-                Tried::Served
+                TryResult::Served
             }
-            Answer::Refused { .. } => Tried::Refused(retry_after),
-            _ => Tried::Else,
+            Answer::Refused { .. } => TryResult::Refused(retry_after),
+            _ => TryResult::Failed,
         }
     }
 
-    /// The node closed a connection under it, and was not made to by the lab.
-    fn closed(&self) {
+    /// Counts a connection that the node closed and that was not broken by the lab.
+    fn count_closed(&self) {
         let node = self.world.nodes.get(self.node);
-        if !self.world.ending() && !node.is_some_and(|n| n.excused.load(Ordering::SeqCst)) {
+        if !self.world.is_ending() && !node.is_some_and(|n| n.losses_excused.load(Ordering::SeqCst)) {
             lock(&self.world.checker).connection_closed();
         }
     }
 
-    /// Sends it and waits, on a kept connection if there is one; a kept one may be closed as it is sent, and then
-    /// it goes once more on a new one.
+    /// Sends the request and waits for the answer. If an idle connection is closed while the request is
+    /// sent, the request is sent again on another one.
     async fn exchange(&self, id: u64, slow_ms: f64) -> (Answer, Option<f64>) {
         let (world, node, zone) = (self.world, self.node, self.arrival.zone);
-        let limit = Duration::from_secs_f64((self.wait + slow_ms + ANSWER_SLACK_MS) / 1000.0);
+        let limit = Duration::from_secs_f64((self.wait_ms + slow_ms + ANSWER_SLACK_MS) / 1000.0);
         let end = tokio::time::Instant::now() + limit;
         let server = if world.direct { world.least_loaded() } else { None };
-        let mut kept = if self.arrival.slow { None } else { world.clients.kept(zone, node, server) };
+        let mut idle_connection =
+            if self.arrival.slow { None } else { world.clients.take_idle(zone, node, server) };
         loop {
-            let fresh = kept.is_none();
-            let mut conn = match kept.take() {
+            let fresh = idle_connection.is_none();
+            let mut conn = match idle_connection.take() {
                 Some(conn) => conn,
                 None => {
                     let open = async {
@@ -429,7 +442,7 @@
                 }
             };
             let Some(request) = self.request(id) else { return (Answer::Nowhere, None) };
-            lock(&world.checker).try_sent(world.now() + slow_ms, id, self.arrival, node, self.wait);
+            lock(&world.checker).try_sent(world.now() + slow_ms, id, self.arrival, node, self.wait_ms);
             let exchange = async {
                 let response = conn.send_request(request).await?;
                 let (head, body) = response.into_parts();
@@ -439,21 +452,21 @@
             match tokio::time::timeout_at(end, exchange).await {
                 Err(_) => return (Answer::Silence, None),
                 Ok(Err(e)) if !fresh && (e.is_canceled() || e.is_incomplete_message() || e.is_closed()) => {
-                    self.closed();
+                    self.count_closed();
                 }
-                // A new connection that is closed before anything came for its first request: failed, not lost,
-                // while such are few.
+                // A new connection that closes before anything arrives for its first request counts as
+                // failed, not as lost: a few such cases are allowed.
                 Ok(Err(e)) if e.is_canceled() || e.is_incomplete_message() => {
-                    self.closed();
+                    self.count_closed();
                     return (Answer::Failed, None);
                 }
                 Ok(Err(_)) => return (Answer::Lost, None),
                 Ok(Ok(response)) => {
                     if !self.arrival.slow {
-                        world.clients.keep(zone, node, server, conn);
+                        world.clients.return_idle(zone, node, server, conn);
                     }
-                    return match read(&response, id) {
-                        // No node is there that could say when to come back.
+                    return match parse_response(&response, id) {
+                        // No node is involved that could send Retry-After.
                         (Answer::Refused { .. }, _) if world.direct => (Answer::Failed, None),
                         read => read,
                     };
@@ -463,17 +476,18 @@
     }
 }
 
-fn read(response: &Response<Bytes>, id: u64) -> (Answer, Option<f64>) {
-    let after = response.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok());
-    let after = after.and_then(|t| t.parse::<f64>().ok()).map(|s| s * 1000.0);
+/// Classifies a response. Returns the delay of Retry-After as well, in milliseconds.
+fn parse_response(response: &Response<Bytes>, id: u64) -> (Answer, Option<f64>) {
+    let retry_after = response.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok());
+    let retry_after_ms = retry_after.and_then(|t| t.parse::<f64>().ok()).map(|s| s * 1000.0);
     let answer = match response.status() {
         StatusCode::OK => {
             Answer::Served { genuine: response.body().starts_with(format!("{id:016x} ").as_bytes()) }
         }
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            Answer::Refused { has_retry_after: after.is_some() }
+            Answer::Refused { has_retry_after: retry_after_ms.is_some() }
         }
         _ => Answer::Failed,
     };
-    (answer, after)
+    (answer, retry_after_ms)
 }
--- a/crates/lab/src/real/discovery.rs
+++ b/crates/lab/src/real/discovery.rs
@@ -1,7 +1,8 @@
-//! Discovery on sockets: the whole list and a watch, late, of fixed capacity, and as sick as the day wants it.
+//! Emulated discovery service on sockets: the full list and a watch for changes, with delays, a limited
+//! rate of calls, and faults.
 
 use super::World;
-use super::links::{Door, End, Gate, Gated, Link, lock, own_ip};
+use super::links::{AcceptMode, FaultyListener, Link, LinkStream, StreamEnd, lock, loopback_ip};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -16,11 +17,12 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// The longest that a watch may wait.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// A restart's new address book is one whole round of these.
-const ADDRESS: u32 = 240;
+/// Maximum time that a watch may wait.
+const MAX_WATCH: Duration = Duration::from_secs(60);
+/// Index of the loopback address on which discovery listens.
+const ADDRESS_INDEX: u32 = 240;
 
+/// An entry of the list.
 #[derive(Clone, Debug)]
 struct Entry {
     server: usize,
@@ -29,114 +31,116 @@
     version: u64,
 }
 
+/// The list of servers by name, with the version of its last change.
 #[derive(Debug, Default)]
 struct List {
     version: u64,
     entries: BTreeMap<String, Entry>,
 }
 
-/// What is wrong with it now.
+/// The active faults of discovery.
 #[derive(Clone, Copy, Debug)]
-pub struct Sick {
-    /// Calls get 503.
+pub struct DiscoveryFaults {
+    /// True if calls are answered with 503.
     pub down: bool,
-    /// Calls get no answer.
+    /// True if calls get no answer.
     pub silent: bool,
-    /// Each call takes so many times as long.
+    /// Factor on the time that a call takes.
     pub slow: f64,
 }
 
-/// The one service of all nodes.
+/// The discovery service, shared by all nodes.
 pub struct Discovery {
     list: Mutex<List>,
-    news: Notify,
-    sick: Mutex<Sick>,
-    /// One call at a time.
+    changed: Notify,
+    faults: Mutex<DiscoveryFaults>,
+    /// Serializes the processing of calls.
     turn: tokio::sync::Mutex<()>,
     links: Vec<Arc<Link>>,
-    gates: Mutex<Vec<Gate>>,
+    listeners: Mutex<Vec<FaultyListener>>,
 }
 
 impl Discovery {
-    /// It knows all servers, up for long.
+    /// Creates the service with all servers listed as up since long ago.
     pub fn new(world: &World) -> Discovery {
         let entry = |server| Entry { server, state: "up", boot_ms: 0, version: 1 };
         let machines = world.plan.machines.iter().enumerate();
         let entries = machines.map(|(n, m)| (m.name.clone(), entry(n))).collect();
         Discovery {
             list: Mutex::new(List { version: 1, entries }),
-            news: Notify::new(),
-            sick: Mutex::new(Sick { down: false, silent: false, slow: 1.0 }),
+            changed: Notify::new(),
+            faults: Mutex::new(DiscoveryFaults { down: false, silent: false, slow: 1.0 }),
             turn: tokio::sync::Mutex::default(),
             links: world.plan.node_zones.iter().map(|_| Arc::default()).collect(),
-            gates: Mutex::default(),
+            listeners: Mutex::default(),
         }
     }
 
-    /// Opens its addresses, one for each node; those before are shut.
+    /// Opens one address for each node and closes earlier ones.
     pub fn open(self: &Arc<Self>, world: &Arc<World>) -> io::Result<()> {
-        let mut gates = Vec::new();
+        let mut listeners = Vec::new();
         for node in 0..self.links.len() {
-            let (own, world) = (self.clone(), world.clone());
-            gates.push(Gate::open(own_ip(ADDRESS), move |stream| {
-                let (own, world) = (own.clone(), world.clone());
+            let (discovery, world) = (self.clone(), world.clone());
+            listeners.push(FaultyListener::open(loopback_ip(ADDRESS_INDEX), move |stream| {
+                let (discovery, world) = (discovery.clone(), world.clone());
                 tokio::spawn(async move {
-                    let Some(link) = own.links.get(node).cloned() else { return };
-                    let io = TokioIo::new(Gated::new(stream, link, End::Party));
+                    let Some(link) = discovery.links.get(node).cloned() else { return };
+                    let io = TokioIo::new(LinkStream::new(stream, link, StreamEnd::Party));
                     let service = service_fn(|request| {
-                        let (own, world) = (own.clone(), world.clone());
-                        async move { own.respond(&world, node, request).await }
+                        let (discovery, world) = (discovery.clone(), world.clone());
+                        async move { discovery.respond(&world, node, request).await }
                     });
-                    // Errors are the node's leaving, or a trouble.
+                    // Errors mean that the node closed the connection or a fault broke it.
                     let _ = http1::Builder::new().serve_connection(io, service).await;
                 });
             })?);
         }
-        let before = std::mem::replace(&mut *lock(&self.gates), gates);
-        before.iter().for_each(|g| g.set(Door::Shut));
+        let before = std::mem::replace(&mut *lock(&self.listeners), listeners);
+        before.iter().for_each(|g| g.set(AcceptMode::Refuse));
         Ok(())
     }
 
-    /// Where a node calls it.
+    /// Returns the address at which a node calls discovery.
     pub fn address(&self, node: usize) -> Option<std::net::SocketAddr> {
-        lock(&self.gates).get(node).map(|g| g.address)
+        lock(&self.listeners).get(node).map(|g| g.address)
     }
 
-    /// The link to a node.
+    /// Returns the link to a node.
     pub fn link(&self, node: usize) -> Option<&Arc<Link>> {
         self.links.get(node)
     }
 
-    /// New connections from a node meet what the link is like.
-    pub fn door(&self, node: usize) {
+    /// Updates how new connections from a node are treated, depending on the link.
+    pub fn update_accept_mode(&self, node: usize) {
         let passes = self.links.get(node).is_none_or(|l| l.link_state().outbound);
-        if let Some(gate) = lock(&self.gates).get(node) {
-            gate.set(if passes { Door::Open } else { Door::Silent });
+        if let Some(listener) = lock(&self.listeners).get(node) {
+            listener.set(if passes { AcceptMode::Accept } else { AcceptMode::Silent });
         }
     }
 
-    /// Changes what is wrong with it.
-    pub fn sick(&self, change: impl FnOnce(&mut Sick)) {
-        change(&mut lock(&self.sick));
-        self.news.notify_waiters();
+    /// Changes the active faults.
+    pub fn set_faults(&self, change: impl FnOnce(&mut DiscoveryFaults)) {
+        change(&mut lock(&self.faults));
+        self.changed.notify_waiters();
     }
 
-    /// A server's state is another from now on, as far as it is concerned.
-    pub fn note(&self, name: &str, server: usize, state: &'static str, boot_ms: u64) {
+    /// Sets the state of a server in the list.
+    pub fn set_entry(&self, name: &str, server: usize, state: &'static str, boot_ms: u64) {
         let mut list = lock(&self.list);
         list.version += 1;
         let version = list.version;
         list.entries.insert(name.to_owned(), Entry { server, state, boot_ms, version });
         drop(list);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// The list as a node may have had it, in the protocol's form.
-    pub fn known(&self, world: &World, node: usize) -> Value {
-        self.listing(world, node, None)
+    /// Returns the full list as a node may have saved it, in the protocol's format.
+    pub fn full_list(&self, world: &World, node: usize) -> Value {
+        self.list_json(world, node, None)
     }
 
-    fn listing(&self, world: &World, node: usize, after: Option<u64>) -> Value {
+    /// Returns the entries changed after a version, or the full list.
+    fn list_json(&self, world: &World, node: usize, after: Option<u64>) -> Value {
         let list = lock(&self.list);
         let zones = &world.plan.scenario.fleet.zones;
         let targets: Vec<Value> = (list.entries.iter())
@@ -144,18 +148,19 @@
             .filter_map(|(name, e)| {
                 let endpoint = world.host(e.server)?.address(node)?;
                 let zone = world.plan.machines.get(e.server)?.zone;
-                let line = move |uid: String| {
+                let target = move |uid: String| {
                     json!({"uid": uid, "endpoint": endpoint.to_string(), "az": zones.get(zone), "model": "m",
                            "pod_group": zone, "state": e.state, "capacity_hint": 1.0, "boot_ms": e.boot_ms})
                 };
-                let further = (1..world.plan.scenario.fleet.names).map(move |n| format!("{name}.{n}"));
-                Some(std::iter::once(name.clone()).chain(further).map(line))
+                let more_names = (1..world.plan.scenario.fleet.names).map(move |n| format!("{name}.{n}"));
+                Some(std::iter::once(name.clone()).chain(more_names).map(target))
             })
             .flatten()
             .collect();
         json!({"rev": list.version, "all": after.is_none(), "targets": targets})
     }
 
+    /// Answers a call of a node.
     async fn respond(
         self: Arc<Self>,
         world: &Arc<World>,
@@ -168,52 +173,53 @@
         };
         lock(&world.checker).discovery_called(world.now());
         let (after, wait) = (number("after"), number("wait_ms").unwrap_or(0));
-        let end = tokio::time::Instant::now() + Duration::from_millis(wait).min(LONGEST_WAIT);
+        let end = tokio::time::Instant::now() + Duration::from_millis(wait).min(MAX_WATCH);
         if let Some(after) = after {
             loop {
-                let news = self.news.notified();
-                let sick = *lock(&self.sick);
-                if sick.down || lock(&self.list).version > after {
+                let changed = self.changed.notified();
+                let faults = *lock(&self.faults);
+                if faults.down || lock(&self.list).version > after {
                     break;
                 }
-                if tokio::time::timeout_at(end, news).await.is_err() {
+                if tokio::time::timeout_at(end, changed).await.is_err() {
                     break;
                 }
             }
         }
-        if lock(&self.sick).silent {
+        if lock(&self.faults).silent {
             std::future::pending::<()>().await;
         }
         let limit = Duration::from_secs_f64(world.plan.scenario.discovery.timeout_ms / 1000.0);
         let Ok(turn) = tokio::time::timeout(limit, self.turn.lock()).await else {
-            return Ok(status(StatusCode::SERVICE_UNAVAILABLE));
+            return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
         };
-        let sick = *lock(&self.sick);
-        let call_ms = world.plan.scenario.discovery.call_ms * sick.slow.max(0.0);
+        let faults = *lock(&self.faults);
+        let call_ms = world.plan.scenario.discovery.call_ms * faults.slow.max(0.0);
         tokio::time::sleep(Duration::from_secs_f64(call_ms / 1000.0)).await;
         drop(turn);
-        if sick.down {
-            return Ok(status(StatusCode::SERVICE_UNAVAILABLE));
+        if faults.down {
+            return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
         }
-        let listing = self.listing(world, node, after);
+        let list_json = self.list_json(world, node, after);
         let now = world.now();
-        let told: Vec<(usize, bool)> = {
+        let states: Vec<(usize, bool)> = {
             let list = lock(&self.list);
-            let news = list.entries.values().filter(|e| after.is_none_or(|a| e.version > a));
-            // A replaced server's old name says nothing of the machine that has its place now.
-            news.map(|e| (e.server, e.state == "up")).collect()
+            let changes = list.entries.values().filter(|e| after.is_none_or(|a| e.version > a));
+            // A server that was replaced has an entry under its old name as well.
+            changes.map(|e| (e.server, e.state == "up")).collect()
         };
         let mut checker = lock(&world.checker);
-        // Where one server has an old name and a new one, the one that is up holds.
-        for (server, up) in told.iter().filter(|(_, up)| !up).chain(told.iter().filter(|(_, up)| *up)) {
+        // If a server is listed under an old and a new name, the entry that is up applies: the old name
+        // says nothing about the machine in its place.
+        for (server, up) in states.iter().filter(|(_, up)| !up).chain(states.iter().filter(|(_, up)| *up)) {
             checker.server_state_learned(now, node, *server, *up);
         }
         drop(checker);
-        Ok(Response::new(Full::new(Bytes::from(listing.to_string()))))
+        Ok(Response::new(Full::new(Bytes::from(list_json.to_string()))))
     }
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/crates/lab/src/real/links.rs
+++ b/crates/lab/src/real/links.rs
@@ -1,5 +1,5 @@
-//! Links between parties: each pair has an address of its own, and what passes there can be stopped in either
-//! direction, slowed, refused, or met with silence.
+//! Emulated links between nodes and other parties. Each pair has an address of its own, on which traffic
+//! can be stopped in either direction, delayed, refused or left without a response.
 
 use crate::plan::LinkState;
 use socket2::{Domain, Socket, Type};
@@ -13,10 +13,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Connections that may wait to be accepted.
+/// Length of the queue of connections waiting to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// Locks, whatever became of whoever held it before: the state is plain data.
+/// Locks a mutex even if a thread panicked while holding it: the data is valid at any time.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
@@ -24,122 +24,123 @@
 /// A link between a node and another party.
 pub struct Link {
     link_state: Mutex<LinkState>,
-    /// Rises when what is open must break.
-    broken: AtomicU64,
-    parked: Mutex<Vec<Waker>>,
-    /// What the other end says comes twice.
-    twice: AtomicBool,
+    /// Incremented to reset all open connections.
+    resets: AtomicU64,
+    wakers: Mutex<Vec<Waker>>,
+    /// True if everything that the other party sends is sent twice.
+    duplicate: AtomicBool,
 }
 
 impl Default for Link {
     fn default() -> Link {
         Link {
             link_state: Mutex::new(LinkState::OPEN),
-            broken: AtomicU64::new(0),
-            parked: Mutex::new(Vec::new()),
-            twice: AtomicBool::new(false),
+            resets: AtomicU64::new(0),
+            wakers: Mutex::new(Vec::new()),
+            duplicate: AtomicBool::new(false),
         }
     }
 }
 
 impl Link {
-    /// What passes now.
+    /// Returns what the link lets through.
     pub fn link_state(&self) -> LinkState {
         *lock(&self.link_state)
     }
 
-    /// From now on this passes.
+    /// Sets what the link lets through.
     pub fn set(&self, link_state: LinkState) {
         *lock(&self.link_state) = link_state;
         self.wake();
     }
 
-    /// From now on what the other end says comes twice, or once again.
-    pub fn double(&self, twice: bool) {
-        self.twice.store(twice, Ordering::SeqCst);
+    /// Sets whether what the other party sends is sent twice.
+    pub fn set_duplicate(&self, duplicate: bool) {
+        self.duplicate.store(duplicate, Ordering::SeqCst);
     }
 
-    /// Breaks what is open.
+    /// Resets all open connections.
     pub fn reset(&self) {
-        self.broken.fetch_add(1, Ordering::SeqCst);
+        self.resets.fetch_add(1, Ordering::SeqCst);
         self.wake();
     }
 
     fn wake(&self) {
-        let parked = std::mem::take(&mut *lock(&self.parked));
-        parked.into_iter().for_each(Waker::wake);
+        let wakers = std::mem::take(&mut *lock(&self.wakers));
+        wakers.into_iter().for_each(Waker::wake);
     }
 
-    fn park(&self, waker: &Waker) {
-        let mut parked = lock(&self.parked);
-        if !parked.iter().any(|w| w.will_wake(waker)) {
-            parked.push(waker.clone());
+    fn register(&self, waker: &Waker) {
+        let mut wakers = lock(&self.wakers);
+        if !wakers.iter().any(|w| w.will_wake(waker)) {
+            wakers.push(waker.clone());
         }
     }
 }
 
-/// Which end of a link a stream is read at: at the node's, or at the other party's.
+/// The end of a link at which the lab reads a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// What is read comes from the node.
+pub enum StreamEnd {
+    /// At the party that nodes connect to: data read comes from the node.
     Party,
-    /// What is read goes to the node's client: the lab plays the client, the node is the other end.
+    /// At a client of the node: data read comes from the node's listening side.
     Client,
 }
 
-/// A stream that a link lets pass or holds up.
-pub struct Gated {
+/// A stream that a link can block or reset.
+pub struct LinkStream {
     stream: TcpStream,
     link: Arc<Link>,
-    end: End,
-    broken: u64,
+    end: StreamEnd,
+    resets: u64,
 }
 
-impl Gated {
-    /// Over a link.
-    pub fn new(stream: TcpStream, link: Arc<Link>, end: End) -> Gated {
+impl LinkStream {
+    /// Wraps a stream of a link.
+    pub fn new(stream: TcpStream, link: Arc<Link>, end: StreamEnd) -> LinkStream {
         let _ = stream.set_nodelay(true);
-        let broken = link.broken.load(Ordering::SeqCst);
-        Gated { stream, link, end, broken }
+        let resets = link.resets.load(Ordering::SeqCst);
+        LinkStream { stream, link, end, resets }
     }
 
-    /// Whether reading, or writing, may go on; else whoever asks is woken once that may have changed.
-    fn pass(&self, cx: &Context<'_>, reading: bool) -> Poll<io::Result<()>> {
-        if self.link.broken.load(Ordering::SeqCst) != self.broken {
+    /// Returns ready if reading or writing is possible now; otherwise the task is woken when the link
+    /// changes.
+    fn poll_link(&self, cx: &Context<'_>, reading: bool) -> Poll<io::Result<()>> {
+        if self.link.resets.load(Ordering::SeqCst) != self.resets {
             let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
         let open = || {
             let link_state = self.link.link_state();
-            if (self.end == End::Party) == reading { link_state.outbound } else { link_state.inbound }
+            if (self.end == StreamEnd::Party) == reading { link_state.outbound } else { link_state.inbound }
         };
         if open() {
             return Poll::Ready(Ok(()));
         }
-        self.link.park(cx.waker());
-        // It may have opened in between.
+        self.link.register(cx.waker());
+        // The link may have changed in between.
         if open() { Poll::Ready(Ok(())) } else { Poll::Pending }
     }
 }
 
-impl AsyncRead for Gated {
+impl AsyncRead for LinkStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        std::task::ready!(self.pass(cx, true))?;
-        // Woken by a break, too, though nothing comes from the socket.
-        self.link.park(cx.waker());
+        std::task::ready!(self.poll_link(cx, true))?;
+        // Registers the task to be woken by a reset as well, even if no data arrives.
+        self.link.register(cx.waker());
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Gated {
+impl AsyncWrite for LinkStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        std::task::ready!(self.pass(cx, false))?;
-        if self.link.twice.load(Ordering::SeqCst) {
-            // Answers are small: the second one is lost where the socket has no room for it.
+        std::task::ready!(self.poll_link(cx, false))?;
+        if self.link.duplicate.load(Ordering::SeqCst) {
+            // Answers are small. If the socket buffer has no room for the second copy, it is lost.
             let both = [buf, buf].concat();
             let written = std::task::ready!(Pin::new(&mut self.stream).poll_write(cx, &both))?;
             return Poll::Ready(Ok(written.min(buf.len())));
@@ -156,9 +157,9 @@
     }
 }
 
-/// An address of this process's own in 127.0.0.0/8: no other lab on this machine is likely to have it, and ports
-/// are the system's to give.
-pub fn own_ip(n: u32) -> Ipv4Addr {
+/// Returns a loopback address in 127.0.0.0/8 for use by this process. Other lab processes are unlikely to
+/// use the same one, and the system assigns the ports.
+pub fn loopback_ip(n: u32) -> Ipv4Addr {
     let pid = std::process::id();
     Ipv4Addr::new(127, 32 + (pid % 200) as u8, (pid / 200 % 250) as u8, (n % 250 + 1) as u8)
 }
@@ -172,57 +173,57 @@
     Ok(socket.into())
 }
 
-/// What a connection meets at an address.
+/// How an address treats new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
-    /// It is accepted.
-    Open,
-    /// It is refused.
-    Shut,
-    /// It never comes up.
+pub enum AcceptMode {
+    /// Connections are accepted.
+    Accept,
+    /// Connections are refused.
+    Refuse,
+    /// Connection attempts get no response.
     Silent,
 }
 
-/// A listener that holds its queue full, so that the system drops whoever else would connect.
-struct Stuffed {
+/// A listener with a full accept queue, which makes the system drop further connection attempts.
+struct FullBacklog {
     _listener: StdListener,
     _queue: Vec<Socket>,
 }
 
-impl Stuffed {
-    fn new(at: SocketAddr) -> io::Result<Stuffed> {
+impl FullBacklog {
+    fn new(at: SocketAddr) -> io::Result<FullBacklog> {
         let listener = bind(at, 0)?;
         let mut queue = Vec::new();
         for _ in 0..3 {
             let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
             socket.set_nonblocking(true)?;
-            // The first is queued; what comes after it waits for ever.
+            // The first connection fills the queue; the others stay pending.
             let _ = socket.connect(&at.into());
             queue.push(socket);
         }
-        Ok(Stuffed { _listener: listener, _queue: queue })
+        Ok(FullBacklog { _listener: listener, _queue: queue })
     }
 }
 
-/// An address with a door.
-pub struct Gate {
-    /// Where.
+/// A listener whose treatment of new connections can be changed.
+pub struct FaultyListener {
+    /// The address on which it listens.
     pub address: SocketAddr,
-    door: watch::Sender<Door>,
+    mode: watch::Sender<AcceptMode>,
 }
 
-impl Gate {
-    /// Opens one on a free port; each connection is handed to `accepted`.
+impl FaultyListener {
+    /// Opens a listener on a free port; `accepted` is called with each connection.
     ///
     /// # Errors
-    /// The address cannot be bound.
-    pub fn open(ip: Ipv4Addr, accepted: impl Fn(TcpStream) + Send + 'static) -> io::Result<Gate> {
+    /// Returns an error if the address cannot be bound.
+    pub fn open(ip: Ipv4Addr, accepted: impl Fn(TcpStream) + Send + 'static) -> io::Result<FaultyListener> {
         let first = bind((ip, 0).into(), BACKLOG)?;
         let address = first.local_addr()?;
-        let (door, mut doors) = watch::channel(Door::Open);
+        let (mode, mut modes) = watch::channel(AcceptMode::Accept);
         tokio::spawn(async move {
             let mut listener = TcpListener::from_std(first).ok();
-            let mut _stuffed = None;
+            let mut _full_backlog = None;
             loop {
                 let accept = async {
                     match &listener {
@@ -231,30 +232,30 @@
                     }
                 };
                 tokio::select! {
-                    changed = doors.changed() => {
+                    changed = modes.changed() => {
                         if changed.is_err() {
                             return;
                         }
-                        let door = *doors.borrow_and_update();
-                        (listener, _stuffed) = (None, None);
-                        match door {
-                            Door::Open => {
+                        let mode = *modes.borrow_and_update();
+                        (listener, _full_backlog) = (None, None);
+                        match mode {
+                            AcceptMode::Accept => {
                                 listener = bind(address, BACKLOG).and_then(TcpListener::from_std).ok();
                             }
-                            Door::Shut => {}
-                            Door::Silent => _stuffed = Stuffed::new(address).ok(),
+                            AcceptMode::Refuse => {}
+                            AcceptMode::Silent => _full_backlog = FullBacklog::new(address).ok(),
                         }
                     }
                     Ok((stream, _)) = accept => accepted(stream),
                 }
             }
         });
-        Ok(Gate { address, door })
+        Ok(FaultyListener { address, mode })
     }
 
-    /// From now on connections meet this.
-    pub fn set(&self, door: Door) {
-        self.door.send_if_modified(|now| std::mem::replace(now, door) != door);
+    /// Sets how new connections are treated.
+    pub fn set(&self, mode: AcceptMode) {
+        self.mode.send_if_modified(|current| std::mem::replace(current, mode) != mode);
     }
 }
 
@@ -272,46 +273,46 @@
         }
     }
 
-    async fn door(gate: &Gate, door: Door, wanted: Result<(), &'static str>) {
-        gate.set(door);
+    async fn expect_mode(listener: &FaultyListener, mode: AcceptMode, wanted: Result<(), &'static str>) {
+        listener.set(mode);
         for _ in 0..100 {
-            if connect(gate.address).await.map(drop) == wanted {
+            if connect(listener.address).await.map(drop) == wanted {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        panic!("{door:?} never met with {wanted:?}");
+        panic!("{mode:?} never resulted in {wanted:?}");
     }
 
     #[tokio::test]
-    async fn a_door_opens_refuses_and_stays_silent_by_turns() {
-        let gate = Gate::open(own_ip(1), drop).unwrap();
+    async fn a_listener_accepts_refuses_and_stays_silent_in_turn() {
+        let listener = FaultyListener::open(loopback_ip(1), drop).unwrap();
         for _ in 0..2 {
-            door(&gate, Door::Open, Ok(())).await;
-            door(&gate, Door::Shut, Err("refused")).await;
-            door(&gate, Door::Silent, Err("silent")).await;
+            expect_mode(&listener, AcceptMode::Accept, Ok(())).await;
+            expect_mode(&listener, AcceptMode::Refuse, Err("refused")).await;
+            expect_mode(&listener, AcceptMode::Silent, Err("silent")).await;
         }
     }
 
     #[tokio::test]
-    async fn a_link_stops_one_way_or_the_other_and_breaks_what_is_open() {
-        let listener = TcpListener::bind((own_ip(2), 0)).await.unwrap();
+    async fn a_link_blocks_each_direction_and_resets_open_connections() {
+        let listener = TcpListener::bind((loopback_ip(2), 0)).await.unwrap();
         let mut node = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let link = Arc::new(Link::default());
-        let mut party = Gated::new(listener.accept().await.unwrap().0, link.clone(), End::Party);
+        let mut party = LinkStream::new(listener.accept().await.unwrap().0, link.clone(), StreamEnd::Party);
         let mut byte = [0];
-        let soon = Duration::from_millis(100);
+        let short_time = Duration::from_millis(100);
         node.write_all(b"a").await.unwrap();
         party.read_exact(&mut byte).await.unwrap();
         link.set(LinkState { outbound: false, ..LinkState::OPEN });
         node.write_all(b"b").await.unwrap();
-        assert!(tokio::time::timeout(soon, party.read_exact(&mut byte)).await.is_err());
+        assert!(tokio::time::timeout(short_time, party.read_exact(&mut byte)).await.is_err());
         party.write_all(b"c").await.unwrap();
         node.read_exact(&mut byte).await.unwrap();
         link.set(LinkState { inbound: false, ..LinkState::OPEN });
         party.read_exact(&mut byte).await.unwrap();
-        assert_eq!(&byte, b"b", "what was on its way comes through");
-        assert!(tokio::time::timeout(soon, party.write_all(b"d")).await.is_err());
+        assert_eq!(&byte, b"b", "data sent while the link was blocked arrives later");
+        assert!(tokio::time::timeout(short_time, party.write_all(b"d")).await.is_err());
         link.set(LinkState::OPEN);
         let broken = tokio::spawn(async move { party.read_exact(&mut [0]).await.map(drop) });
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -1,5 +1,5 @@
-//! A day on loopback: servers, discovery and clients in this process, nodes as processes of their own, and troubles
-//! by the clock.
+//! Runs a scenario on loopback: servers, discovery and clients are emulated in this process, nodes are
+//! processes of their own, and faults are injected at their times.
 
 pub mod addresses;
 mod clients;
@@ -22,7 +22,7 @@
 use peers::Peers;
 use releases::Releases;
 use serde::Serialize;
-use servers::Host;
+use servers::ServerHost;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -33,82 +33,84 @@
 use timer::Timer;
 use tokio::sync::watch;
 
-/// Nodes must be ready within this, usually.
+/// Default time within which all nodes must become ready.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// After the last arrival, what is still open has its time and this.
-const LAST: Duration = Duration::from_millis(1200);
-/// How often it is looked whether a node has ended by itself.
-const LOOK: Duration = Duration::from_millis(50);
-/// How often a live view is renewed.
-const VIEW: Duration = Duration::from_millis(250);
-/// A request is known to servers for so long after it was sent, in milliseconds.
-const KNOWN_MS: f64 = 30_000.0;
-/// An operator's word for the whole fleet is with every node that can be reached within this, in milliseconds.
-const FLEET_WORD_MS: f64 = 1000.0;
-/// A planned restart drains for so long before the process ends.
-const DRAIN: Duration = Duration::from_millis(1000);
-
-/// How a day is played.
+/// Time after the last arrival, in addition to the deadlines, for open requests to finish.
+const FINAL_GRACE: Duration = Duration::from_millis(1200);
+/// Interval at which nodes are checked for unexpected exits.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which the live view is updated.
+const VIEW_INTERVAL: Duration = Duration::from_millis(250);
+/// Time for which servers know a request after it was sent, in milliseconds.
+const TRY_RETENTION_MS: f64 = 30_000.0;
+/// Time within which an operator's order for the whole fleet reaches every node that is reachable, in
+/// milliseconds.
+const FLEET_ORDER_MS: f64 = 1000.0;
+/// Time for which a server drains before a planned restart.
+const DRAIN_TIME: Duration = Duration::from_millis(1000);
+
+/// How a scenario is run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The node's program.
+    /// Path of the node's program.
     pub node: PathBuf,
-    /// Arguments to it.
+    /// Arguments for the node's program.
     pub node_args: Vec<String>,
-    /// Another build that an upgrade brings; the same where there is none.
+    /// Path of the build that an upgrade installs; `None` for the same build.
     pub next: Option<PathBuf>,
-    /// Where the nodes' logs go.
+    /// Directory for the nodes' logs, if they are kept.
     pub logs: Option<PathBuf>,
-    /// Time for all nodes to get ready.
+    /// Time within which all nodes must become ready.
     pub ready: Duration,
-    /// What to end the day on.
+    /// Ends the run when it becomes true.
     pub stop: watch::Receiver<bool>,
 }
 
-/// Why a day could not be played.
+/// Reasons why a scenario could not be run.
 #[derive(Debug, Error)]
 pub enum PlayError {
-    /// The system says why.
+    /// A system call failed.
     #[error("{0}")]
     System(#[from] io::Error),
-    /// A node is not ready in time.
+    /// A node did not become ready in time.
     #[error("node {node} did not get ready within {} s{}", within.as_secs_f64(), .why.as_ref().map_or(String::new(), |w| format!(": {w}")))]
     NotReady {
-        /// Which.
+        /// Index of the node.
         node: usize,
         /// The time that it had.
         within: Duration,
-        /// What became of it.
+        /// How its process ended, if it did.
         why: Option<String>,
     },
-    /// Somebody ended it.
-    #[error("ended before its end")]
+    /// The run was stopped through [`Options::stop`].
+    #[error("stopped before the end of the run")]
     Stopped,
 }
 
-/// What came of a day.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub name: String,
     /// The seed.
     pub seed: u64,
-    /// Kept or not.
+    /// Whether the rules and expectations were met.
     pub verdict: Verdict,
-    /// The judge's figures.
+    /// The checker's figures.
     pub figures: Figures,
-    /// CPU of all nodes for each try, in microseconds.
+    /// CPU time of all nodes per try, in microseconds.
     pub cpu_us: f64,
-    /// Memory of each node at the end, in kB.
+    /// Resident memory of each node at the end, in kB.
     pub memory_kb: Vec<Option<u64>>,
-    /// What the start of a process costs by itself, in milliseconds, where nodes returned: `first_ms` has that in it.
+    /// Time that starting the node's program takes by itself, in milliseconds, if nodes were restarted. The
+    /// `first_ms` of restarted nodes includes it.
     pub start_ms: Option<f64>,
-    /// Bytes that nodes wrote to disk in all, their logs apart, where they keep state.
+    /// Bytes that the nodes which keep state wrote to disk, without their logs.
     pub disk_bytes: u64,
 }
 
 impl Outcome {
-    /// The last line of a play.
+    /// Returns the summary line that is printed last.
     pub fn line(&self) -> String {
         let head = format!("lab: {} seed {}:", self.name, self.seed);
         let worth = self.figures.worth;
@@ -120,41 +122,42 @@
     }
 }
 
-/// A moment of a day, for a live view.
+/// The state of a run at one time, for the live view.
 #[derive(Clone, Debug)]
 pub struct RunSnapshot {
-    /// Seconds of the day.
+    /// Time of the run, in seconds.
     pub at_s: f64,
-    /// Part of the worth that was served in the last second or two.
+    /// Share of the worth served in about the last two seconds.
     pub served: f64,
-    /// Which nodes take clients.
+    /// Which nodes accept clients.
     pub nodes: Vec<bool>,
-    /// What is wrong now.
+    /// Descriptions of the active faults.
     pub active_faults: Vec<String>,
-    /// Tries refused and failed so far.
+    /// Tries refused so far.
     pub refused: u64,
-    /// See above.
+    /// Tries failed so far.
     pub failed: u64,
     /// Attempts at each server so far.
     pub servers: Vec<u64>,
 }
 
-/// Tries by id, as servers know them, and when each was sent, the oldest first.
+/// Tries by id, as servers know them, and the times at which they were sent, oldest first.
 #[derive(Default)]
-struct Sent {
+struct SentTries {
     known: HashMap<u64, Arrival>,
     order: VecDeque<(f64, u64)>,
 }
 
-/// All parties of a day.
+/// All parties of a run.
 pub struct World {
-    /// The day.
+    /// The plan of the run.
     pub plan: Plan,
-    /// Who judges it.
+    /// The checker of the run.
     pub checker: Mutex<Checker>,
+    /// Start of the run.
     begin: RwLock<Instant>,
     timer: Timer,
-    hosts: Vec<Arc<Host>>,
+    hosts: Vec<Arc<ServerHost>>,
     discovery: OnceLock<Arc<Discovery>>,
     peers: OnceLock<Arc<Peers>>,
     releases: Releases,
@@ -162,20 +165,22 @@
     pub nodes: Nodes,
     /// The clients.
     pub clients: Clients,
-    /// Arguments of a node's program.
+    /// Arguments for the node's program.
     pub node_args: Vec<String>,
-    /// The build that an upgrade brings.
-    next: Option<PathBuf>,
-    /// Clients go to servers by themselves.
+    /// Path of the build that an upgrade installs.
+    upgrade_program: Option<PathBuf>,
+    /// True if clients connect to servers directly, for the baseline `direct`.
     direct: bool,
-    sent: Mutex<Sent>,
+    sent: Mutex<SentTries>,
+    /// Time at which each keyed request first reached a zone, by zone and key, in milliseconds of the run.
     repeats: Mutex<HashMap<(usize, String), f64>>,
+    /// Number of random numbers drawn so far.
     draws: AtomicU64,
-    ending: AtomicBool,
+    is_ending: AtomicBool,
 }
 
 impl World {
-    /// Milliseconds of the day; below 0 before it begins.
+    /// Returns the time of the run, in milliseconds; negative before it begins.
     pub fn now(&self) -> f64 {
         let begin = *self.begin.read().unwrap_or_else(std::sync::PoisonError::into_inner);
         let now = Instant::now();
@@ -186,41 +191,41 @@
         }
     }
 
-    /// Sleeps until a moment of the day.
-    pub async fn until(&self, at_ms: f64) {
-        let left = at_ms - self.now();
-        if left > 0.0 {
-            self.timer.sleep(Duration::from_secs_f64(left / 1000.0)).await;
+    /// Sleeps until a time of the run, in milliseconds.
+    pub async fn sleep_until(&self, at_ms: f64) {
+        let left_ms = at_ms - self.now();
+        if left_ms > 0.0 {
+            self.timer.sleep(Duration::from_secs_f64(left_ms / 1000.0)).await;
         }
     }
 
-    /// A draw between 0 and 1.
-    pub fn draw(&self) -> f64 {
+    /// Returns the next number of a random sequence in [0, 1).
+    pub fn next_fraction(&self) -> f64 {
         let n = self.draws.fetch_add(1, Ordering::Relaxed);
         unit_interval(mix_bits(self.plan.seed ^ mix_bits(n)))
     }
 
-    /// The luck of one thing, the same each time.
-    pub fn luck(&self, of: u64) -> f64 {
+    /// Returns a random number in [0, 1) that depends only on the seed and `of`.
+    pub fn seeded_fraction(&self, of: u64) -> f64 {
         unit_interval(mix_bits(self.plan.seed.wrapping_add(mix_bits(of))))
     }
 
-    /// The day is over but for its end.
-    pub fn ending(&self) -> bool {
-        self.ending.load(Ordering::SeqCst)
+    /// Returns true once the run is over and its processes are being stopped.
+    pub fn is_ending(&self) -> bool {
+        self.is_ending.load(Ordering::SeqCst)
     }
 
-    fn host(&self, server: usize) -> Option<&Arc<Host>> {
+    fn host(&self, server: usize) -> Option<&Arc<ServerHost>> {
         self.hosts.get(server)
     }
 
-    /// The server that holds least for what it can do, of those that are up.
+    /// Returns the running server with the fewest requests held relative to its speed.
     fn least_loaded(&self) -> Option<usize> {
         let load = |n: &usize| {
             let speed = self.plan.machines.get(*n).map_or(1.0, |m| m.speed);
             let mut held = f64::INFINITY;
-            if let Some(host) = self.host(*n).filter(|h| h.up()) {
-                host.model(|m| held = (m.held() as f64 + self.draw()) / speed);
+            if let Some(host) = self.host(*n).filter(|h| h.is_up()) {
+                host.model(|m| held = (m.held() as f64 + self.next_fraction()) / speed);
             }
             held
         };
@@ -236,62 +241,65 @@
         self.peers.get().and_then(|p| p.addresses(node))
     }
 
-    /// Whether disks of this day fail or lose power: then nodes are told to rehearse that.
-    fn rehearses(&self) -> bool {
+    /// Returns true if disks fail or lose power in this run; nodes then run with scripted disk faults.
+    fn has_disk_faults(&self) -> bool {
         self.plan.faults.iter().any(|f| f.kind == FaultKind::NodePowerLoss || f.kind.affects_disks())
     }
 
-    /// The id of a client's try.
+    /// Returns the id of a client's try.
     fn try_id(&self, arrival: &Arrival, number: u32) -> u64 {
         mix_bits(self.plan.seed ^ mix_bits((arrival.number << 8) | (u64::from(number) + 1)))
     }
 
-    /// A client sends a try: servers know it from here on.
-    fn send(&self, id: u64, arrival: &Arrival) {
+    /// Registers a try that a client is about to send, by which servers recognize it.
+    fn register_try(&self, id: u64, arrival: &Arrival) {
         let now = self.now();
-        let Sent { known, order } = &mut *lock(&self.sent);
+        let SentTries { known, order } = &mut *lock(&self.sent);
         known.insert(id, *arrival);
         order.push_back((now, id));
-        while order.front().is_some_and(|(at, _)| now - at > KNOWN_MS) {
+        while order.front().is_some_and(|(at, _)| now - at > TRY_RETENTION_MS) {
             if let Some((_, id)) = order.pop_front() {
                 known.remove(&id);
             }
         }
     }
 
-    fn sent(&self, id: u64) -> Option<Arrival> {
+    /// Returns the request of a try that was registered in the last [`TRY_RETENTION_MS`].
+    fn sent_try(&self, id: u64) -> Option<Arrival> {
         lock(&self.sent).known.get(&id).copied()
     }
 
-    /// A keyed request meets a zone: whether servers there drop it as a repeat.
-    fn repeated(&self, zone: usize, key: &str, class: usize, now: f64) -> bool {
-        let ttl = self.plan.scenario.class.get(class).map_or(0.0, |c| c.key_ttl_ms);
+    /// Records that a keyed request reached a zone, and returns true if the servers there must drop it as a
+    /// repeat.
+    fn is_repeat(&self, zone: usize, key: &str, class: usize, now: f64) -> bool {
+        let ttl_ms = self.plan.scenario.class.get(class).map_or(0.0, |c| c.key_ttl_ms);
         let mut repeats = lock(&self.repeats);
         if repeats.len() > 100_000 {
-            repeats.retain(|_, at| now - *at < KNOWN_MS);
+            repeats.retain(|_, at| now - *at < TRY_RETENTION_MS);
         }
         let first = *repeats.entry((zone, key.to_owned())).or_insert(now);
-        first != now && now - first < ttl
+        first != now && now - first < ttl_ms
     }
 
-    /// The way between a node and a server, one way.
-    async fn way(&self, node: usize, server: usize, links: &[Arc<Link>]) {
+    /// Waits for the one-way delay between a node and a server.
+    async fn network_delay(&self, node: usize, server: usize, links: &[Arc<Link>]) {
         let net = &self.plan.scenario.net;
         let zone = self.plan.machines.get(server).map(|m| m.zone);
-        let own = self.plan.node_zones.get(node).copied();
-        let usual = if zone == own { net.same_ms } else { net.cross_ms };
-        let more = links.get(node).map_or(0.0, |l| l.link_state().delay_ms);
-        if net.relays && usual + more > 0.0 {
-            self.timer.sleep(Duration::from_secs_f64((usual + more) / 1000.0)).await;
+        let node_zone = self.plan.node_zones.get(node).copied();
+        let usual_ms = if zone == node_zone { net.same_ms } else { net.cross_ms };
+        let added_ms = links.get(node).map_or(0.0, |l| l.link_state().delay_ms);
+        if net.relays && usual_ms + added_ms > 0.0 {
+            self.timer.sleep(Duration::from_secs_f64((usual_ms + added_ms) / 1000.0)).await;
         }
     }
 
+    /// Returns the current Unix time, in milliseconds.
     fn boot_ms() -> u64 {
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
     }
 }
 
-/// The directory of a play; it is removed with it.
+/// The temporary directory of a run, which is removed when this value is dropped.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -306,15 +314,15 @@
 
 impl Drop for Scratch {
     fn drop(&mut self) {
-        // Whatever is left does no harm.
+        // A directory that remains does no harm.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Plays a day; `view` is shown a moment of it now and then.
+/// Runs a scenario. `view` is called with the current state at intervals.
 ///
 /// # Errors
-/// It cannot be set up, a node does not get ready, or somebody ended it.
+/// Returns an error if the run cannot be set up, a node does not become ready, or the run is stopped.
 pub async fn play(
     scenario: &Scenario,
     seed: u64,
@@ -335,18 +343,18 @@
         discovery: OnceLock::new(),
         peers: OnceLock::new(),
         clients: Clients::new(scenario.fleet.zones.len(), nodes.len()),
-        releases: Releases::new(scratch.0.join("releases"), command()),
+        releases: Releases::new(scratch.0.join("releases"), daleturn_command()),
         nodes,
         node_args: options.node_args.clone(),
-        next: options.next.clone(),
+        upgrade_program: options.next.clone(),
         direct: options.node_args == ["baseline", "direct"],
         sent: Mutex::default(),
         repeats: Mutex::default(),
         draws: AtomicU64::new(0),
-        ending: AtomicBool::new(false),
+        is_ending: AtomicBool::new(false),
         plan,
     };
-    world.hosts = (0..world.plan.machines.len()).map(|n| Arc::new(Host::new(&world, n))).collect();
+    world.hosts = (0..world.plan.machines.len()).map(|n| Arc::new(ServerHost::new(&world, n))).collect();
     let world = Arc::new(world);
     for host in &world.hosts {
         host.start(&world)?;
@@ -359,21 +367,21 @@
     let _ = world.peers.set(peers);
     for node in &world.nodes {
         node.start(&world)?;
-        tokio::spawn(Clients::watch(world.clone(), node.number));
+        tokio::spawn(Clients::check_health(world.clone(), node.number));
     }
     let mut stop = options.stop.clone();
     let played = tokio::select! {
         played = run(&world, options, &mut view) => played,
         _ = stop.wait_for(|stop| *stop) => Err(PlayError::Stopped),
     };
-    world.ending.store(true, Ordering::SeqCst);
+    world.is_ending.store(true, Ordering::SeqCst);
     if played.is_err() {
         for node in &world.nodes {
             node.kill().await;
         }
     }
     played?;
-    let nodes_on_new = world.nodes.iter().filter(|n| n.on_new()).count();
+    let nodes_on_new = world.nodes.iter().filter(|n| n.runs_new_version()).count();
     let memory_kb = world.nodes.iter().map(|n| n.memory_kb()).collect();
     let disk_bytes = world.nodes.iter().map(|n| n.written_bytes()).sum();
     let ends = world.nodes.iter().map(|node| {
@@ -422,28 +430,32 @@
     })
 }
 
+/// Waits until all nodes are ready, and runs the arrivals and faults to the end.
 async fn run(
     world: &Arc<World>,
     options: &Options,
     view: &mut impl FnMut(&RunSnapshot),
 ) -> Result<(), PlayError> {
     let end = Instant::now() + options.ready;
-    while let Some(node) = world.nodes.iter().find(|n| !world.clients.ready(n.number)) {
-        let why = world.nodes.iter().find_map(|n| n.crashed());
+    while let Some(node) = world.nodes.iter().find(|n| !world.clients.is_ready(n.number)) {
+        let why = world.nodes.iter().find_map(|n| n.take_crashed());
         if why.is_some() || Instant::now() > end {
             return Err(PlayError::NotReady { node: node.number, within: options.ready, why });
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     *world.begin.write().unwrap_or_else(std::sync::PoisonError::into_inner) = Instant::now();
-    let troubles =
-        Arc::new(Troubles { world: world.clone(), active: Mutex::default(), next: options.next.clone() });
-    world.releases.open(&troubles).await?;
+    let injector = Arc::new(FaultInjector {
+        world: world.clone(),
+        active: Mutex::default(),
+        upgrade_program: options.next.clone(),
+    });
+    world.releases.open(&injector).await?;
     for fault in world.plan.faults.clone() {
-        tokio::spawn(troubles.clone().meet(fault));
+        tokio::spawn(injector.clone().inject(fault));
     }
     for node in world.nodes.iter().filter(|_| world.plan.scenario.load.idle > 0) {
-        tokio::spawn(Clients::idle(world.clone(), node.number));
+        tokio::spawn(Clients::hold_idle_connections(world.clone(), node.number));
     }
     let arrivals = {
         let world = world.clone();
@@ -451,142 +463,158 @@
             let mut open = tokio::task::JoinSet::new();
             let plan = world.plan.clone();
             for client in 0..plan.scenario.load.closed {
-                open.spawn(closed(world.clone(), client));
+                open.spawn(closed_loop_client(world.clone(), client));
             }
             if plan.scenario.load.closed > 0 {
                 while open.join_next().await.is_some() {}
                 return;
             }
             for arrival in plan.arrivals() {
-                world.until(arrival.at_ms).await;
-                let late = world.now() - arrival.at_ms;
-                lock(&world.checker).record_lateness(late);
-                open.spawn(Clients::come(world.clone(), arrival));
+                world.sleep_until(arrival.at_ms).await;
+                let late_ms = world.now() - arrival.at_ms;
+                lock(&world.checker).record_lateness(late_ms);
+                open.spawn(Clients::run_client(world.clone(), arrival));
                 while open.try_join_next().is_some() {}
             }
             while open.join_next().await.is_some() {}
         })
     };
-    let longest = world.plan.scenario.class.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-    let last = world.plan.length_ms() + 2.0 * longest + LAST.as_secs_f64() * 1000.0;
-    let mut viewed = Instant::now();
+    let max_deadline_ms = world.plan.scenario.class.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+    let end_ms = world.plan.length_ms() + 2.0 * max_deadline_ms + FINAL_GRACE.as_secs_f64() * 1000.0;
+    let mut last_view = Instant::now();
     loop {
         for node in &world.nodes {
-            if let Some(why) = node.crashed() {
+            if let Some(why) = node.take_crashed() {
                 let now = world.now();
                 lock(&world.checker).record_violation(Rule::Crash, now, why);
-                // Clients must not wait for it, and the rest of the day goes on without.
-                node.excuse(true);
+                // The rest of the run continues without the node, and the requests lost with it break no
+                // further rule.
+                node.excuse_losses(true);
             }
         }
-        if viewed.elapsed() >= VIEW {
-            viewed = Instant::now();
-            view(&moment(world, &troubles));
+        if last_view.elapsed() >= VIEW_INTERVAL {
+            last_view = Instant::now();
+            view(&run_snapshot(world, &injector));
         }
-        if arrivals.is_finished() || world.now() > last {
-            view(&moment(world, &troubles));
+        if arrivals.is_finished() || world.now() > end_ms {
+            view(&run_snapshot(world, &injector));
             return Ok(());
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(EXIT_CHECK_INTERVAL).await;
     }
 }
 
-/// One client of a closed loop, to the day's end.
-async fn closed(world: Arc<World>, client: usize) {
+/// Runs one client of a closed loop until the end of the run.
+async fn closed_loop_client(world: Arc<World>, client: usize) {
     let plan = world.plan.clone();
     let clients = plan.scenario.load.closed;
     for arrival in plan.arrivals().skip(client).step_by(clients) {
         let now = world.now();
-        if now >= plan.length_ms() || world.ending() {
+        if now >= plan.length_ms() || world.is_ending() {
             return;
         }
-        Clients::come(world.clone(), Arrival { at_ms: now.max(0.0), ..arrival }).await;
+        Clients::run_client(world.clone(), Arrival { at_ms: now.max(0.0), ..arrival }).await;
     }
 }
 
-fn moment(world: &World, troubles: &Troubles) -> RunSnapshot {
+fn run_snapshot(world: &World, injector: &FaultInjector) -> RunSnapshot {
     let now = world.now();
-    let active = lock(&troubles.active).clone();
+    let active = lock(&injector.active).clone();
     let checker = lock(&world.checker);
     let (refused, failed, servers) = checker.live_counts();
     RunSnapshot {
         at_s: now / 1000.0,
         served: checker.recent_worth_share(now - 600.0, 2000.0),
-        nodes: (0..world.nodes.len()).map(|n| world.clients.ready(n)).collect(),
-        active_faults: world.plan.faults.iter().filter(|f| active.contains(&f.number)).map(name).collect(),
+        nodes: (0..world.nodes.len()).map(|n| world.clients.is_ready(n)).collect(),
+        active_faults: world
+            .plan
+            .faults
+            .iter()
+            .filter(|f| active.contains(&f.number))
+            .map(describe)
+            .collect(),
         refused,
         failed,
         servers,
     }
 }
 
-fn name(fault: &PlannedFault) -> String {
+/// Returns the kind of a fault and its first targets, for the live view.
+fn describe(fault: &PlannedFault) -> String {
     let kind = serde_json::to_value(fault.kind).ok().and_then(|v| v.as_str().map(str::to_owned));
     let servers = fault.on.servers.iter().map(|s| format!("s{s}"));
     let nodes = fault.on.nodes.iter().map(|n| format!("n{n}"));
-    let who: Vec<String> = servers.chain(nodes).take(6).collect();
-    format!("{} {}", kind.unwrap_or_default(), who.join(","))
+    let targets: Vec<String> = servers.chain(nodes).take(6).collect();
+    format!("{} {}", kind.unwrap_or_default(), targets.join(","))
 }
 
-/// The troubles of a day.
-struct Troubles {
+/// Injects the faults of a run.
+struct FaultInjector {
     world: Arc<World>,
+    /// Numbers of the active faults.
     active: Mutex<BTreeSet<usize>>,
-    next: Option<PathBuf>,
+    upgrade_program: Option<PathBuf>,
 }
 
-impl Troubles {
-    async fn meet(self: Arc<Self>, fault: PlannedFault) {
-        self.world.until(fault.at_ms).await;
+impl FaultInjector {
+    /// Injects one fault at its start and removes it at its end.
+    async fn inject(self: Arc<Self>, fault: PlannedFault) {
+        self.world.sleep_until(fault.at_ms).await;
         lock(&self.active).insert(fault.number);
-        let day = self.world.plan.length_ms();
-        let until = until(&self.world, &fault);
-        lock(&self.world.checker).record_fault(fault.kind, fault.number, fault.at_ms, until.min(day));
-        self.apply();
+        let run_length_ms = self.world.plan.length_ms();
+        let until_ms = fault_end_ms(&self.world, &fault);
+        lock(&self.world.checker).record_fault(
+            fault.kind,
+            fault.number,
+            fault.at_ms,
+            until_ms.min(run_length_ms),
+        );
+        self.apply_active();
         self.begin(&fault).await;
-        self.world.until(until).await;
+        self.world.sleep_until(until_ms).await;
         lock(&self.active).remove(&fault.number);
-        self.apply();
+        self.apply_active();
         self.end(&fault).await;
     }
 
-    /// Puts what lasts into force, from all that is wrong now: troubles may overlap.
-    fn apply(&self) {
+    /// Applies the lasting effects of all active faults, which may overlap.
+    fn apply_active(&self) {
         let world = &self.world;
         let active = lock(&self.active).clone();
         let faults: Vec<&PlannedFault> =
             world.plan.faults.iter().filter(|f| active.contains(&f.number)).collect();
         for (n, host) in world.hosts.iter().enumerate() {
-            let here = || faults.iter().filter(|f| f.on.servers.contains(&n));
-            let is = |kind: FaultKind| here().any(|f| f.kind == kind);
-            let most =
-                |kind: FaultKind| here().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max);
-            let r = &world.plan.scenario.release;
+            let faults_here = || faults.iter().filter(|f| f.on.servers.contains(&n));
+            let is = |kind: FaultKind| faults_here().any(|f| f.kind == kind);
+            let max_size = |kind: FaultKind| {
+                faults_here().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max)
+            };
+            let release = &world.plan.scenario.release;
             let bad = world.releases.on_new(n)
-                && (0..world.hosts.len()).filter(|s| world.releases.on_new(*s)).count() >= r.bad_from;
-            let (slower, errors) = if bad { (r.slower, r.errors) } else { (1.0, 0.0) };
+                && (0..world.hosts.len()).filter(|s| world.releases.on_new(*s)).count() >= release.bad_from;
+            let (slower, errors) = if bad { (release.slower, release.errors) } else { (1.0, 0.0) };
             host.model(|m| {
-                m.pace = 1.0 / most(FaultKind::ServerSlow).max(1.0).max(slower);
-                m.taken = most(FaultKind::ServerNeighbour).clamp(0.0, 0.99);
-                m.pause_ms = most(FaultKind::ServerPauses).clamp(0.0, 990.0);
+                m.pace = 1.0 / max_size(FaultKind::ServerSlow).max(1.0).max(slower);
+                m.taken = max_size(FaultKind::ServerNeighbour).clamp(0.0, 0.99);
+                m.pause_ms = max_size(FaultKind::ServerPauses).clamp(0.0, 990.0);
             });
-            host.wrong(|w| {
-                w.silent = is(FaultKind::ServerSilent);
-                w.errors = most(FaultKind::ServerErrors).max(errors);
-                w.resets = most(FaultKind::ServerResets);
-                w.full = is(FaultKind::ServerFull);
-                w.report_late_ms = most(FaultKind::ServerReportsLate) * 1000.0;
+            host.set_faults(|f| {
+                f.silent = is(FaultKind::ServerSilent);
+                f.errors = max_size(FaultKind::ServerErrors).max(errors);
+                f.resets = max_size(FaultKind::ServerResets);
+                f.full = is(FaultKind::ServerFull);
+                f.report_late_ms = max_size(FaultKind::ServerReportsLate) * 1000.0;
             });
             for node in 0..world.nodes.len() {
                 if let Some(link) = host.link(node) {
-                    link.double(is(FaultKind::ServerTwice));
+                    link.set_duplicate(is(FaultKind::ServerTwice));
                     let party = |e: &Parties| e.servers.contains(&n);
                     let mut link_state = link_state(&faults, node, &party);
                     if is(FaultKind::ServerVanish) {
                         link_state = LinkState { outbound: false, inbound: false, ..link_state };
                     }
                     link.set(link_state);
-                    host.door(node, is(FaultKind::ServerVanish));
+                    host.update_accept_mode(node, is(FaultKind::ServerVanish));
                 }
             }
         }
@@ -594,7 +622,7 @@
             let is = |kind: FaultKind| faults.iter().any(|f| f.kind == kind);
             let slow = faults.iter().filter(|f| f.kind == FaultKind::DiscoverySlow).map(|f| f.size);
             let slow = slow.fold(1.0, f64::max);
-            discovery.sick(|s| {
+            discovery.set_faults(|s| {
                 s.down = is(FaultKind::DiscoveryDown);
                 s.silent = is(FaultKind::DiscoverySilent);
                 s.slow = slow;
@@ -602,28 +630,30 @@
             for node in 0..world.nodes.len() {
                 if let Some(link) = discovery.link(node) {
                     link.set(link_state(&faults, node, &|e: &Parties| e.discovery));
-                    discovery.door(node);
+                    discovery.update_accept_mode(node);
                 }
             }
         }
-        for (zone, ways) in world.clients.ways.iter().enumerate() {
-            for (node, way) in ways.iter().enumerate() {
-                way.link.set(link_state(&faults, node, &|e: &Parties| e.clients.contains(&zone)));
+        for (zone, paths) in world.clients.paths.iter().enumerate() {
+            for (node, path) in paths.iter().enumerate() {
+                path.link.set(link_state(&faults, node, &|e: &Parties| e.clients.contains(&zone)));
             }
         }
-        if world.rehearses() {
+        if world.has_disk_faults() {
             for (n, node) in world.nodes.iter().enumerate() {
-                let here = || faults.iter().filter(|f| f.on.nodes.contains(&n));
-                let is = |kind: FaultKind| here().any(|f| f.kind == kind);
-                let slow =
-                    here().filter(|f| f.kind == FaultKind::DiskSlow).map(|f| f.size).fold(0.0, f64::max);
+                let faults_here = || faults.iter().filter(|f| f.on.nodes.contains(&n));
+                let is = |kind: FaultKind| faults_here().any(|f| f.kind == kind);
+                let slow = faults_here()
+                    .filter(|f| f.kind == FaultKind::DiskSlow)
+                    .map(|f| f.size)
+                    .fold(0.0, f64::max);
                 let orders = FaultOrders {
                     sync_ms: slow.max(0.0) as u64,
                     full: is(FaultKind::DiskFull),
                     broken: is(FaultKind::DiskBroken),
                     read_only: is(FaultKind::DiskReadOnly),
                 };
-                if let Err(e) = node.disk(orders) {
+                if let Err(e) = node.set_disk_faults(orders) {
                     let now = world.now();
                     lock(&world.checker).record_violation(
                         Rule::Crash,
@@ -642,30 +672,31 @@
                     }
                 }
             }
-            let most = |kind: FaultKind| {
+            let max_size = |kind: FaultKind| {
                 faults.iter().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max)
             };
-            peers.wrong(|w| {
+            peers.set_faults(|w| {
                 w.cut = cut;
-                w.loss = most(FaultKind::PeerLoss);
-                w.double = most(FaultKind::PeerDouble);
+                w.loss = max_size(FaultKind::PeerLoss);
+                w.duplicate = max_size(FaultKind::PeerDouble);
             });
         }
     }
 
-    /// Tells discovery once it has noticed.
-    fn notice(&self, server: usize, name: String, state: &'static str, boot_ms: u64, times: f64) {
+    /// Updates the entry of a server in discovery's list after the delay with which discovery notices the
+    /// change, multiplied by `times`.
+    fn update_discovery(&self, server: usize, name: String, state: &'static str, boot_ms: u64, times: f64) {
         let world = self.world.clone();
-        let after = world.plan.machines.get(server).map_or(0.0, |m| m.notice_ms) * times;
+        let delay_ms = world.plan.machines.get(server).map_or(0.0, |m| m.notice_ms) * times;
         let starts = world.host(server).map(|h| h.starts());
         tokio::spawn(async move {
-            tokio::time::sleep(Duration::from_secs_f64(after / 1000.0)).await;
-            if after > 0.0 && world.host(server).map(|h| h.starts()) != starts {
-                // Whoever was back before it was missed is not missed any more, nor is one that has gone again there.
+            tokio::time::sleep(Duration::from_secs_f64(delay_ms / 1000.0)).await;
+            if delay_ms > 0.0 && world.host(server).map(|h| h.starts()) != starts {
+                // The process has started or ended again in the meantime, which makes this update obsolete.
                 return;
             }
             if let Some(discovery) = world.discovery() {
-                discovery.note(&name, server, state, boot_ms);
+                discovery.set_entry(&name, server, state, boot_ms);
             }
         });
     }
@@ -674,6 +705,7 @@
         self.world.plan.machines.get(server).map(|m| m.name.clone()).unwrap_or_default()
     }
 
+    /// Carries out what happens once at the start of a fault.
     async fn begin(&self, fault: &PlannedFault) {
         let world = &self.world;
         for &s in &fault.on.servers {
@@ -681,30 +713,30 @@
             match fault.kind {
                 FaultKind::ServerDown => {
                     host.down(false);
-                    self.notice(s, self.server_name(s), "removed", 0, 1.0);
+                    self.update_discovery(s, self.server_name(s), "removed", 0, 1.0);
                 }
                 FaultKind::ServerVanish => {
                     host.down(true);
-                    // A machine that says nothing is noticed late.
-                    self.notice(s, self.server_name(s), "removed", 0, 3.0);
+                    // A machine that stops responding is noticed later than a process that ended.
+                    self.update_discovery(s, self.server_name(s), "removed", 0, 3.0);
                 }
-                FaultKind::ServerDrain => self.notice(s, self.server_name(s), "draining", 0, 0.0),
+                FaultKind::ServerDrain => self.update_discovery(s, self.server_name(s), "draining", 0, 0.0),
                 FaultKind::ServerRestart => {
-                    self.notice(s, self.server_name(s), "draining", 0, 0.0);
-                    let (host, own) = (host.clone(), self.notice_later(s));
+                    self.update_discovery(s, self.server_name(s), "draining", 0, 0.0);
+                    let (host, remove) = (host.clone(), self.removal_from_discovery(s));
                     tokio::spawn(async move {
-                        tokio::time::sleep(DRAIN).await;
+                        tokio::time::sleep(DRAIN_TIME).await;
                         host.down(false);
-                        own();
+                        remove();
                     });
                 }
                 FaultKind::ServerReplace => {
                     host.down(false);
-                    self.notice(s, self.server_name(s), "removed", 0, 0.0);
+                    self.update_discovery(s, self.server_name(s), "removed", 0, 0.0);
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     host.start_cold(world.now());
                     let name = format!("{}-r{}", self.server_name(s), fault.number);
-                    self.notice(s, name, "up", World::boot_ms(), 1.0);
+                    self.update_discovery(s, name, "up", World::boot_ms(), 1.0);
                 }
                 _ => {}
             }
@@ -713,36 +745,36 @@
             let Some(node) = world.nodes.get(n).cloned() else { continue };
             let done = match fault.kind {
                 FaultKind::NodeKill => {
-                    node.excuse(true);
+                    node.excuse_losses(true);
                     node.kill().await;
                     Ok(())
                 }
                 FaultKind::NodePowerLoss => {
-                    node.excuse(true);
+                    node.excuse_losses(true);
                     node.kill().await;
                     let mut draws = 0_u64;
-                    let of = mix_bits(fault.number as u64 ^ ((n as u64) << 32));
+                    let purpose = mix_bits(fault.number as u64 ^ ((n as u64) << 32));
                     let draw = |most: usize| {
                         draws += 1;
-                        (world.luck(of.wrapping_add(draws)) * most as f64) as usize
+                        (world.seeded_fraction(purpose.wrapping_add(draws)) * most as f64) as usize
                     };
                     node.lose_power(draw)
                         .map_err(|e| format!("the disk of node {n} after its power loss: {e}"))
                 }
                 FaultKind::NodeFreeze => {
-                    node.excuse(true);
+                    node.excuse_losses(true);
                     node.freeze(true);
                     Ok(())
                 }
                 FaultKind::NodeStop => node.stop().await,
                 FaultKind::NodeUpgrade => {
-                    if let Some(next) = &self.next {
-                        node.program(next);
+                    if let Some(program) = &self.upgrade_program {
+                        node.set_program(program);
                     }
                     node.upgrade(world).await
                 }
                 FaultKind::NodeReload => node.reload(world).map_err(|e| e.to_string()),
-                FaultKind::NodeCall => self.say(&node, &fault.say).await,
+                FaultKind::NodeCall => self.call_operator(&node, &fault.say).await,
                 _ => Ok(()),
             };
             if let Err(why) = done {
@@ -751,7 +783,7 @@
             }
         }
         if fault.kind == FaultKind::NodeCrashes {
-            tokio::spawn(crashes(world.clone(), fault.clone(), until(world, fault)));
+            tokio::spawn(crash_nodes(world.clone(), fault.clone(), fault_end_ms(world, fault)));
         }
         let release = match fault.kind {
             FaultKind::Release => world.releases.start(world).map_err(|e| e.to_string()),
@@ -763,8 +795,8 @@
                 world.releases.freeze(true);
                 Ok(())
             }
-            FaultKind::ReleaseOrder => world.releases.order(&fault.say).await,
-            FaultKind::ReleaseSecond => world.releases.second(world).await,
+            FaultKind::ReleaseOrder => world.releases.send_order(&fault.say).await,
+            FaultKind::ReleaseSecond => world.releases.start_second(world).await,
             _ => Ok(()),
         };
         if let Err(why) = release {
@@ -775,47 +807,51 @@
             let Some(discovery) = world.discovery() else { return };
             if discovery.open(world).is_ok() {
                 for node in &world.nodes {
-                    // One that cannot be told keeps asking in vain, which the day will show.
+                    // A node that cannot be signalled keeps calling the old address, which shows in the
+                    // figures.
                     let _ = node.reload(world);
                 }
             }
         }
     }
 
-    fn notice_later(&self, server: usize) -> impl FnOnce() + Send + use<> {
+    /// Returns a function that removes a server from discovery's list.
+    fn removal_from_discovery(&self, server: usize) -> impl FnOnce() + Send + use<> {
         let (world, name) = (self.world.clone(), self.server_name(server));
         move || {
             if let Some(discovery) = world.discovery() {
-                discovery.note(&name, server, "removed", 0);
+                discovery.set_entry(&name, server, "removed", 0);
             }
         }
     }
 
-    /// An operator's word to a node; what it says of a server binds from the yes on.
-    async fn say(&self, node: &Node, words: &str) -> Result<(), String> {
+    /// Sends an operator's call to a node. What it says about a server binds the node from its `OK` on.
+    async fn call_operator(&self, node: &Node, words: &str) -> Result<(), String> {
         let Some(operator) = node.operator() else {
-            return Err(format!("node {} is not there", node.number));
+            return Err(format!("node {} is not running", node.number));
         };
-        let answer = nodes::say(operator, words.to_owned()).await;
+        let answer = nodes::call(operator, words.to_owned()).await;
         let now = self.world.now();
-        let mut said = words.split_whitespace();
-        let word = said.next();
+        let mut parts = words.split_whitespace();
+        let word = parts.next();
         let fleet = words.split_whitespace().nth(1) == Some("--fleet");
-        let id = said.next_back();
+        let id = parts.next_back();
         if let (Ok(_), Some(word @ ("cordon" | "uncordon")), Some(id)) = (&answer, word, id)
             && let Some(server) = self.world.plan.machines.iter().position(|m| m.name == id)
         {
             let mut checker = lock(&self.world.checker);
             checker.operator_order(now, node.number, server, word == "cordon");
             for other in (0..self.world.nodes.len()).filter(|n| fleet && *n != node.number) {
-                // Back at once: who heard of it already does no wrong. Out once the word must have come.
-                let at = if word == "cordon" { now + FLEET_WORD_MS } else { now };
+                // An uncordon applies to other nodes immediately, because one that has already received it
+                // may use the server. A cordon applies once it must have reached them.
+                let at = if word == "cordon" { now + FLEET_ORDER_MS } else { now };
                 checker.operator_order(at, other, server, word == "cordon");
             }
         }
         answer.map(drop).map_err(|e| format!("node {} to {words:?}: {e}", node.number))
     }
 
+    /// Carries out what happens once at the end of a fault.
     async fn end(&self, fault: &PlannedFault) {
         let world = &self.world;
         match fault.kind {
@@ -837,20 +873,22 @@
             match fault.kind {
                 FaultKind::ServerDown | FaultKind::ServerVanish | FaultKind::ServerRestart => {
                     host.start_cold(world.now());
-                    self.notice(s, self.server_name(s), "up", World::boot_ms(), 1.0);
+                    self.update_discovery(s, self.server_name(s), "up", World::boot_ms(), 1.0);
                 }
-                FaultKind::ServerDrain => self.notice(s, self.server_name(s), "up", 0, 0.0),
+                FaultKind::ServerDrain => self.update_discovery(s, self.server_name(s), "up", 0, 0.0),
                 _ => {}
             }
         }
         for &n in &fault.on.nodes {
             let Some(node) = world.nodes.get(n) else { continue };
             match fault.kind {
-                FaultKind::NodeKill | FaultKind::NodePowerLoss | FaultKind::NodeStop => again(world, node),
+                FaultKind::NodeKill | FaultKind::NodePowerLoss | FaultKind::NodeStop => {
+                    restart_node(world, node)
+                }
                 FaultKind::NodeFreeze => {
                     node.freeze(false);
-                    node.woke_ms.store(world.now().max(0.0).ceil() as u64, Ordering::SeqCst);
-                    node.excuse(false);
+                    node.resumed_ms.store(world.now().max(0.0).ceil() as u64, Ordering::SeqCst);
+                    node.excuse_losses(false);
                 }
                 _ => {}
             }
@@ -858,8 +896,8 @@
     }
 }
 
-/// Starts a node again and watches its return.
-fn again(world: &Arc<World>, node: &Arc<Node>) {
+/// Restarts a node and measures the time until it serves.
+fn restart_node(world: &Arc<World>, node: &Arc<Node>) {
     let (n, now) = (node.number, world.now());
     {
         let mut checker = lock(&world.checker);
@@ -868,41 +906,42 @@
     }
     let started = Instant::now();
     match node.start(world) {
-        Ok(_) => drop(tokio::spawn(Clients::first_answer(world.clone(), n, started))),
+        Ok(_) => drop(tokio::spawn(Clients::await_first_answer(world.clone(), n, started))),
         Err(e) => {
             lock(&world.checker).record_violation(Rule::Crash, now, format!("node {n} cannot start: {e}"))
         }
     }
-    // What was out when it died may be told to its client only now.
-    node.woke_ms.store(now.max(0.0).ceil() as u64, Ordering::SeqCst);
-    node.excuse(false);
+    // The answers to requests that were open when the node ended may reach their clients only now.
+    node.resumed_ms.store(now.max(0.0).ceil() as u64, Ordering::SeqCst);
+    node.excuse_losses(false);
 }
 
-/// When a trouble is over.
-fn until(world: &World, fault: &PlannedFault) -> f64 {
-    let day = world.plan.length_ms();
-    fault.until_ms.unwrap_or(if lasts(fault.kind) { day } else { fault.at_ms })
+/// Returns the end of a fault, in milliseconds of the run.
+fn fault_end_ms(world: &World, fault: &PlannedFault) -> f64 {
+    let run_length_ms = world.plan.length_ms();
+    fault.until_ms.unwrap_or(if lasts_until_end(fault.kind) { run_length_ms } else { fault.at_ms })
 }
 
-/// Kills one node after the other, each at a drawn moment of its part of the time, and starts it again at once.
-async fn crashes(world: Arc<World>, fault: PlannedFault, until: f64) {
+/// Kills the nodes one after the other, each at a random time within its share of the interval, and
+/// restarts each immediately.
+async fn crash_nodes(world: Arc<World>, fault: PlannedFault, until_ms: f64) {
     let times = fault.size.max(0.0) as usize;
-    let step = (until - fault.at_ms) / times.max(1) as f64;
+    let step_ms = (until_ms - fault.at_ms) / times.max(1) as f64;
     for n in 0..times {
-        let draw = world.luck(mix_bits(fault.number as u64) ^ n as u64);
-        world.until(fault.at_ms + step * (n as f64 + draw)).await;
-        if world.ending() || fault.on.nodes.is_empty() {
+        let draw = world.seeded_fraction(mix_bits(fault.number as u64) ^ n as u64);
+        world.sleep_until(fault.at_ms + step_ms * (n as f64 + draw)).await;
+        if world.is_ending() || fault.on.nodes.is_empty() {
             return;
         }
         let Some(node) = world.nodes.get(fault.on.nodes[n % fault.on.nodes.len()]) else { continue };
-        node.excuse(true);
+        node.excuse_losses(true);
         node.kill().await;
-        again(&world, node);
+        restart_node(&world, node);
     }
 }
 
-/// Whether a trouble without a length lasts to the day's end.
-fn lasts(kind: FaultKind) -> bool {
+/// Returns true if a fault without a duration lasts until the end of the run.
+fn lasts_until_end(kind: FaultKind) -> bool {
     !matches!(
         kind,
         FaultKind::Mark
@@ -921,20 +960,21 @@
     )
 }
 
-/// Runs something of the lab on a runtime of its own.
+/// Runs a future on a runtime of its own.
 ///
 /// # Errors
-/// The system has no threads for it.
+/// Returns an error if the system cannot provide the runtime's threads.
 pub fn block_on<F: Future>(work: F) -> io::Result<F::Output> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let done = runtime.block_on(work);
-    // What still listens or waits need not be waited for.
+    // Tasks that still listen or wait are abandoned.
     runtime.shutdown_timeout(Duration::from_millis(100));
     Ok(done)
 }
 
-/// The operators' command: this program, or the one that lies beside it.
-fn command() -> Option<PathBuf> {
+/// Returns the path of the `daleturn` command: this program, or one in the directories searched by
+/// [`find_program`].
+fn daleturn_command() -> Option<PathBuf> {
     let own = std::env::current_exe().ok()?;
     if own.file_name().is_some_and(|n| n == "daleturn") {
         Some(own)
@@ -943,7 +983,8 @@
     }
 }
 
-/// The node's program that lies beside this one's, or a folder above, as the build leaves them.
+/// Returns the path of the program `name` in the directory of `own` or in one of the two directories above,
+/// as the build arranges them.
 pub fn find_program(own: &Path, name: &str) -> Option<PathBuf> {
     own.ancestors().skip(1).take(3).map(|dir| dir.join(name)).find(|p| p.is_file())
 }
--- a/crates/lab/src/real/nodes.rs
+++ b/crates/lab/src/real/nodes.rs
@@ -1,8 +1,9 @@
-//! Nodes as processes: started with a place of their own, killed, frozen, ended, upgraded, told things.
+//! Node processes: each has a directory of its own and can be started, killed, frozen, stopped, reloaded,
+//! upgraded and called.
 
 use super::World;
 use super::addresses::free_address;
-use super::links::{lock, own_ip};
+use super::links::{lock, loopback_ip};
 use crate::scenario::{FaultKind, NextBuild, ReleaseTarget};
 use crate::settings::settings;
 use daleturn::operator_call::{OperatorCall, call_node};
@@ -19,14 +20,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::process::{Child, Command};
 
-/// What is kept of one process's log.
-const LONGEST_LOG: usize = 16 * 1024 * 1024;
-/// Where nodes listen for clients; operators and datagrams follow.
-const ADDRESS: u32 = 200;
-/// A new process must say yes within this.
-const YES: Duration = Duration::from_secs(6);
-/// And the old one must have ended within this.
-const END: Duration = Duration::from_secs(6);
+/// Maximum size of a process's log that is kept, in bytes.
+const MAX_LOG_BYTES: usize = 16 * 1024 * 1024;
+/// First index of the loopback addresses on which nodes listen for clients, operators and datagrams.
+const ADDRESS_INDEX: u32 = 200;
+/// Time within which a new process must report that it is healthy during an upgrade.
+const HEALTHY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time within which a process must end after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// A process of a node.
 struct Process {
@@ -35,32 +36,34 @@
     cpu_ns: u64,
 }
 
-/// A node: its files, and the processes that serve for it.
+/// A node: its files and its processes.
 pub struct Node {
-    /// Its number.
+    /// Index of the node.
     pub number: usize,
-    /// Where clients connect.
+    /// Address on which the node accepts clients.
     pub listen: SocketAddr,
-    /// Where datagrams arrive.
+    /// Address on which the node receives datagrams.
     pub peer_listen: SocketAddr,
     program: Mutex<PathBuf>,
     dir: PathBuf,
     logs: Option<PathBuf>,
     processes: Mutex<Vec<Process>>,
-    /// The lab has killed, frozen or stopped it: what is lost there is nobody's fault.
-    pub excused: AtomicBool,
-    /// What was sent before then, in milliseconds of the day, was out while it stood still.
-    pub woke_ms: AtomicU64,
-    /// CPU of processes that have ended, in nanoseconds.
-    spent_ns: Mutex<u64>,
+    /// True while the node is down or frozen because of a fault, or has exited: requests lost at it break
+    /// no further rule.
+    pub losses_excused: AtomicBool,
+    /// Time of the run at which the node last resumed, in milliseconds. Requests sent before may have been
+    /// open while the node was down.
+    pub resumed_ms: AtomicU64,
+    /// CPU time of processes that have ended, in nanoseconds.
+    ended_cpu_ns: Mutex<u64>,
     starts: Mutex<u32>,
 }
 
 impl Node {
-    /// One that has not started.
+    /// Creates the directory of a node, which is not started yet.
     ///
     /// # Errors
-    /// Its directory cannot be made.
+    /// Returns an error if a directory cannot be created or no address is free.
     pub fn new(number: usize, program: &Path, dir: &Path, logs: Option<&Path>) -> io::Result<Node> {
         let dir = dir.join(format!("n{number}"));
         std::fs::create_dir_all(dir.join("tmp"))?;
@@ -68,7 +71,7 @@
         if let Some(logs) = logs {
             std::fs::create_dir_all(logs)?;
         }
-        let ip = own_ip(ADDRESS + number as u32 % 30);
+        let ip = loopback_ip(ADDRESS_INDEX + number as u32 % 30);
         Ok(Node {
             number,
             listen: free_address(ip)?,
@@ -77,63 +80,65 @@
             dir,
             logs: logs.map(Path::to_owned),
             processes: Mutex::default(),
-            excused: AtomicBool::new(false),
-            woke_ms: AtomicU64::new(0),
-            spent_ns: Mutex::new(0),
+            losses_excused: AtomicBool::new(false),
+            resumed_ms: AtomicU64::new(0),
+            ended_cpu_ns: Mutex::new(0),
             starts: Mutex::new(0),
         })
     }
 
-    /// From its next start on it is this program.
-    pub fn program(&self, program: &Path) {
+    /// Sets the program that the node runs from its next start on.
+    pub fn set_program(&self, program: &Path) {
         program.clone_into(&mut lock(&self.program));
     }
 
-    /// Where its state is to last.
+    /// Returns the directory in which the node keeps its state.
     pub fn state_dir(&self) -> PathBuf {
         self.dir.join("state")
     }
 
-    /// Where its disk is rehearsed with.
-    fn rehearsal(&self) -> PathBuf {
+    /// Returns the directory through which faults of the node's disk are controlled.
+    fn disk_faults_dir(&self) -> PathBuf {
         self.dir.join("rehearsal")
     }
 
-    /// What is wrong with its disk from here on.
+    /// Sets the faults of the node's disk.
     ///
     /// # Errors
-    /// The orders cannot be written.
-    pub fn disk(&self, orders: FaultOrders) -> io::Result<()> {
-        write_orders(&self.rehearsal(), orders)
+    /// Returns an error if the orders cannot be written.
+    pub fn set_disk_faults(&self, orders: FaultOrders) -> io::Result<()> {
+        write_orders(&self.disk_faults_dir(), orders)
     }
 
-    /// Its disk as a power loss may leave it; its processes are gone.
+    /// Leaves the files of the node, whose processes must have ended, in a state that a power loss may
+    /// produce.
     ///
     /// # Errors
-    /// The files cannot be read or written.
+    /// Returns an error if the files cannot be read or written.
     pub fn lose_power(&self, draw: impl FnMut(usize) -> usize) -> io::Result<()> {
-        simulate_power_loss(&self.state_dir(), &self.rehearsal(), draw)
+        simulate_power_loss(&self.state_dir(), &self.disk_faults_dir(), draw)
     }
 
-    /// Writes its files as of now.
+    /// Writes the node's configuration files for the current state of the fleet.
     ///
     /// # Errors
-    /// They cannot be written.
-    pub fn write(&self, world: &World) -> io::Result<()> {
+    /// Returns an error if a file cannot be written.
+    pub fn write_config(&self, world: &World) -> io::Result<()> {
         let config = self.config(world);
         std::fs::write(self.dir.join("config.json"), config.to_string())?;
         let mut product = world.plan.scenario.product.clone();
         if let Some(toml::Value::Table(state)) = product.get_mut("state") {
             let dir = self.state_dir().to_string_lossy().into_owned();
             state.insert("dir".to_owned(), toml::Value::String(dir));
-            if world.rehearses() {
-                let place = self.rehearsal().to_string_lossy().into_owned();
+            if world.has_disk_faults() {
+                let place = self.disk_faults_dir().to_string_lossy().into_owned();
                 state.insert("rehearse".to_owned(), toml::Value::String(place));
             }
         }
         std::fs::write(self.dir.join("daleturn.toml"), product.to_string())
     }
 
+    /// Returns the node's configuration in the platform's format.
     fn config(&self, world: &World) -> Value {
         let s = &world.plan.scenario;
         let (peers, all) = world.peer_addresses(self.number).unwrap_or_default();
@@ -143,15 +148,16 @@
             "discovery": discovery.map(|d| d.to_string()), "seed": format!("{:016x}", world.plan.seed ^ self.number as u64),
             "limits": {"cores": 1.0, "memory_mb": s.fleet.memory_mb, "sockets": s.fleet.sockets},
             "peer_listen": self.peer_listen.to_string(), "peers": peers, "peers_all": all,
-            "known": world.discovery().map(|d| d.known(world, self.number)),
+            "known": world.discovery().map(|d| d.full_list(world, self.number)),
             "settings": settings(&world.plan, self.number),
         })
     }
 
-    /// What the start of a process costs that does nothing, in milliseconds: its program asked for its version.
+    /// Returns the time to start the node's program with `--version`, in milliseconds: the cost of a
+    /// process start by itself.
     pub async fn bare_start_ms(&self) -> Option<f64> {
         let program = lock(&self.program).clone();
-        let mut least = None;
+        let mut fastest_ms = None;
         for _ in 0..5 {
             let begun = std::time::Instant::now();
             let mut command = Command::new("/bin/sh");
@@ -160,27 +166,29 @@
                 command.env_clear().stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
             if ended.status().await.is_ok() {
                 let ms = begun.elapsed().as_secs_f64() * 1000.0;
-                least = Some(least.map_or(ms, |l: f64| l.min(ms)));
+                fastest_ms = Some(fastest_ms.map_or(ms, |f: f64| f.min(ms)));
             }
         }
-        least
+        fastest_ms
     }
 
-    /// Whether each node of this day runs under a supervisor.
-    fn supervised(world: &World) -> bool {
+    /// Returns true if each node runs under a supervisor, which a release of nodes requires.
+    fn is_supervised(world: &World) -> bool {
         world.plan.scenario.release.what == ReleaseTarget::Nodes
             && world.plan.scenario.trouble.iter().any(|t| t.kind == FaultKind::Release)
     }
 
-    /// The supervisor's file, with both versions; where it is called comes back.
-    fn supervisor(&self, world: &World) -> io::Result<(PathBuf, SocketAddr)> {
-        let ip = own_ip(ADDRESS + self.number as u32 % 30);
-        let (at, first, second) = (free_address(ip)?, free_address(ip)?, free_address(ip)?);
-        let one = lock(&self.program).clone();
-        let next = world.next.clone().unwrap_or_else(|| one.clone());
-        // A name of its own for each version: what runs is seen from outside by its path.
+    /// Writes the supervisor's configuration with both versions of the program. Returns its path and the
+    /// supervisor's address.
+    fn write_supervisor_config(&self, world: &World) -> io::Result<(PathBuf, SocketAddr)> {
+        let ip = loopback_ip(ADDRESS_INDEX + self.number as u32 % 30);
+        let (address, first_operator, second_operator) =
+            (free_address(ip)?, free_address(ip)?, free_address(ip)?);
+        let current_program = lock(&self.program).clone();
+        let next_program = world.upgrade_program.clone().unwrap_or_else(|| current_program.clone());
+        // Each version has a path of its own, by which the running version is recognized from outside.
         let (old, new) = (self.dir.join("version-1"), self.dir.join("version-2"));
-        let bad = self.dir.join("bad.json");
+        let bad_config = self.dir.join("bad.json");
         let script = match world.plan.scenario.release.build {
             NextBuild::Good => None,
             NextBuild::Crash => Some("exit 3".to_owned()),
@@ -191,14 +199,14 @@
                     class["hardLimitMs"] = json!(25.0);
                     class["objectiveMs"] = json!(20.0);
                 }
-                std::fs::write(&bad, config.to_string())?;
-                Some(format!("LB_CONFIG={:?} exec {:?}", bad, self.dir.join("version-2-program")))
+                std::fs::write(&bad_config, config.to_string())?;
+                Some(format!("LB_CONFIG={:?} exec {:?}", bad_config, self.dir.join("version-2-program")))
             }
         };
-        for (at, to) in [(&old, &one), (&new, &next)] {
-            match std::fs::remove_file(at) {
+        for (link, target) in [(&old, &current_program), (&new, &next_program)] {
+            match std::fs::remove_file(link) {
                 Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
-                _ => std::os::unix::fs::symlink(std::fs::canonicalize(to)?, at)?,
+                _ => std::os::unix::fs::symlink(std::fs::canonicalize(target)?, link)?,
             }
         }
         if let Some(text) = script {
@@ -221,7 +229,7 @@
             format!("[[version]]\nname = \"{name}\"\npath = {:?}\n", path.to_string_lossy())
         };
         let text = format!(
-            "listen = \"{at}\"\nstate = {:?}\noperators = [\"{first}\", \"{second}\"]\nfirst = \"1\"\nyes_s = 4\n{}{}[env]\n\
+            "listen = \"{address}\"\nstate = {:?}\noperators = [\"{first_operator}\", \"{second_operator}\"]\nfirst = \"1\"\nyes_s = 4\n{}{}[env]\n\
              {env}",
             self.dir.join("supervisor").to_string_lossy(),
             version("1", &old),
@@ -229,21 +237,21 @@
         );
         let file = self.dir.join("supervisor.toml");
         std::fs::write(&file, text)?;
-        Ok((file, at))
+        Ok((file, address))
     }
 
-    /// Whether the process that serves is the next version's, as the system has it.
-    pub fn on_new(&self) -> bool {
+    /// Returns true if the serving process runs the new version, according to its command line.
+    pub fn runs_new_version(&self) -> bool {
         let new = self.dir.join("version-2");
         let new = new.to_string_lossy().into_owned();
-        self.family().iter().any(|pid| {
+        self.process_tree().iter().any(|pid| {
             let line = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
             String::from_utf8_lossy(&line).split('\0').any(|w| w.starts_with(&new))
         })
     }
 
-    /// Its processes and their children.
-    fn family(&self) -> Vec<u32> {
+    /// Returns the ids of the node's processes and their descendants.
+    fn process_tree(&self) -> Vec<u32> {
         let mut all: Vec<u32> = lock(&self.processes).iter().filter_map(|p| p.child.id()).collect();
         let mut n = 0;
         while let Some(pid) = all.get(n).copied() {
@@ -256,21 +264,23 @@
         all
     }
 
-    /// Starts a process, beside another one if there is one.
+    /// Starts a process of the node, next to one that may be running already. Returns its address for
+    /// operators.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// Returns an error if the process cannot be started.
     pub fn start(&self, world: &World) -> io::Result<SocketAddr> {
         if lock(&self.processes).is_empty() {
-            // The platform's temporary place is empty at each start, but for one beside a living process.
+            // The platform's temporary directory is empty at each start, except when another process of the
+            // node is running.
             let tmp = self.dir.join("tmp");
             std::fs::remove_dir_all(&tmp).and_then(|()| std::fs::create_dir_all(&tmp))?;
         }
-        self.write(world)?;
-        let mut operator = free_address(own_ip(ADDRESS + self.number as u32 % 30))?;
-        let supervisor = if Node::supervised(world) {
-            let (file, at) = self.supervisor(world)?;
-            operator = at;
+        self.write_config(world)?;
+        let mut operator = free_address(loopback_ip(ADDRESS_INDEX + self.number as u32 % 30))?;
+        let supervisor = if Node::is_supervised(world) {
+            let (file, address) = self.write_supervisor_config(world)?;
+            operator = address;
             Some((world.releases.program().ok_or(io::ErrorKind::NotFound)?, file))
         } else {
             None
@@ -306,7 +316,7 @@
         {
             let mut cores = rustix::thread::CpuSet::new();
             cores.set(self.number % std::thread::available_parallelism().map_or(1, usize::from));
-            // Without it the system chooses.
+            // If it cannot be pinned, the system chooses the core.
             let _ = rustix::thread::sched_setaffinity(Some(pid), &cores);
         }
         let starts = {
@@ -316,7 +326,7 @@
         };
         if let Some(stderr) = child.stderr.take() {
             let file = self.logs.as_ref().map(|l| l.join(format!("n{}-{starts}.log", self.number)));
-            tokio::spawn(keep_log(stderr, file));
+            tokio::spawn(copy_log(stderr, file));
         }
         lock(&self.processes).push(Process { child, operator, cpu_ns: 0 });
         Ok(operator)
@@ -325,42 +335,46 @@
     fn signal(&self, signal: Signal) {
         for process in lock(&self.processes).iter() {
             if let Some(pid) = pid(&process.child) {
-                // One that has ended meanwhile needs none.
+                // A process that has ended in the meantime needs no signal.
                 let _ = kill_process(pid, signal);
             }
         }
     }
 
-    /// SIGKILL to all of its processes, and waits until they are gone.
+    /// Sends SIGKILL to all processes of the node and waits for their end.
     pub async fn kill(&self) {
-        // A supervisor that is killed leaves its node.
-        let family = self.family();
-        for pid in family.iter().skip(1).filter_map(|p| Pid::from_raw(i32::try_from(*p).ok()?)) {
+        // Killing a supervisor does not kill the node that it started.
+        let process_tree = self.process_tree();
+        for pid in process_tree.iter().skip(1).filter_map(|p| Pid::from_raw(i32::try_from(*p).ok()?)) {
             let _ = kill_process(pid, Signal::KILL);
         }
         let processes = std::mem::take(&mut *lock(&self.processes));
         for mut process in processes {
-            self.count(&mut process);
+            self.add_cpu(&mut process);
             let _ = process.child.kill().await;
         }
     }
 
-    /// SIGSTOP, or its end.
+    /// Sends SIGSTOP, or SIGCONT if `frozen` is false.
     pub fn freeze(&self, frozen: bool) {
         self.signal(if frozen { Signal::STOP } else { Signal::CONT });
     }
 
-    /// New files and SIGHUP.
+    /// Rewrites the node's configuration and sends SIGHUP.
     ///
     /// # Errors
-    /// The files cannot be written.
+    /// Returns an error if a file cannot be written.
     pub fn reload(&self, world: &World) -> io::Result<()> {
-        self.write(world)?;
+        self.write_config(world)?;
         self.signal(Signal::HUP);
         Ok(())
     }
 
-    /// SIGTERM to its oldest process, and waits for its end; what does not end is killed, and said.
+    /// Sends SIGTERM to the oldest process and waits for its end. A process that does not end in time is
+    /// killed.
+    ///
+    /// # Errors
+    /// Returns an error if the process ends with a failure or has to be killed.
     pub async fn stop(&self) -> Result<(), String> {
         let Some(mut old) = ({
             let mut processes = lock(&self.processes);
@@ -368,71 +382,78 @@
         }) else {
             return Ok(());
         };
-        // Once it has ended the system has forgotten what it used.
-        look(&mut old);
+        // The system drops the counters of a process when it ends.
+        update_cpu(&mut old);
         if let Some(pid) = pid(&old.child) {
             let _ = kill_process(pid, Signal::TERM);
         }
-        let ended = tokio::time::timeout(END, old.child.wait()).await;
-        self.count(&mut old);
+        let ended = tokio::time::timeout(EXIT_TIMEOUT, old.child.wait()).await;
+        self.add_cpu(&mut old);
         match ended {
             Ok(Ok(status)) if status.success() => Ok(()),
             Ok(status) => Err(format!("node {} ended after SIGTERM: {status:?}", self.number)),
             Err(_) => {
                 let _ = old.child.kill().await;
-                Err(format!("node {} did not end within {} s of SIGTERM", self.number, END.as_secs()))
+                Err(format!(
+                    "node {} did not end within {} s of SIGTERM",
+                    self.number,
+                    EXIT_TIMEOUT.as_secs()
+                ))
             }
         }
     }
 
-    /// The next process starts beside the old one, says yes, and takes over.
+    /// Starts a new process next to the old one, waits until it is healthy, and stops the old one.
     ///
     /// # Errors
-    /// It does not start, does not say yes in time, or the old one does not end.
+    /// Returns an error if the new process does not start, does not become healthy in time, or the old one
+    /// does not end.
     pub async fn upgrade(&self, world: &World) -> Result<(), String> {
         let operator = self.start(world).map_err(|e| e.to_string())?;
-        let end = tokio::time::Instant::now() + YES;
+        let end = tokio::time::Instant::now() + HEALTHY_TIMEOUT;
         loop {
-            let yes = tokio::task::spawn_blocking(move || {
+            let healthy = tokio::task::spawn_blocking(move || {
                 call_node(operator, &OperatorCall::Health, Duration::from_secs(1))
             })
             .await;
-            if matches!(yes, Ok(Ok(Ok(_)))) {
+            if matches!(healthy, Ok(Ok(Ok(_)))) {
                 return self.stop().await;
             }
             if tokio::time::Instant::now() > end {
-                return Err(format!("the new process of node {} said no yes", self.number));
+                return Err(format!("the new process of node {} did not become healthy", self.number));
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Where its newest process hears operators.
+    /// Returns the address of the newest process for operators.
     pub fn operator(&self) -> Option<SocketAddr> {
         lock(&self.processes).last().map(|p| p.operator)
     }
 
-    /// A process of it has ended by itself.
-    pub fn crashed(&self) -> Option<String> {
+    /// Returns a description of a process that has exited on its own, if there is one, and forgets the
+    /// process.
+    pub fn take_crashed(&self) -> Option<String> {
         let mut processes = lock(&self.processes);
         let n = processes.iter_mut().position(|p| matches!(p.child.try_wait(), Ok(Some(_)) | Err(_)))?;
-        let mut gone = processes.remove(n);
-        Some(format!("node {} ended by itself: {:?}", self.number, gone.child.try_wait()))
+        let mut exited = processes.remove(n);
+        Some(format!("node {} exited on its own: {:?}", self.number, exited.child.try_wait()))
     }
 
-    fn count(&self, process: &mut Process) {
-        look(process);
-        *lock(&self.spent_ns) += process.cpu_ns;
+    /// Adds the CPU time of a process that ends to the total.
+    fn add_cpu(&self, process: &mut Process) {
+        update_cpu(process);
+        *lock(&self.ended_cpu_ns) += process.cpu_ns;
     }
 
-    /// CPU that it has used, in nanoseconds.
+    /// Returns the CPU time used by all processes of the node, in nanoseconds.
     pub fn cpu_ns(&self) -> u64 {
         let mut processes = lock(&self.processes);
-        processes.iter_mut().for_each(look);
-        *lock(&self.spent_ns) + processes.iter().map(|p| p.cpu_ns).sum::<u64>()
+        processes.iter_mut().for_each(update_cpu);
+        *lock(&self.ended_cpu_ns) + processes.iter().map(|p| p.cpu_ns).sum::<u64>()
     }
 
-    /// Bytes that its newest process has handed to the system to be written to files, as the system counts them.
+    /// Returns the bytes that the newest process has written to files, as counted by the system.
     pub fn written_bytes(&self) -> u64 {
         let read = || {
             let pid = lock(&self.processes).last()?.child.id()?;
@@ -442,7 +463,7 @@
         read().unwrap_or(0)
     }
 
-    /// Memory that its newest process holds, in kB.
+    /// Returns the resident memory of the newest process, in kB.
     pub fn memory_kb(&self) -> Option<u64> {
         let pid = lock(&self.processes).last()?.child.id()?;
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -450,9 +471,9 @@
         line.trim().trim_end_matches("kB").trim().parse().ok()
     }
 
-    /// It is excused from here on, or no more.
-    pub fn excuse(&self, excused: bool) {
-        self.excused.store(excused, Ordering::SeqCst);
+    /// Sets whether requests lost at the node break no rule.
+    pub fn excuse_losses(&self, losses_excused: bool) {
+        self.losses_excused.store(losses_excused, Ordering::SeqCst);
     }
 }
 
@@ -460,8 +481,9 @@
     child.id().and_then(|id| i32::try_from(id).ok()).and_then(Pid::from_raw)
 }
 
-/// What the system has counted for it, in ticks of a hundredth of a second; exact enough over a whole day.
-fn look(process: &mut Process) {
+/// Updates the CPU time of a process. The system counts in units of a hundredth of a second, which is
+/// accurate enough over a whole run.
+fn update_cpu(process: &mut Process) {
     const TICK_NS: u64 = 10_000_000;
     let Some(id) = process.child.id() else { return };
     let Ok(stat) = std::fs::read_to_string(format!("/proc/{id}/stat")) else { return };
@@ -470,8 +492,9 @@
     process.cpu_ns = process.cpu_ns.max((ticks(11) + ticks(12)) * TICK_NS);
 }
 
-/// Reads a log to its end, and keeps the beginning of it: a node that writes without end fills no disk.
-async fn keep_log(mut from: tokio::process::ChildStderr, into: Option<PathBuf>) {
+/// Reads a log to its end and keeps its beginning, which prevents a node that logs without end from filling
+/// the disk.
+async fn copy_log(mut from: tokio::process::ChildStderr, into: Option<PathBuf>) {
     let mut file = match into {
         Some(path) => tokio::fs::File::create(path).await.ok(),
         None => None,
@@ -479,7 +502,7 @@
     let (mut piece, mut kept) = (vec![0; 16 * 1024], 0);
     while let Ok(n @ 1..) = from.read(&mut piece).await {
         kept += n;
-        if let (Some(file), true, Some(bytes)) = (&mut file, kept <= LONGEST_LOG, piece.get(..n)) {
+        if let (Some(file), true, Some(bytes)) = (&mut file, kept <= MAX_LOG_BYTES, piece.get(..n)) {
             let _ = file.write_all(bytes).await;
         }
     }
@@ -488,8 +511,11 @@
     }
 }
 
-/// What an operator said, and what came back.
-pub async fn say(operator: SocketAddr, words: String) -> Result<String, String> {
+/// Sends an operator's call to a node and returns the answer.
+///
+/// # Errors
+/// Returns an error if the call is invalid, gets no answer, or the node answers with an error.
+pub async fn call(operator: SocketAddr, words: String) -> Result<String, String> {
     let call = OperatorCall::parse(words.as_bytes()).map_err(|e| e.to_string())?;
     let asked =
         tokio::task::spawn_blocking(move || call_node(operator, &call, Duration::from_secs(2))).await;
@@ -500,5 +526,5 @@
     }
 }
 
-/// Nodes by number.
+/// The nodes by index.
 pub type Nodes = Vec<Arc<Node>>;
--- a/crates/lab/src/real/releases.rs
+++ b/crates/lab/src/real/releases.rs
@@ -1,8 +1,8 @@
-//! Releases on a day: a controller as a process of its own, and the warden that its commands reach, which restarts
-//! servers on another version.
+//! Releases in a run: the controller runs as a process of its own, and its commands call the restart
+//! service of this module, which restarts servers with another version.
 
-use super::links::{lock, own_ip};
-use super::{Troubles, World};
+use super::links::{lock, loopback_ip};
+use super::{FaultInjector, World};
 use crate::scenario::ReleaseTarget;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -18,64 +18,65 @@
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
 
-/// Where the warden listens.
-const ADDRESS: u32 = 242;
-/// A restart that is to fail says no after this.
-const REFUSED: Duration = Duration::from_millis(200);
+/// Index of the loopback address on which the restart service listens.
+const ADDRESS_INDEX: u32 = 242;
+/// Time after which a restart that is meant to fail reports its failure.
+const FAILED_RESTART_DELAY: Duration = Duration::from_millis(200);
 
-/// All releases of a day.
+/// All releases of a run.
 pub struct Releases {
     dir: PathBuf,
     program: Option<PathBuf>,
-    warden: OnceLock<SocketAddr>,
+    restart_service: OnceLock<SocketAddr>,
     child: Mutex<Option<Child>>,
     /// Servers on the new version.
     on_new: Mutex<BTreeSet<usize>>,
-    /// Restarts that were asked for, by server.
+    /// Servers whose restart was requested, one entry per restart.
     restarts: Mutex<Vec<usize>>,
 }
 
 impl Releases {
-    /// None begun yet; `program` is the operators' command.
+    /// Creates the state for a run in which no release has started. `program` is the path of the `daleturn`
+    /// command.
     pub fn new(dir: PathBuf, program: Option<PathBuf>) -> Releases {
         Releases {
             dir,
             program,
-            warden: OnceLock::new(),
+            restart_service: OnceLock::new(),
             child: Mutex::default(),
             on_new: Mutex::default(),
             restarts: Mutex::default(),
         }
     }
 
-    /// The operators' command.
+    /// Returns the path of the `daleturn` command.
     pub fn program(&self) -> Option<PathBuf> {
         self.program.clone()
     }
 
-    /// A server has the new version.
+    /// Returns true if a server runs the new version.
     pub fn on_new(&self, server: usize) -> bool {
         lock(&self.on_new).contains(&server)
     }
 
-    /// Opens the warden.
-    pub async fn open(&self, troubles: &Arc<Troubles>) -> io::Result<()> {
-        let listener = TcpListener::bind((own_ip(ADDRESS), 0)).await?;
-        let _ = self.warden.set(listener.local_addr()?);
-        let troubles = troubles.clone();
+    /// Starts the restart service.
+    pub async fn open(&self, injector: &Arc<FaultInjector>) -> io::Result<()> {
+        let listener = TcpListener::bind((loopback_ip(ADDRESS_INDEX), 0)).await?;
+        let _ = self.restart_service.set(listener.local_addr()?);
+        let injector = injector.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let troubles = troubles.clone();
+                let injector = injector.clone();
                 tokio::spawn(async move {
                     let (read, mut write) = stream.into_split();
                     let mut line = String::new();
                     if BufReader::new(read).read_line(&mut line).await.is_ok() {
-                        let said = match troubles.restart(line.trim()).await {
+                        let reply = match injector.restart(line.trim()).await {
                             Ok(()) => "OK\n".to_owned(),
                             Err(why) => format!("ERR {why}\n"),
                         };
-                        // Who asked may be gone.
-                        let _ = write.write_all(said.as_bytes()).await;
+                        // The caller may have closed the connection.
+                        let _ = write.write_all(reply.as_bytes()).await;
                     }
                 });
             }
@@ -83,23 +84,24 @@
         Ok(())
     }
 
-    fn plan(&self, world: &World, name: &str) -> Option<String> {
-        let (s, r) = (&world.plan.scenario, &world.plan.scenario.release);
-        let (warden, program) = (self.warden.get()?, self.program.as_ref()?.display());
+    /// Returns the text of a release plan, or `None` before the restart service is running.
+    fn plan_file(&self, world: &World, name: &str) -> Option<String> {
+        let (scenario, release) = (&world.plan.scenario, &world.plan.scenario.release);
+        let (restart_service, program) = (self.restart_service.get()?, self.program.as_ref()?.display());
         let nodes: Vec<String> =
             world.nodes.iter().filter_map(|n| n.operator()).map(|a| format!("\"{a}\"")).collect();
         let mut text =
             format!("name = \"{name}\"\nfrom = \"1\"\nto = \"2\"\nnodes = [{}]\n", nodes.join(", "));
-        // Writing to a String cannot fail.
-        let of_nodes = r.what == ReleaseTarget::Nodes;
-        if of_nodes {
+        // Writing to a `String` cannot fail.
+        let is_node_release = release.what == ReleaseTarget::Nodes;
+        if is_node_release {
             text.push_str("what = \"nodes\"\n");
         }
-        let tables = if of_nodes { &[][..] } else { &[("restart", "2"), ("back", "1")][..] };
+        let tables = if is_node_release { &[][..] } else { &[("restart", "2"), ("back", "1")][..] };
         for (table, version) in tables {
             let _ = write!(
                 text,
-                "[{table}]\nrun = [\"{program}\", \"lab\", \"poke\", \"{warden}\", \"restart\", \"{{id}}\", \"{version}\"]\n\
+                "[{table}]\nrun = [\"{program}\", \"lab\", \"poke\", \"{restart_service}\", \"restart\", \"{{id}}\", \"{version}\"]\n\
                  limit_s = 6\n"
             );
         }
@@ -107,21 +109,29 @@
             text,
             "[limits]\nout = {}\nout_per_zone = {}\nin_percent = {}\n[times]\ncordon_s = 4\ndrain_s = 3\nback_s = 15\n\
              warm_s = {}\nwatch_s = {}\nwait_s = 60\n[gate]\nleast = {}\nbreach = \"{}\"\n",
-            r.out, r.out_per_zone, r.in_percent, r.warm_s, r.watch_s, r.least, r.breach
+            release.out,
+            release.out_per_zone,
+            release.in_percent,
+            release.warm_s,
+            release.watch_s,
+            release.least,
+            release.breach
         );
-        for (n, members) in r.stages.iter().enumerate() {
+        for (n, members) in release.stages.iter().enumerate() {
             let _ = write!(text, "[[stage]]\nname = \"stage-{n}\"\nmembers = {members}\n");
         }
         let servers = world.plan.machines.iter().map(|m| (m.name.clone(), m.zone));
         let nodes = world.plan.node_zones.iter().enumerate().map(|(n, zone)| (format!("n{n}"), *zone));
-        let members: Vec<(String, usize)> = if of_nodes { nodes.collect() } else { servers.collect() };
+        let members: Vec<(String, usize)> =
+            if is_node_release { nodes.collect() } else { servers.collect() };
         for (id, zone) in members {
-            let zone = &s.fleet.zones[zone];
+            let zone = &scenario.fleet.zones[zone];
             let _ = write!(text, "[[member]]\nid = \"{id}\"\nzone = \"{zone}\"\n");
         }
         Some(text)
     }
 
+    /// Starts a controller.
     fn spawn(&self, file: &str, log: &str) -> io::Result<Child> {
         let program = self.program.as_ref().ok_or(io::ErrorKind::NotFound)?;
         let output = std::fs::OpenOptions::new().create(true).append(true).open(self.dir.join(log))?;
@@ -136,19 +146,19 @@
             .spawn()
     }
 
-    /// Starts the controller, or the next one on the same journal.
+    /// Starts the controller, or another one on the same journal.
     pub fn start(&self, world: &World) -> io::Result<()> {
         std::fs::create_dir_all(&self.dir)?;
         let file = self.dir.join("plan.toml");
         if !file.exists() {
-            let text = self.plan(world, "day").ok_or(io::ErrorKind::NotFound)?;
+            let text = self.plan_file(world, "day").ok_or(io::ErrorKind::NotFound)?;
             std::fs::write(&file, text)?;
         }
         *lock(&self.child) = Some(self.spawn("plan.toml", "controller.log")?);
         Ok(())
     }
 
-    /// SIGKILL to the controller.
+    /// Sends SIGKILL to the controller.
     pub async fn kill(&self) {
         let child = lock(&self.child).take();
         if let Some(mut child) = child {
@@ -156,18 +166,21 @@
         }
     }
 
-    /// SIGSTOP to the controller, or its end.
+    /// Sends SIGSTOP to the controller, or SIGCONT if `frozen` is false.
     pub fn freeze(&self, frozen: bool) {
         let pid = lock(&self.child).as_ref().and_then(Child::id).and_then(|id| i32::try_from(id).ok());
         if let Some(pid) = pid.and_then(Pid::from_raw) {
-            // One that has ended meanwhile needs none.
+            // A process that has ended in the meantime needs no signal.
             let _ = kill_process(pid, if frozen { Signal::STOP } else { Signal::CONT });
         }
     }
 
-    /// A second release, which must be turned down while the first one is under way.
-    pub async fn second(&self, world: &World) -> Result<(), String> {
-        let text = self.plan(world, "other").ok_or("no release can be begun")?;
+    /// Starts a second release, which must be rejected while the first one is in progress.
+    ///
+    /// # Errors
+    /// Returns an error if the second release is not rejected.
+    pub async fn start_second(&self, world: &World) -> Result<(), String> {
+        let text = self.plan_file(world, "other").ok_or("no release can be started")?;
         std::fs::write(self.dir.join("other.toml"), text).map_err(|e| e.to_string())?;
         let mut child = self.spawn("other.toml", "other.log").map_err(|e| e.to_string())?;
         match tokio::time::timeout(Duration::from_secs(8), child.wait()).await {
@@ -175,13 +188,16 @@
             Ok(status) => Err(format!("a second release ended with {status:?}")),
             Err(_) => {
                 let _ = child.kill().await;
-                Err("a second release was not turned down".to_owned())
+                Err("a second release was not rejected".to_owned())
             }
         }
     }
 
-    /// Hands an order to the controller.
-    pub async fn order(&self, word: &str) -> Result<(), String> {
+    /// Gives the controller an operator's order.
+    ///
+    /// # Errors
+    /// Returns an error if the command fails.
+    pub async fn send_order(&self, word: &str) -> Result<(), String> {
         let program = self.program.as_ref().ok_or("no operators' command")?;
         let mut command = Command::new(program);
         command.args(["release", word, "--state"]).arg(&self.dir).arg(self.dir.join("plan.toml"));
@@ -192,8 +208,8 @@
         }
     }
 
-    /// How the release stands: `done`, `back`, `halted`, `running`; with why, and who is on the new version. None
-    /// where there was none.
+    /// Returns the state of the release (`done`, `back`, `abandoned`, or its mode while it is not over),
+    /// the reason, and the number of servers on the new version. `None` if there was no release.
     pub fn outcome(&self) -> Option<(String, String, usize)> {
         let text = std::fs::read_to_string(self.dir.join("day/status.json")).ok()?;
         let status: Value = serde_json::from_str(&text).ok()?;
@@ -207,37 +223,38 @@
         Some((word.to_owned(), status["why"].as_str().unwrap_or_default().to_owned(), on_new))
     }
 
-    /// How often each server was restarted.
+    /// Returns the servers restarted by the release, one entry per restart.
     pub fn restarts(&self) -> Vec<usize> {
         lock(&self.restarts).clone()
     }
 }
 
-impl Troubles {
-    /// `restart s-3 2`: the server's process ends, and starts cold with that version.
+impl FaultInjector {
+    /// Executes a line like `restart s-3 2`: ends the server's process and starts it cold with that
+    /// version.
     async fn restart(&self, line: &str) -> Result<(), String> {
         let world = &self.world;
         let words: Vec<&str> = line.split_whitespace().collect();
-        let ["restart", id, version] = words[..] else { return Err(format!("{line:?} is no order")) };
+        let ["restart", id, version] = words[..] else { return Err(format!("{line:?} is not an order")) };
         let machine = world.plan.machines.iter().position(|m| m.name == id);
         let server = machine.ok_or_else(|| format!("there is no server {id}"))?;
-        let r = &world.plan.scenario.release;
-        if r.broken.iter().any(|b| b == id) && version == "2" {
-            tokio::time::sleep(REFUSED).await;
+        let release = &world.plan.scenario.release;
+        if release.broken.iter().any(|b| b == id) && version == "2" {
+            tokio::time::sleep(FAILED_RESTART_DELAY).await;
             return Err(format!("{id} does not start with version 2"));
         }
         let host = world.host(server).ok_or("no such server")?.clone();
         lock(&world.releases.restarts).push(server);
         host.down(false);
-        tokio::time::sleep(Duration::from_secs_f64(r.restart_s)).await;
+        tokio::time::sleep(Duration::from_secs_f64(release.restart_s)).await;
         if version == "2" {
             lock(&world.releases.on_new).insert(server);
         } else {
             lock(&world.releases.on_new).remove(&server);
         }
-        self.apply();
+        self.apply_active();
         host.start_cold(world.now());
-        self.notice(server, id.to_owned(), "up", World::boot_ms(), 1.0);
+        self.update_discovery(server, id.to_owned(), "up", World::boot_ms(), 1.0);
         Ok(())
     }
 }
--- a/crates/lab/src/real/servers.rs
+++ b/crates/lab/src/real/servers.rs
@@ -1,7 +1,8 @@
-//! Config servers on sockets: the model of `server.rs`, met by each node at an address of its own.
+//! Emulated config servers on sockets: the model of [`crate::server`], with an address of its own for each
+//! node.
 
 use super::World;
-use super::links::{Door, End, Gate, Gated, Link, lock, own_ip};
+use super::links::{AcceptMode, FaultyListener, Link, LinkStream, StreamEnd, lock, loopback_ip};
 use crate::checker::Rule;
 use crate::server::{Admit, Server, spec};
 use bytes::Bytes;
@@ -20,44 +21,46 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, oneshot};
 
-/// A connection that carries nothing for so long is closed.
-const IDLE: Duration = Duration::from_secs(15);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What is wrong with a server now.
+/// The active faults of a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Wrong {
-    /// Requests are never answered.
+pub struct ServerFaults {
+    /// True if requests are never answered.
     pub silent: bool,
-    /// Part that is answered with an error at once.
+    /// Share of the requests that are answered with an error immediately.
     pub errors: f64,
-    /// Part whose connection breaks once it has run.
+    /// Share of the requests whose connection is reset after they ran.
     pub resets: f64,
-    /// No further connections.
+    /// True if new connections are reset.
     pub full: bool,
-    /// Its report is this old, in milliseconds.
+    /// Age of the reported load, in milliseconds.
     pub report_late_ms: f64,
 }
 
-/// One server.
-pub struct Host {
+/// An emulated server.
+pub struct ServerHost {
     number: usize,
     model: Mutex<Server>,
     wake: Notify,
+    /// Senders that signal the completion of a request, by its id in the model.
     waiting: Mutex<HashMap<u64, oneshot::Sender<()>>>,
-    next: AtomicU64,
+    next_id: AtomicU64,
     connections: AtomicUsize,
-    wrong: Mutex<Wrong>,
-    /// What it said of its load, and when.
+    faults: Mutex<ServerFaults>,
+    /// Reported loads with their times, in milliseconds of the run.
     reports: Mutex<Vec<(f64, usize)>>,
     up: AtomicBool,
-    /// How often its process has started or ended.
+    /// Number of starts and ends of the process.
     starts: AtomicU64,
     links: Vec<Arc<Link>>,
-    gates: Mutex<Vec<Gate>>,
+    listeners: Mutex<Vec<FaultyListener>>,
 }
 
-/// An attempt that is out at a server. It is over by being dropped: answered, or given up by its node.
-struct Out<'a> {
+/// An attempt in progress at a server. Dropping it records its end, whether it was answered or cancelled by
+/// its node.
+struct AttemptGuard<'a> {
     world: &'a World,
     id: u64,
     attempt: usize,
@@ -65,7 +68,7 @@
     served: bool,
 }
 
-impl Drop for Out<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         let now = self.world.now();
         let mut checker = lock(&self.world.checker);
@@ -76,13 +79,13 @@
     }
 }
 
-/// Removes a request from the model when whoever sent it has gone.
-struct Held {
-    host: Arc<Host>,
+/// Cancels a request in the model when the connection of its sender ends.
+struct CancelGuard {
+    host: Arc<ServerHost>,
     id: u64,
 }
 
-impl Drop for Held {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         if lock(&self.host.waiting).remove(&self.id).is_some() {
             lock(&self.host.model).cancel(self.id);
@@ -91,84 +94,85 @@
     }
 }
 
-impl Host {
-    /// A server that has no addresses yet, warm at the day's beginning.
-    pub fn new(world: &World, number: usize) -> Host {
+impl ServerHost {
+    /// Creates a server without addresses that is warm when the run begins.
+    pub fn new(world: &World, number: usize) -> ServerHost {
         let spec = spec(&world.plan, number);
-        Host {
+        ServerHost {
             number,
             model: Mutex::new(Server::new(spec, -1e12)),
             wake: Notify::new(),
             waiting: Mutex::default(),
-            next: AtomicU64::new(0),
+            next_id: AtomicU64::new(0),
             connections: AtomicUsize::new(0),
-            wrong: Mutex::default(),
+            faults: Mutex::default(),
             reports: Mutex::default(),
             up: AtomicBool::new(true),
             starts: AtomicU64::new(0),
             links: world.plan.node_zones.iter().map(|_| Arc::default()).collect(),
-            gates: Mutex::default(),
+            listeners: Mutex::default(),
         }
     }
 
-    /// Opens its addresses, one for each node, and works.
+    /// Opens one address for each node and starts processing.
     pub fn start(self: &Arc<Self>, world: &Arc<World>) -> io::Result<()> {
         for node in 0..self.links.len() {
             let (host, world) = (self.clone(), world.clone());
-            let gate = Gate::open(own_ip(self.number as u32), move |stream| {
-                tokio::spawn(host.clone().converse(world.clone(), node, stream));
+            let listener = FaultyListener::open(loopback_ip(self.number as u32), move |stream| {
+                tokio::spawn(host.clone().handle_connection(world.clone(), node, stream));
             })?;
-            lock(&self.gates).push(gate);
+            lock(&self.listeners).push(listener);
         }
-        tokio::spawn(self.clone().work(world.clone()));
+        tokio::spawn(self.clone().run_model(world.clone()));
         Ok(())
     }
 
-    /// Where a node meets it.
+    /// Returns the address at which a node reaches the server.
     pub fn address(&self, node: usize) -> Option<std::net::SocketAddr> {
-        lock(&self.gates).get(node).map(|g| g.address)
+        lock(&self.listeners).get(node).map(|g| g.address)
     }
 
-    /// Its process runs.
-    pub fn up(&self) -> bool {
+    /// Returns true if the server's process is running.
+    pub fn is_up(&self) -> bool {
         self.up.load(Ordering::SeqCst)
     }
 
-    /// Differs between any two of its lives.
+    /// Returns a number that changes with every start and end of the process.
     pub fn starts(&self) -> u64 {
         self.starts.load(Ordering::SeqCst)
     }
 
-    /// The link to a node.
+    /// Returns the link to a node.
     pub fn link(&self, node: usize) -> Option<&Arc<Link>> {
         self.links.get(node)
     }
 
-    /// Changes what is wrong with it.
-    pub fn wrong(&self, change: impl FnOnce(&mut Wrong)) {
-        change(&mut lock(&self.wrong));
+    /// Changes the active faults.
+    pub fn set_faults(&self, change: impl FnOnce(&mut ServerFaults)) {
+        change(&mut lock(&self.faults));
     }
 
-    /// Changes the machine.
+    /// Changes the model.
     pub fn model(&self, change: impl FnOnce(&mut Server)) {
         change(&mut lock(&self.model));
         self.wake.notify_one();
     }
 
-    /// What new connections from a node meet, by what the link and the server are like.
-    pub fn door(&self, node: usize, vanished: bool) {
+    /// Updates how new connections from a node are treated, depending on the link and the server.
+    pub fn update_accept_mode(&self, node: usize, vanished: bool) {
         let passes = self.links.get(node).is_none_or(|l| l.link_state().outbound);
-        let door = match self.up.load(Ordering::SeqCst) {
-            _ if !passes || vanished => Door::Silent,
-            true => Door::Open,
-            false => Door::Shut,
+        let mode = match self.up.load(Ordering::SeqCst) {
+            _ if !passes || vanished => AcceptMode::Silent,
+            true => AcceptMode::Accept,
+            false => AcceptMode::Refuse,
         };
-        if let Some(gate) = lock(&self.gates).get(node) {
-            gate.set(door);
+        if let Some(listener) = lock(&self.listeners).get(node) {
+            listener.set(mode);
         }
     }
 
-    /// The process ends: what it had is gone, connections break or, where the machine has vanished, stay silent.
+    /// Ends the process. Its requests are lost; connections are reset or, if the machine has vanished, get
+    /// no response.
     pub fn down(&self, vanished: bool) {
         self.up.store(false, Ordering::SeqCst);
         self.starts.fetch_add(1, Ordering::SeqCst);
@@ -179,11 +183,11 @@
             } else {
                 link.reset();
             }
-            self.door(node, vanished);
+            self.update_accept_mode(node, vanished);
         }
     }
 
-    /// It starts, cold.
+    /// Starts the process, cold.
     pub fn start_cold(&self, now: f64) {
         lock(&self.model).restart(now);
         lock(&self.waiting).clear();
@@ -191,13 +195,14 @@
         self.starts.fetch_add(1, Ordering::SeqCst);
         for (node, link) in self.links.iter().enumerate() {
             link.set(crate::plan::LinkState { outbound: true, inbound: true, ..link.link_state() });
-            // What was open before the machine was away is reset once it is back.
+            // Connections from before a machine vanished are reset when it returns.
             link.reset();
-            self.door(node, false);
+            self.update_accept_mode(node, false);
         }
     }
 
-    async fn work(self: Arc<Self>, world: Arc<World>) {
+    /// Advances the model and signals completed requests.
+    async fn run_model(self: Arc<Self>, world: Arc<World>) {
         loop {
             let mut done = Vec::new();
             let next = {
@@ -214,7 +219,7 @@
                 Some(at) => {
                     tokio::select! {
                         () = self.wake.notified() => {}
-                        () = world.until(at) => lock(&world.checker).record_lateness(world.now() - at),
+                        () = world.sleep_until(at) => lock(&world.checker).record_lateness(world.now() - at),
                     }
                 }
                 None => self.wake.notified().await,
@@ -222,17 +227,18 @@
         }
     }
 
-    async fn converse(self: Arc<Self>, world: Arc<World>, node: usize, stream: TcpStream) {
-        let most = world.plan.scenario.fleet.connections;
-        if lock(&self.wrong).full || self.connections.load(Ordering::SeqCst) >= most {
-            // A full table: the connection comes up and breaks at once.
+    /// Serves a connection from a node.
+    async fn handle_connection(self: Arc<Self>, world: Arc<World>, node: usize, stream: TcpStream) {
+        let max_connections = world.plan.scenario.fleet.connections;
+        if lock(&self.faults).full || self.connections.load(Ordering::SeqCst) >= max_connections {
+            // Emulates a full connection table: the connection is established and reset immediately.
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             return;
         }
         self.connections.fetch_add(1, Ordering::SeqCst);
         lock(&world.checker).connection_opened(world.now());
         let handshake = world.plan.scenario.fleet.handshake_us / 1000.0;
-        self.burden(&world, handshake);
+        self.add_work(&world, handshake);
         let Some(link) = self.links.get(node).cloned() else { return };
         let service = service_fn(|request| {
             let (host, world) = (self.clone(), world.clone());
@@ -240,20 +246,20 @@
         });
         let served = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(IDLE)
-            .serve_connection(TokioIo::new(Gated::new(stream, link, End::Party)), service);
-        // An error is the node's leaving, or a trouble.
+            .header_read_timeout(IDLE_TIMEOUT)
+            .serve_connection(TokioIo::new(LinkStream::new(stream, link, StreamEnd::Party)), service);
+        // An error means that the node closed the connection or a fault broke it.
         let _ = served.await;
         self.connections.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// Work that nobody waits for.
-    fn burden(&self, world: &World, ms: f64) {
+    /// Adds work to the model whose completion nobody waits for.
+    fn add_work(&self, world: &World, ms: f64) {
         if ms > 0.0 {
-            let id = self.next.fetch_add(1, Ordering::Relaxed);
+            let id = self.next_id.fetch_add(1, Ordering::Relaxed);
             let now = world.now();
             let mut model = lock(&self.model);
-            // What is completed by now is told when the worker looks, which is at once.
+            // Requests completed by now are answered here; the worker is then woken for the next ones.
             let mut done = Vec::new();
             model.advance(now, &mut done);
             model.arrive(now, id, ms, None);
@@ -263,6 +269,7 @@
         }
     }
 
+    /// Signals the completion of requests.
     fn complete(&self, done: Vec<u64>) {
         for id in done {
             if let Some(waiter) = lock(&self.waiting).remove(&id) {
@@ -271,16 +278,17 @@
         }
     }
 
+    /// Returns the number of requests held, as the server reports it.
     fn report(&self, world: &World) -> usize {
         let now = world.now();
         let held = lock(&self.model).held();
-        let period = world.plan.scenario.fleet.report_ms;
-        let late = lock(&self.wrong).report_late_ms;
+        let period_ms = world.plan.scenario.fleet.report_ms;
+        let late_ms = lock(&self.faults).report_late_ms;
         let mut reports = lock(&self.reports);
-        if reports.last().is_none_or(|(at, _)| now - at >= period) {
+        if reports.last().is_none_or(|(at, _)| now - at >= period_ms) {
             reports.push((now, held));
         }
-        let old = reports.iter().rposition(|(at, _)| now - at >= late).unwrap_or(0);
+        let old = reports.iter().rposition(|(at, _)| now - at >= late_ms).unwrap_or(0);
         reports.drain(..old);
         reports.first().map_or(held, |r| r.1)
     }
@@ -297,55 +305,55 @@
             |name: &str| request.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
         if request.uri().path() == "/alive" || request.uri().path() == "/metrics/load" {
             lock(&world.checker).probe_received(world.now());
-            self.burden(world, world.plan.scenario.fleet.probe_us / 1000.0);
-            if lock(&self.wrong).silent {
+            self.add_work(world, world.plan.scenario.fleet.probe_us / 1000.0);
+            if lock(&self.faults).silent {
                 std::future::pending::<()>().await;
             }
-            world.way(node, self.number, &self.links).await;
-            world.way(node, self.number, &self.links).await;
-            return Ok(answer(StatusCode::OK, format!("TEXT inflight={}", self.report(world))));
+            world.network_delay(node, self.number, &self.links).await;
+            world.network_delay(node, self.number, &self.links).await;
+            return Ok(text_response(StatusCode::OK, format!("TEXT inflight={}", self.report(world))));
         }
         let id = text("x-trace-id").and_then(|t| u64::from_str_radix(&t, 16).ok());
         let repeat_key = text("idempotency-key");
-        // A node that breaks off sends no request.
+        // A node that aborts the request body sends no complete request.
         if request.into_body().collect().await.is_err() {
             return Err(broken());
         }
-        world.way(node, self.number, &self.links).await;
-        let asked = id.and_then(|id| world.sent(id).map(|a| (id, a)));
+        world.network_delay(node, self.number, &self.links).await;
+        let sent_try = id.and_then(|id| world.sent_try(id).map(|a| (id, a)));
         let now = world.now();
         let known =
             lock(&world.checker).attempt_delivered(now, begun, id.unwrap_or_default(), node, self.number);
-        let (Some(attempt), Some((id, arrival))) = (known, asked) else {
-            return Ok(answer(StatusCode::BAD_REQUEST, "nobody sent this".to_owned()));
+        let (Some(attempt), Some((id, arrival))) = (known, sent_try) else {
+            return Ok(text_response(StatusCode::BAD_REQUEST, "nobody sent this".to_owned()));
         };
-        let mut out = Out { world, id, attempt, never_ran: false, served: false };
-        let wrong = *lock(&self.wrong);
-        // The same request meets the same luck at the same server.
-        let luck = world.luck(id ^ (self.number as u64) << 48);
-        if wrong.silent {
+        let mut guard = AttemptGuard { world, id, attempt, never_ran: false, served: false };
+        let faults = *lock(&self.faults);
+        // The same request gets the same random outcome at the same server.
+        let seeded_fraction = world.seeded_fraction(id ^ (self.number as u64) << 48);
+        if faults.silent {
             std::future::pending::<()>().await;
         }
         if arrival.invalid {
-            world.way(node, self.number, &self.links).await;
-            return Ok(answer(StatusCode::BAD_REQUEST, "no such class".to_owned()));
+            world.network_delay(node, self.number, &self.links).await;
+            return Ok(text_response(StatusCode::BAD_REQUEST, "no such class".to_owned()));
         }
-        if luck < wrong.errors {
-            world.way(node, self.number, &self.links).await;
-            return Ok(answer(StatusCode::INTERNAL_SERVER_ERROR, "error".to_owned()));
+        if seeded_fraction < faults.errors {
+            world.network_delay(node, self.number, &self.links).await;
+            return Ok(text_response(StatusCode::INTERNAL_SERVER_ERROR, "error".to_owned()));
         }
         let zone = world.plan.machines[self.number].zone;
-        let dropped = repeat_key.is_some_and(|key| world.repeated(zone, &key, arrival.class, now));
-        let work = if dropped { 0.1 } else { arrival.work_ms };
-        let own = self.next.fetch_add(1, Ordering::Relaxed);
-        let (tell, done) = oneshot::channel();
+        let is_dropped = repeat_key.is_some_and(|key| world.is_repeat(zone, &key, arrival.class, now));
+        let work_ms = if is_dropped { 0.1 } else { arrival.work_ms };
+        let request_id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let (notify, done) = oneshot::channel();
         let mut completed = Vec::new();
         let admitted = {
             let mut model = lock(&self.model);
             model.advance(now, &mut completed);
-            let admitted = model.arrive(now, own, work, Some(arrival.key));
+            let admitted = model.arrive(now, request_id, work_ms, Some(arrival.key));
             if admitted == Admit::Taken {
-                lock(&self.waiting).insert(own, tell);
+                lock(&self.waiting).insert(request_id, notify);
             }
             admitted
         };
@@ -354,35 +362,35 @@
         match admitted {
             Admit::Taken => {}
             Admit::Full => {
-                world.way(node, self.number, &self.links).await;
-                out.never_ran = true;
-                let mut full = answer(StatusCode::SERVICE_UNAVAILABLE, "full".to_owned());
+                world.network_delay(node, self.number, &self.links).await;
+                guard.never_ran = true;
+                let mut full = text_response(StatusCode::SERVICE_UNAVAILABLE, "full".to_owned());
                 full.headers_mut().insert("x-never-ran", HeaderValue::from_static("1"));
                 return Ok(full);
             }
             Admit::Fell => {
-                let what = format!("server {} was cold and got more than it could bear", self.number);
+                let what = format!("server {} was cold and received too much work", self.number);
                 lock(&world.checker).record_violation(Rule::PushedOver, now, what);
                 self.down(false);
                 return Err(broken());
             }
         }
-        let held = Held { host: self.clone(), id: own };
+        let cancel_guard = CancelGuard { host: self.clone(), id: request_id };
         if done.await.is_err() {
-            // The process ended under it.
+            // The process ended while the request was in progress.
             return Err(broken());
         }
-        drop(held);
-        if luck < wrong.resets {
+        drop(cancel_guard);
+        if seeded_fraction < faults.resets {
             return Err(broken());
         }
-        world.way(node, self.number, &self.links).await;
-        out.served = true;
-        Ok(answer(StatusCode::OK, format!("{id:016x} s-{}\n", self.number)))
+        world.network_delay(node, self.number, &self.links).await;
+        guard.served = true;
+        Ok(text_response(StatusCode::OK, format!("{id:016x} s-{}\n", self.number)))
     }
 }
 
-fn answer(status: StatusCode, body: String) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, body: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
     response
--- a/crates/lab/src/real/timer.rs
+++ b/crates/lab/src/real/timer.rs
@@ -1,5 +1,5 @@
-//! A clock that wakes within a tenth of a millisecond: the runtime's own timers count whole ones, and a day has
-//! delays of less.
+//! A timer accurate to a tenth of a millisecond. The runtime's own timers have a resolution of one
+//! millisecond, which is too coarse for the delays in a run.
 
 use super::links::lock;
 use std::cmp::Reverse;
@@ -9,12 +9,13 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// With nothing to wait for, the thread looks again after this: it ends once nobody holds the clock.
-const IDLE: Duration = Duration::from_millis(200);
+/// Maximum time for which the thread sleeps; it ends when it finds that all clones of the timer are
+/// dropped.
+const MAX_SLEEP: Duration = Duration::from_millis(200);
 
 #[derive(Default)]
-struct Due {
-    /// When, in the order of asking, and whom to wake.
+struct Deadlines {
+    /// Deadlines with the ids of their wakers, earliest first.
     heap: BinaryHeap<Reverse<(Instant, u64)>>,
     wakers: std::collections::HashMap<u64, Waker>,
     next: u64,
@@ -22,39 +23,42 @@
 
 #[derive(Default)]
 struct Shared {
-    due: Mutex<Due>,
+    deadlines: Mutex<Deadlines>,
     changed: Condvar,
 }
 
-/// The clock. Clones are the same one.
+/// The timer. Clones share the thread.
 #[derive(Clone)]
 pub struct Timer(Arc<Shared>);
 
 impl Timer {
-    /// Starts its thread, which ends with the last clone.
+    /// Starts the timer's thread, which ends when the last clone is dropped.
     ///
     /// # Errors
-    /// The system has no thread for it.
+    /// Returns an error if the system cannot start the thread.
     pub fn start() -> std::io::Result<Timer> {
         let shared = Arc::new(Shared::default());
         let weak = Arc::downgrade(&shared);
         std::thread::Builder::new().name("timer".to_owned()).spawn(move || {
             while let Some(shared) = weak.upgrade() {
-                let mut due = lock(&shared.due);
+                let mut deadlines = lock(&shared.deadlines);
                 let now = Instant::now();
                 let mut woken = Vec::new();
-                while let Some(Reverse((at, id))) = due.heap.peek().copied()
+                while let Some(Reverse((at, id))) = deadlines.heap.peek().copied()
                     && at <= now
                 {
-                    due.heap.pop();
-                    woken.extend(due.wakers.remove(&id));
+                    deadlines.heap.pop();
+                    woken.extend(deadlines.wakers.remove(&id));
                 }
                 if woken.is_empty() {
-                    let wait = due.heap.peek().map_or(IDLE, |Reverse((at, _))| (*at - now).min(IDLE));
-                    // Poisoned or not, the loop looks again.
-                    drop(shared.changed.wait_timeout(due, wait));
+                    let wait = deadlines
+                        .heap
+                        .peek()
+                        .map_or(MAX_SLEEP, |Reverse((at, _))| (*at - now).min(MAX_SLEEP));
+                    // The loop checks the state again even if the lock is poisoned.
+                    drop(shared.changed.wait_timeout(deadlines, wait));
                 } else {
-                    drop(due);
+                    drop(deadlines);
                     woken.into_iter().for_each(Waker::wake);
                 }
             }
@@ -62,25 +66,25 @@
         Ok(Timer(shared))
     }
 
-    /// Ends at that moment.
-    pub fn until(&self, at: Instant) -> Until {
-        Until { timer: self.clone(), at, id: None }
+    /// Returns a future that completes at `at`.
+    pub fn sleep_until(&self, at: Instant) -> Sleep {
+        Sleep { timer: self.clone(), at, id: None }
     }
 
-    /// Ends after that time.
-    pub fn sleep(&self, time: Duration) -> Until {
-        self.until(Instant::now() + time)
+    /// Returns a future that completes after `time`.
+    pub fn sleep(&self, time: Duration) -> Sleep {
+        self.sleep_until(Instant::now() + time)
     }
 }
 
-/// A wait.
-pub struct Until {
+/// The future of a sleep.
+pub struct Sleep {
     timer: Timer,
     at: Instant,
     id: Option<u64>,
 }
 
-impl Future for Until {
+impl Future for Sleep {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
@@ -89,17 +93,17 @@
         }
         let (at, known) = (self.at, self.id);
         let (id, first) = {
-            let mut due = lock(&self.timer.0.due);
-            let id = known.unwrap_or(due.next);
+            let mut deadlines = lock(&self.timer.0.deadlines);
+            let id = known.unwrap_or(deadlines.next);
             if known.is_none() {
-                due.next += 1;
-                due.heap.push(Reverse((at, id)));
-            } else if !due.wakers.contains_key(&id) {
-                // Woken a moment too early: once more.
-                due.heap.push(Reverse((at, id)));
+                deadlines.next += 1;
+                deadlines.heap.push(Reverse((at, id)));
+            } else if !deadlines.wakers.contains_key(&id) {
+                // The deadline was popped, but the waker ran slightly too early: wait again.
+                deadlines.heap.push(Reverse((at, id)));
             }
-            due.wakers.insert(id, cx.waker().clone());
-            (id, due.heap.peek().is_some_and(|Reverse((_, first))| *first == id))
+            deadlines.wakers.insert(id, cx.waker().clone());
+            (id, deadlines.heap.peek().is_some_and(|Reverse((_, first))| *first == id))
         };
         self.id = Some(id);
         if first {
@@ -109,10 +113,10 @@
     }
 }
 
-impl Drop for Until {
+impl Drop for Sleep {
     fn drop(&mut self) {
         if let Some(id) = self.id {
-            lock(&self.timer.0.due).wakers.remove(&id);
+            lock(&self.timer.0.deadlines).wakers.remove(&id);
         }
     }
 }
@@ -122,14 +126,14 @@
     use super::*;
 
     #[tokio::test]
-    async fn waits_end_in_their_order_and_not_before_their_time() {
+    async fn sleeps_end_in_order_and_not_early() {
         let timer = Timer::start().unwrap();
         let begun = Instant::now();
         let order = Arc::new(Mutex::new(Vec::new()));
         let waits = [30, 5, 10, 5].map(|ms| {
             let (timer, order) = (timer.clone(), order.clone());
             tokio::spawn(async move {
-                timer.until(begun + Duration::from_millis(ms)).await;
+                timer.sleep_until(begun + Duration::from_millis(ms)).await;
                 assert!(begun.elapsed() >= Duration::from_millis(ms));
                 lock(&order).push(ms);
             })
@@ -138,8 +142,8 @@
             wait.await.unwrap();
         }
         assert_eq!(*lock(&order), [5, 5, 10, 30]);
-        let given_up = timer.sleep(Duration::from_secs(3600));
-        assert!(tokio::time::timeout(Duration::from_millis(10), given_up).await.is_err());
-        assert!(lock(&timer.0.due).wakers.is_empty());
+        let abandoned = timer.sleep(Duration::from_secs(3600));
+        assert!(tokio::time::timeout(Duration::from_millis(10), abandoned).await.is_err());
+        assert!(lock(&timer.0.deadlines).wakers.is_empty());
     }
 }
