--- a/crates/release/src/machine.rs
+++ b/crates/release/src/machine.rs
@@ -3,8 +3,8 @@
 //! point and the next one goes on. A step that was stored and perhaps not done is done again: cordons may be said twice,
 //! and a restart is looked for before it is made again.
 
-use crate::gate::{Sample, Shows, look};
-use crate::plan::{Breach, Plan};
+use crate::gate::{GateResult, Sample, evaluate};
+use crate::plan::{BreachAction, Plan};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -294,7 +294,7 @@
     }
 
     fn breach(&mut self, why: String, out: &mut Vec<Action>) {
-        if self.plan.gate.breach == Breach::Back && !self.head.back {
+        if self.plan.gate.breach == BreachAction::Back && !self.head.back {
             let head = Head { back: true, watched: None, why, ..self.head.clone() };
             return self.set(head, out);
         }
@@ -333,7 +333,7 @@
     }
 
     fn tell(&mut self, now: Ms, member: usize, out_of_service: bool, out: &mut Vec<Action>) {
-        let nodes = self.plan.told();
+        let nodes = self.plan.confirming_nodes();
         let Some(m) = self.members.get_mut(member) else { return };
         if m.told == 0 || now >= m.told + AGAIN_MS {
             m.told = now.max(1);
@@ -344,7 +344,7 @@
     }
 
     fn step(&mut self, now: Ms, member: usize, out: &mut Vec<Action>) {
-        let (nodes, times) = (self.plan.told(), self.plan.times.clone());
+        let (nodes, times) = (self.plan.confirming_nodes(), self.plan.times.clone());
         let m = &self.members[member];
         let (waited, since) = (now.saturating_sub(m.since), m.since);
         let all_said = m.said.len() >= nodes;
@@ -414,7 +414,7 @@
     /// The longest that the member's command may take.
     fn command_s(&self, member: usize) -> u64 {
         let new = self.members[member].version == Version::Old;
-        if new { self.plan.restart.limit() } else { self.plan.back.limit() }
+        if new { self.plan.restart.limit_seconds() } else { self.plan.back.limit_seconds() }
     }
 
     fn run(&mut self, member: usize, out: &mut Vec<Action>) {
@@ -546,13 +546,13 @@
             return;
         };
         let waited = now.saturating_sub(from);
-        match look(new, rest, &self.plan.gate, waited >= self.plan.times.watch_s * 1000) {
-            Shows::Worse(why) => self.breach(why, out),
-            Shows::Fine => self.pass(now, out),
-            Shows::Little if waited > self.plan.times.wait_s * 1000 => {
+        match evaluate(new, rest, &self.plan.gate, waited >= self.plan.times.watch_s * 1000) {
+            GateResult::Breach(why) => self.breach(why, out),
+            GateResult::Pass => self.pass(now, out),
+            GateResult::InsufficientTraffic if waited > self.plan.times.wait_s * 1000 => {
                 self.halt("too little traffic to tell".to_owned(), out);
             }
-            Shows::Little => {}
+            GateResult::InsufficientTraffic => {}
         }
     }
 
@@ -637,7 +637,7 @@
         watch: Ms,
     }
 
-    pub fn plan(members: usize, breach: Breach) -> Plan {
+    pub fn plan(members: usize, breach: BreachAction) -> Plan {
         let mut plan = Plan { name: "r".into(), from: "1".into(), to: "2".into(), ..Plan::default() };
         plan.nodes = vec!["127.0.0.1:1".parse().unwrap(), "127.0.0.1:2".parse().unwrap()];
         let zones = ["a", "b"];
@@ -745,7 +745,7 @@
 
     #[test]
     fn a_clean_release_goes_through_its_stages_one_out_at_a_time() {
-        let mut f = Fleet::new(plan(4, Breach::Halt));
+        let mut f = Fleet::new(plan(4, BreachAction::Halt));
         assert!(f.until(600, Fleet::over), "{:?}", f.machine.head);
         assert_eq!((f.on.clone(), f.most_out, f.runs), (vec![Version::New; 4], 1, 4));
         assert!(f.cordoned.iter().all(BTreeSet::is_empty) && f.machine.named().is_empty());
@@ -754,7 +754,7 @@
 
     #[test]
     fn a_bad_canary_halts_it_before_a_second_one_is_touched_and_the_way_back_is_taken() {
-        let mut f = Fleet::new(plan(4, Breach::Halt));
+        let mut f = Fleet::new(plan(4, BreachAction::Halt));
         f.bad = 0.1;
         assert!(f.until(300, |f| f.machine.head.mode == Mode::Halted));
         assert_eq!(f.runs, 1);
@@ -762,7 +762,7 @@
         f.act(Event::Ordered(Order::Back));
         assert!(f.until(300, Fleet::over));
         assert_eq!((f.on.clone(), f.runs), (vec![Version::Old; 4], 2));
-        let mut f = Fleet::new(plan(4, Breach::Back));
+        let mut f = Fleet::new(plan(4, BreachAction::Back));
         f.bad = 0.1;
         assert!(f.until(300, Fleet::over));
         assert_eq!((f.on.clone(), f.runs), (vec![Version::Old; 4], 2));
@@ -771,7 +771,7 @@
     #[test]
     fn a_controller_that_dies_at_any_second_is_followed_by_one_that_ends_it_and_repeats_no_restart() {
         for second in 0..150 {
-            let mut f = Fleet::new(plan(3, Breach::Halt));
+            let mut f = Fleet::new(plan(3, BreachAction::Halt));
             f.until(second, |_| false);
             f.die();
             assert!(
@@ -791,7 +791,7 @@
 
     #[test]
     fn a_node_that_does_not_take_the_cordon_halts_it_and_nothing_is_restarted() {
-        let mut f = Fleet::new(plan(4, Breach::Back));
+        let mut f = Fleet::new(plan(4, BreachAction::Back));
         f.deaf = Some(1);
         assert!(f.until(60, |f| f.machine.head.mode == Mode::Halted));
         assert_eq!(f.runs, 0);
@@ -810,7 +810,7 @@
 
     #[test]
     fn a_restart_that_fails_leaves_its_member_cordoned_and_named() {
-        let mut f = Fleet::new(plan(4, Breach::Halt));
+        let mut f = Fleet::new(plan(4, BreachAction::Halt));
         f.fails = Some(0);
         assert!(f.until(60, |f| f.machine.head.mode == Mode::Halted));
         assert_eq!(f.machine.named(), [("s-0".to_owned(), "exit code 1".to_owned())]);
@@ -820,7 +820,7 @@
 
     #[test]
     fn a_halt_gives_back_what_is_not_restarted_and_resume_goes_on() {
-        let mut f = Fleet::new(plan(4, Breach::Halt));
+        let mut f = Fleet::new(plan(4, BreachAction::Halt));
         f.second();
         assert_eq!(f.machine.members[0].phase, Phase::Draining);
         f.act(Event::Ordered(Order::Halt));
@@ -831,7 +831,7 @@
         f.act(Event::Ordered(Order::Resume));
         assert!(f.until(600, Fleet::over));
         // Abandoned, it ends as it stands.
-        let mut f = Fleet::new(plan(4, Breach::Halt));
+        let mut f = Fleet::new(plan(4, BreachAction::Halt));
         f.until(30, |_| false);
         f.act(Event::Ordered(Order::Abandon));
         assert!(f.until(30, Fleet::over));
@@ -840,7 +840,7 @@
 
     #[test]
     fn what_others_took_out_counts_and_stays_out() {
-        let mut f = Fleet::new(plan(4, Breach::Halt));
+        let mut f = Fleet::new(plan(4, BreachAction::Halt));
         // Both of zone b but one: an operator's.
         f.cordoned[1].extend([0, 1]);
         assert!(
@@ -855,7 +855,7 @@
 
     #[test]
     fn one_that_starts_again_by_itself_is_a_breach() {
-        let mut f = Fleet::new(plan(4, Breach::Back));
+        let mut f = Fleet::new(plan(4, BreachAction::Back));
         assert!(f.until(60, |f| f.machine.head.watched.is_some()));
         f.starts[0] = f.now;
         assert!(f.until(300, Fleet::over));
@@ -865,7 +865,7 @@
 
     #[test]
     fn an_overtaken_controller_does_nothing_more() {
-        let mut f = Fleet::new(plan(2, Breach::Halt));
+        let mut f = Fleet::new(plan(2, BreachAction::Halt));
         f.second();
         f.act(Event::Overtaken);
         let (stored, runs) = (f.stored.clone(), f.runs);
--- a/crates/release/src/plan.rs
+++ b/crates/release/src/plan.rs
@@ -1,5 +1,5 @@
-//! A release as a file: what, from which version to which, in which stages, within which limits, and what to do on a
-//! breach. Checked before anything is touched.
+//! The plan of a release: a TOML file with the versions, members, stages, limits, gate and commands. A plan
+//! is checked before the release starts.
 
 use daleturn::files::read_text;
 use daleturn::tomlfile::{self, TomlError};
@@ -7,81 +7,83 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A longer file is no plan.
-const LONGEST: u64 = 1024 * 1024;
+/// Maximum size of a plan file.
+const MAX_PLAN_BYTES: u64 = 1024 * 1024;
 
-/// A release.
+/// A release plan.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Plan {
-    /// Its name, in one word: its journal is kept under it.
+    /// Name of the release; also the name of the directory that holds its journal.
     pub name: String,
-    /// The version that is there.
+    /// Version before the release.
     pub from: String,
-    /// The version that is to come.
+    /// Version to install.
     pub to: String,
-    /// What gets the new version.
-    pub what: What,
-    /// Operators' addresses of all nodes; of a release of nodes, their supervisors' addresses, one for each member.
+    /// Kind of members: servers or nodes.
+    pub what: MemberKind,
+    /// Operator addresses of all nodes. In a release of nodes: addresses of their supervisors, one for each
+    /// member, in the members' order.
     pub nodes: Vec<SocketAddr>,
-    /// Who gets it, in the order of the stages.
+    /// Members, in the order in which they are updated.
     pub member: Vec<Member>,
-    /// How far each stage goes.
+    /// Stages, in order.
     pub stage: Vec<Stage>,
-    /// What must hold meanwhile.
+    /// Limits on members out of service.
     pub limits: Limits,
-    /// How long things may take.
+    /// Durations and time limits.
     pub times: Times,
-    /// When a stage is good.
+    /// Conditions under which a stage passes.
     pub gate: Gate,
-    /// What brings a member to the new version.
+    /// Command that installs the new version on a member.
     pub restart: Command,
-    /// What brings it back to the old one.
+    /// Command that restores the old version on a member.
     pub back: Command,
-    /// Says by its exit code whether a member has the version of `{version}`; none where nothing can tell.
+    /// Command that exits with 0 if a member runs version `{version}`; empty for no verification.
     pub verify: Command,
 }
 
-/// What is released.
+/// Kind of a release's members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
-    /// Servers, which the nodes are told of.
+pub enum MemberKind {
+    /// Servers. Nodes are told to cordon each server before its restart.
     #[default]
     Servers,
-    /// The program itself, by the supervisor on each machine.
+    /// Load balancer nodes, which are upgraded by the supervisor on each machine.
     Nodes,
 }
 
-/// `[[member]]`: a server.
+/// `[[member]]`: a server, or a node in a release of nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Member {
-    /// Its uid in discovery's list.
+    /// Unique id in discovery's list.
     pub id: String,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
 }
 
-/// `[[stage]]`.
+/// `[[stage]]`: a step of the release.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Stage {
-    /// Its name.
+    /// Name of the stage.
     pub name: String,
-    /// How many members have the new version when it is over; of more than there are, all.
+    /// Number of members on the new version at the end of the stage. A number above the member count means
+    /// all members.
     pub members: usize,
 }
 
-/// `[limits]`.
+/// `[limits]`: bounds on members out of service.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Members out at once.
+    /// Maximum number of members out of service at once.
     pub out: usize,
-    /// And in one zone.
+    /// Maximum number of members out of service at once in one zone.
     pub out_per_zone: usize,
-    /// Members that must be in, in percent of all.
+    /// Minimum share of members in service, in percent.
     pub in_percent: u32,
 }
 
@@ -95,17 +97,18 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Times {
-    /// For all nodes to say yes to a cordon; beyond it the release halts.
+    /// Time for all nodes to confirm a cordon. The release halts when it has passed.
     pub cordon_s: u64,
-    /// For requests under way to end; beyond it the member is restarted all the same.
+    /// Time for requests in flight to finish. The member is restarted when it has passed, even if requests
+    /// remain.
     pub drain_s: u64,
-    /// For a member to be back after its restart.
+    /// Time for a member to return after its restart.
     pub back_s: u64,
-    /// To warm before the next one.
+    /// Warm-up time after a member's return, during which it counts as out of service.
     pub warm_s: u64,
-    /// To watch after each stage.
+    /// Duration of the watch after each stage.
     pub watch_s: u64,
-    /// To wait for enough traffic to tell; beyond it the release halts.
+    /// Time to wait for enough traffic to compare. The release halts when it has passed.
     pub wait_s: u64,
 }
 
@@ -115,82 +118,89 @@
     }
 }
 
-/// What is done on a breach.
+/// Reaction to a breach of the gate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Breach {
-    /// Stop, and wait for a person.
+pub enum BreachAction {
+    /// Halt and wait for an operator.
     #[default]
     Halt,
-    /// Bring the old version back.
+    /// Roll back to the old version.
     Back,
 }
 
-/// `[gate]`.
+/// `[gate]`: conditions under which a stage passes.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Gate {
-    /// Requests that each group must have had.
+    /// Minimum number of requests in each group for a stage to pass.
     pub least: u64,
-    /// Failures beyond the rest's, in percent of the requests, that are a breach once they are no chance.
+    /// Difference between the groups' failure rates, in percent of requests, above which a statistically
+    /// significant difference is a breach.
     pub errors_percent: f64,
-    /// Mean time beyond the rest's, in percent of it, likewise.
+    /// Difference between the groups' mean response times, in percent of the rest's mean, above which a
+    /// statistically significant difference is a breach.
     pub slower_percent: f64,
-    /// What a breach leads to.
-    pub breach: Breach,
+    /// Reaction to a breach.
+    pub breach: BreachAction,
 }
 
 impl Default for Gate {
     fn default() -> Gate {
-        Gate { least: 2000, errors_percent: 1.0, slower_percent: 10.0, breach: Breach::Halt }
+        Gate { least: 2000, errors_percent: 1.0, slower_percent: 10.0, breach: BreachAction::Halt }
     }
 }
 
-/// A program and its arguments; `{id}`, `{zone}` and `{version}` are put in. No shell reads them.
+/// A program and its arguments, run without a shell. `{id}`, `{zone}` and `{version}` are replaced in each
+/// argument.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Command {
-    /// The program and its arguments; none where there is nothing to run.
+    /// The program and its arguments; empty for no command.
     pub run: Vec<String>,
-    /// Seconds until it is ended; 0 for 60.
+    /// Time limit in seconds, after which the command is killed; 0 means 60.
     pub limit_s: u64,
 }
 
 impl Command {
-    /// Seconds until it is ended.
-    pub fn limit(&self) -> u64 {
+    /// Returns the time limit in seconds.
+    pub fn limit_seconds(&self) -> u64 {
         if self.limit_s == 0 { 60 } else { self.limit_s }
     }
 
-    /// The words with a member's names put in.
-    pub fn words(&self, member: &Member, version: &str) -> Vec<String> {
-        let put = |w: &String| {
-            w.replace("{id}", &member.id).replace("{zone}", &member.zone).replace("{version}", version)
+    /// Returns the program and its arguments with the placeholders replaced.
+    pub fn arguments(&self, member: &Member, version: &str) -> Vec<String> {
+        let replace = |argument: &String| {
+            argument
+                .replace("{id}", &member.id)
+                .replace("{zone}", &member.zone)
+                .replace("{version}", version)
         };
-        self.run.iter().map(put).collect()
+        self.run.iter().map(replace).collect()
     }
 }
 
 impl Plan {
-    /// Reads a file.
+    /// Reads and checks a plan file.
     ///
     /// # Errors
-    /// It cannot be read, or is no plan; the line and the key are named.
+    /// Returns an error if the file cannot be read or is not a valid plan. The error names the line and the
+    /// key.
     pub fn read(path: &Path) -> Result<Plan, TomlError> {
-        Plan::parse(&read_text(path, LONGEST)?)
+        Plan::parse(&read_text(path, MAX_PLAN_BYTES)?)
     }
 
-    /// Reads a text.
+    /// Parses and checks a plan.
     ///
     /// # Errors
-    /// It is no plan.
+    /// Returns an error if the text is not a valid plan.
     pub fn parse(text: &str) -> Result<Plan, TomlError> {
         let plan: Plan = tomlfile::parse(text)?;
         plan.check().map(|()| plan).map_err(|(key, reason)| {
-            let word = key.rsplit('.').next().unwrap_or(key);
-            let at = text.lines().position(|l| l.trim_start().trim_start_matches('[').starts_with(word));
+            let name = key.rsplit('.').next().unwrap_or(key);
+            let line = text.lines().position(|l| l.trim_start().trim_start_matches('[').starts_with(name));
             TomlError::Content {
-                line: at.map_or(1, |n| n + 1),
+                line: line.map_or(1, |n| n + 1),
                 key: key.to_owned(),
                 reason: reason.to_owned(),
             }
@@ -198,57 +208,61 @@
     }
 
     fn check(&self) -> Result<(), (&'static str, &'static str)> {
-        let word =
+        let is_word =
             |w: &str| !w.is_empty() && w.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
-        let wrong = |key, reason| Err((key, reason));
-        if !word(&self.name) {
-            return wrong("name", "must be a word of letters, digits, dashes and points");
+        let invalid = |key, reason| Err((key, reason));
+        if !is_word(&self.name) {
+            return invalid("name", "must consist of letters, digits, dashes, underscores and dots");
         }
         if self.to.is_empty() || self.from == self.to {
-            return wrong("to", "there must be a version to come, another than from");
+            return invalid("to", "must be set and differ from `from`");
         }
         if self.nodes.is_empty() {
-            return wrong("nodes", "there must be a node to say it to");
+            return invalid("nodes", "must list at least one node");
         }
-        let unique = |n: usize, m: &Member| !self.member.iter().skip(n + 1).any(|o| o.id == m.id);
+        let is_unique = |n: usize, m: &Member| !self.member.iter().skip(n + 1).any(|o| o.id == m.id);
         if self.member.is_empty()
-            || !self.member.iter().enumerate().all(|(n, m)| !m.id.is_empty() && unique(n, m))
+            || !self.member.iter().enumerate().all(|(n, m)| !m.id.is_empty() && is_unique(n, m))
         {
-            return wrong("member", "there must be one, and each once, with an id");
+            return invalid("member", "must list at least one member, each with a unique id");
         }
-        let rises = self.stage.windows(2).all(|w| w[0].members < w[1].members);
+        let is_rising = self.stage.windows(2).all(|w| w[0].members < w[1].members);
         let last = self.stage.last().map_or(0, |s| s.members);
-        if self.stage.first().is_none_or(|s| s.members == 0) || !rises || last < self.member.len() {
-            return wrong("stage", "stages must rise from at least one member to all of them");
+        if self.stage.first().is_none_or(|s| s.members == 0) || !is_rising || last < self.member.len() {
+            return invalid("stage", "member counts must increase from at least 1 to all members");
         }
         if self.limits.out == 0 || self.limits.out_per_zone == 0 || self.limits.in_percent > 100 {
-            return wrong("limits", "out and out_per_zone must be at least 1, in_percent at most 100");
+            return invalid("limits", "out and out_per_zone must be at least 1, in_percent at most 100");
         }
-        if self.what == What::Nodes && self.nodes.len() != self.member.len() {
-            return wrong("nodes", "a release of nodes has a supervisor for each member, in their order");
+        if self.what == MemberKind::Nodes && self.nodes.len() != self.member.len() {
+            return invalid(
+                "nodes",
+                "a release of nodes needs one supervisor address for each member, in the members' order",
+            );
         }
-        let servers = self.what == What::Servers;
-        if servers && (self.restart.run.is_empty() || self.back.run.is_empty()) {
-            return wrong(
+        let is_servers = self.what == MemberKind::Servers;
+        if is_servers && (self.restart.run.is_empty() || self.back.run.is_empty()) {
+            return invalid(
                 if self.restart.run.is_empty() { "restart" } else { "back" },
-                "there must be a program to run: the way there, and the way back",
+                "must name a program in `run`",
             );
         }
-        let g = &self.gate;
-        if !(g.errors_percent > 0.0 && g.slower_percent > 0.0) || g.least < 100 {
-            return wrong("gate", "percents must be above 0, least at least 100");
+        let gate = &self.gate;
+        if !(gate.errors_percent > 0.0 && gate.slower_percent > 0.0) || gate.least < 100 {
+            return invalid("gate", "percents must be above 0, least at least 100");
         }
         Ok(())
     }
 
-    /// Nodes that must be told of a member's leave.
-    pub fn told(&self) -> usize {
-        if self.what == What::Nodes { 0 } else { self.nodes.len() }
+    /// Returns the number of nodes that must confirm a cordon. In a release of nodes it is 0: supervisors
+    /// drain their own nodes.
+    pub fn confirming_nodes(&self) -> usize {
+        if self.what == MemberKind::Nodes { 0 } else { self.nodes.len() }
     }
 
-    /// What must be known of it to be the same plan after a restart of the controller.
+    /// Returns a hash of the plan. A controller that resumes a release compares it with the stored hash.
     pub fn digest(&self) -> u64 {
-        // A plan is plain data.
+        // Serializing a plan cannot fail: it consists of plain data.
         daleturn::wire::stable_hash(&serde_json::to_string(self).unwrap_or_default())
     }
 }
@@ -261,26 +275,23 @@
                         [back]\nrun = [\"b\"]\n[[member]]\nid = \"s-0\"\nzone = \"a\"\n[[stage]]\nname = \"all\"\nmembers = 1\n";
 
     #[test]
-    fn a_plan_is_read_and_names_are_put_into_its_commands() {
+    fn plan_is_parsed_and_placeholders_in_its_commands_are_replaced() {
         let plan = Plan::parse(PLAN).unwrap();
-        assert_eq!(plan.restart.words(&plan.member[0], &plan.to), ["a", "s-0"]);
+        assert_eq!(plan.restart.arguments(&plan.member[0], &plan.to), ["a", "s-0"]);
         assert_eq!(plan.limits, Limits::default());
     }
 
     #[test]
-    fn what_is_wrong_is_told_with_line_and_key() {
-        let why = |from: &str, to: &str| Plan::parse(&PLAN.replace(from, to)).unwrap_err().to_string();
-        assert_eq!(
-            why("to = \"2\"", "to = \"1\""),
-            "line 3: to: there must be a version to come, another than from"
-        );
-        assert!(why("run = [\"b\"]", "").contains("back: there must be a program"));
-        assert!(why("members = 1", "members = 0").contains("stage: stages must rise"));
+    fn errors_name_the_line_and_the_key() {
+        let error = |from: &str, to: &str| Plan::parse(&PLAN.replace(from, to)).unwrap_err().to_string();
+        assert_eq!(error("to = \"2\"", "to = \"1\""), "line 3: to: must be set and differ from `from`");
+        assert!(error("run = [\"b\"]", "").contains("back: must name a program"));
+        assert!(error("members = 1", "members = 0").contains("stage: member counts must increase"));
         assert!(
-            why("id = \"s-0\"", "id = \"s-0\"\n[[member]]\nid = \"s-0\"")
-                .contains("member: there must be one")
+            error("id = \"s-0\"", "id = \"s-0\"\n[[member]]\nid = \"s-0\"")
+                .contains("member: must list at least one member, each with a unique id")
         );
-        assert!(why("name = \"r\"", "nmae = \"r\"").starts_with("line 1: nmae: unknown field"));
-        assert!(why("nodes = [\"127.0.0.1:1\"]", "nodes = [\"x\"]").starts_with("line 4: nodes"));
+        assert!(error("name = \"r\"", "nmae = \"r\"").starts_with("line 1: nmae: unknown field"));
+        assert!(error("nodes = [\"127.0.0.1:1\"]", "nodes = [\"x\"]").starts_with("line 4: nodes"));
     }
 }
--- a/crates/release/src/run.rs
+++ b/crates/release/src/run.rs
@@ -3,7 +3,7 @@
 
 use crate::gate::Sample;
 use crate::machine::{Action, Event, Machine, Mode, Ms, Order, Seen, Version};
-use crate::plan::{Command, Member, Plan, What};
+use crate::plan::{Command, Member, MemberKind, Plan};
 use daleturn::operator_call::{NO_HOLDER, OperatorCall, call_node};
 use daleturn_store::{Entry, Limits, RealDisk, Store, StoreError};
 use serde_json::{Value, json};
@@ -151,7 +151,7 @@
 
 /// What a node's figures say of each member: read once, however often it is looked at.
 fn views(plan: &Plan, ids: &HashMap<String, usize>, node: usize, figures: &Value) -> BTreeMap<usize, View> {
-    if plan.what == What::Nodes {
+    if plan.what == MemberKind::Nodes {
         let (up, start) = (figures["mode"] == "serving", figures["started_ms"].as_u64().unwrap_or(0));
         let view = View { up, start, cordoned: false, in_flight: Some(0), sample: of_node(figures) };
         return BTreeMap::from([(node, view)]);
@@ -506,7 +506,7 @@
             }
             Action::Run { member, to } => {
                 let (plan, hear, dir) = (self.plan.clone(), self.hear.clone(), self.dir.join("output"));
-                if plan.what == What::Nodes {
+                if plan.what == MemberKind::Nodes {
                     thread::spawn(move || {
                         let version = if to == Version::New { &plan.to } else { &plan.from };
                         let call = OperatorCall::Upgrade(version.clone());
@@ -567,7 +567,7 @@
                 seen.start = seen.start.max(view.start);
                 seen.cordoned |= view.cordoned;
                 seen.in_flight = seen.in_flight.and_then(|all| Some(all + view.in_flight?));
-                if self.plan.what == What::Nodes {
+                if self.plan.what == MemberKind::Nodes {
                     // Each says itself how it is, and nobody else does.
                     (*at, seen.in_flight) = (node.at, view.in_flight);
                 }
@@ -667,7 +667,7 @@
 
 /// Runs a command to its end or its limit; its output is kept under the member's id.
 fn execute(command: &Command, member: &Member, version: &str, dir: &Path) -> Result<(), String> {
-    let words = command.words(member, version);
+    let words = command.arguments(member, version);
     let [program, args @ ..] = &words[..] else { return Ok(()) };
     let safe: String =
         member.id.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect();
@@ -688,7 +688,7 @@
         .stderr(stderr)
         .spawn();
     let mut child = child.map_err(|e| format!("{program}: {e}"))?;
-    let limit = command.limit();
+    let limit = command.limit_seconds();
     let end = Instant::now() + Duration::from_secs(limit);
     loop {
         match child.try_wait() {
