--- a/crates/cli/src/release.rs
+++ b/crates/cli/src/release.rs
@@ -2,8 +2,8 @@
 
 use crate::page::{Failure, print, table};
 use clap::Subcommand;
-use daleturn_release::machine::{Mode, Order};
 use daleturn_release::plan::Plan;
+use daleturn_release::rollout::{Mode, Order};
 use daleturn_release::run::{self, Options};
 use daleturn_release::supervise::Config;
 use serde_json::Value;
@@ -86,7 +86,8 @@
         Err(code) => return Ok(code),
     };
     let give = |which: &Which, order: Order| {
-        run::order(&which.state, &plan, order).map_err(|e| format!("{}: {e}", which.state.display()))?;
+        run::submit_order(&which.state, &plan, order)
+            .map_err(|e| format!("{}: {e}", which.state.display()))?;
         print(&format!("{order:?}: handed to {}\n", plan.name))?;
         Ok(ExitCode::SUCCESS)
     };
@@ -108,7 +109,7 @@
         }
         Command::Run { which, until_halt } => carry_out(plan, which, *until_halt),
         Command::Status { which, json, watch } => loop {
-            let status = run::status(&which.state, &plan);
+            let status = run::read_status(&which.state, &plan);
             let status = status
                 .map_err(|e| format!("{}: no release {} here: {e}", which.state.display(), plan.name))?;
             let shown = if *json { format!("{status}\n") } else { page(&status)? };
@@ -145,7 +146,7 @@
     });
     runtime.shutdown_background();
     let mode = mode.map_err(|e| e.to_string())?;
-    let status = run::status(&state, &copy).unwrap_or(Value::Null);
+    let status = run::read_status(&state, &copy).unwrap_or(Value::Null);
     let on_new = status["on_new"].as_u64().unwrap_or(0);
     print(&format!(
         "release: {} {} {on_new} of {all} on {}: {}\n",
--- a/crates/release/src/run.rs
+++ b/crates/release/src/run.rs
@@ -1,9 +1,10 @@
-//! The controller: the process that carries a release out. It asks the nodes, runs the plan's commands, and stores each
-//! step before what it leads to; it decides nothing itself. It may be killed at any point: the next one goes on.
+//! The controller: the process that carries out a release. It calls the nodes, runs the plan's commands and
+//! stores each state change before acting on it. All decisions are made by [`Rollout`]. The process may be
+//! killed at any point; the next controller resumes the release.
 
 use crate::gate::Sample;
-use crate::machine::{Action, Event, Machine, Mode, Ms, Order, Seen, Version};
 use crate::plan::{Command, Member, MemberKind, Plan};
+use crate::rollout::{Action, Event, MemberObservation, Mode, Ms, Order, Rollout, Version};
 use daleturn::operator_call::{NO_HOLDER, OperatorCall, call_node};
 use daleturn_store::{Entry, Limits, RealDisk, Store, StoreError};
 use serde_json::{Value, json};
@@ -20,78 +21,82 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use thiserror::Error;
 
-/// How often the machine is asked what is due, nodes for their figures, and both groups are compared.
-const TICK: Duration = Duration::from_millis(100);
-const LOOK_MS: Ms = 500;
-const LOOK_EACH_MS: Ms = 20;
-const COMPARE_MS: Ms = 1000;
-/// How often the lease is renewed, and how old another's must be to be taken over.
-const RENEW_MS: Ms = 3000;
-const LEASE_S: u64 = 20;
-/// Time for a node's answer.
-const CALL: Duration = Duration::from_millis(1500);
-/// Time for a supervisor to bring the next process up and the old one to its end.
-const UPGRADE: Duration = Duration::from_secs(20);
-/// Calls that are out at once: all nodes are never asked in one moment.
-const CALLERS: usize = 16;
-/// Figures older than this say nothing of what is under way.
-const FRESH_MS: Ms = 3000;
-/// What is kept of a command's output.
-const OUTPUT: u64 = 256 * 1024;
-/// Kind of the entries in its journal.
-const KIND: &str = "release";
-
-/// Why a release cannot be carried out, or go on.
+/// Interval between ticks of the rollout.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval between requests for a node's statistics.
+const STATS_INTERVAL_MS: Ms = 500;
+/// Minimum interval between requests for a node's statistics, divided by the number of nodes.
+const STATS_INTERVAL_PER_NODE_MS: Ms = 20;
+/// Interval between comparisons of the two groups.
+const COMPARE_INTERVAL_MS: Ms = 1000;
+/// Interval between renewals of the lease.
+const LEASE_RENEWAL_MS: Ms = 3000;
+/// Age from which another release's lease has expired.
+const LEASE_EXPIRY_S: u64 = 20;
+/// Time limit of a call to a node.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time limit of an upgrade call: the supervisor starts the new process and stops the old one.
+const UPGRADE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of concurrent calls to nodes.
+const MAX_CONCURRENT_CALLS: usize = 16;
+/// Statistics older than this do not prove that a member has no requests in flight.
+const MAX_STATS_AGE_MS: Ms = 3000;
+/// Size at which a command's output file is truncated.
+const MAX_OUTPUT_BYTES: u64 = 256 * 1024;
+/// Kind of the release's entries in the store.
+const ENTRY_KIND: &str = "release";
+
+/// Error that prevents a release from starting or continuing.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The journal.
+    /// The journal cannot be opened or written.
     #[error("{0}: {1}")]
     Store(String, StoreError),
-    /// A file.
+    /// A file or directory cannot be accessed.
     #[error("{0}: {1}")]
     File(String, io::Error),
-    /// Another controller has this journal.
-    #[error("{0}: another controller has it")]
-    Taken(String),
-    /// The plan is another one than that which was begun.
+    /// Another controller process has locked this journal.
+    #[error("{0}: in use by another controller")]
+    JournalLocked(String),
+    /// The plan differs from the one with which the release began.
     #[error(
         "the plan was changed since this release began: end it with the plan it began with, or with abandon"
     )]
-    Changed,
-    /// Another release is under way.
+    PlanChanged,
+    /// A node's lease is held by another release.
     #[error("another release is under way: {0} says {1}")]
-    Other(SocketAddr, String),
-    /// Another controller has taken this release over.
+    OtherRelease(SocketAddr, String),
+    /// Another controller has taken the lease of this release.
     #[error("another controller has taken over")]
-    Overtaken,
+    LeaseLost,
 }
 
-/// How a controller is run.
+/// Options of a controller.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where its journal, outputs and orders are: a directory for each release.
+    /// Parent of the directories that hold each release's journal, command output and orders.
     pub dir: PathBuf,
-    /// End, too, when the release halts.
+    /// Return when the release halts.
     pub until_halt: bool,
 }
 
-/// A wall clock's milliseconds.
+/// Returns the wall clock's time in milliseconds since 1970.
 pub fn wall_ms() -> Ms {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Ms::try_from(wall.as_millis()).unwrap_or(Ms::MAX)
 }
 
-/// Where a release's files are.
-pub fn place(dir: &Path, plan: &Plan) -> PathBuf {
+/// Returns the directory of a release's files.
+pub fn release_dir(dir: &Path, plan: &Plan) -> PathBuf {
     dir.join(&plan.name)
 }
 
-/// Leaves an order for the controller, running or yet to start.
+/// Writes an order for the controller, which may be running or start later.
 ///
 /// # Errors
-/// It cannot be written.
-pub fn order(dir: &Path, plan: &Plan, order: Order) -> io::Result<()> {
-    let orders = place(dir, plan).join("orders");
+/// Returns an error if the order cannot be written.
+pub fn submit_order(dir: &Path, plan: &Plan, order: Order) -> io::Result<()> {
+    let orders = release_dir(dir, plan).join("orders");
     fs::create_dir_all(&orders)?;
     let word = match order {
         Order::Halt => "halt",
@@ -104,44 +109,55 @@
     fs::rename(&draft, orders.join(format!("{}-{word}", wall_ms())))
 }
 
-/// Where a release stands, by what its controller last wrote.
+/// Returns the status that the controller wrote last.
 ///
 /// # Errors
-/// There is none.
-pub fn status(dir: &Path, plan: &Plan) -> io::Result<Value> {
-    let text = fs::read_to_string(place(dir, plan).join("status.json"))?;
+/// Returns an error if there is no status file or it is not valid JSON.
+pub fn read_status(dir: &Path, plan: &Plan) -> io::Result<Value> {
+    let text = fs::read_to_string(release_dir(dir, plan).join("status.json"))?;
     serde_json::from_str(&text).map_err(io::Error::from)
 }
 
+/// A job for the threads that call nodes.
 enum Job {
-    Look(usize),
-    Say(usize, OperatorCall, Said),
+    /// Request the statistics of the node with this index.
+    FetchStats(usize),
+    /// Make a call to the node with this index.
+    Call(usize, OperatorCall, CallPurpose),
 }
 
-/// What an answer is for.
+/// The purpose of a call.
 #[derive(Clone, Copy)]
-enum Said {
-    Member(usize, bool),
+enum CallPurpose {
+    /// Cordon (true) or uncordon the member with this index.
+    Cordon(usize, bool),
+    /// Renew the lease.
     Lease,
 }
 
-enum Heard {
-    Looked(usize, Ms, Option<Value>),
-    Said(usize, Said, Result<(), String>),
-    Ran(usize, Option<String>),
+/// A result that a worker thread reports to the controller.
+enum WorkerReport {
+    /// Statistics of a node, with the time of the request; `None` if it did not answer.
+    Stats(usize, Ms, Option<Value>),
+    /// A node's answer to a call.
+    CallAnswered(usize, CallPurpose, Result<(), String>),
+    /// The end of a member's command, with its error.
+    CommandEnded(usize, Option<String>),
 }
 
-/// What is known of one node.
+/// The last report of one node.
 #[derive(Default)]
-struct Node {
-    asked: bool,
-    at: Ms,
-    /// What it says of each member.
-    views: BTreeMap<usize, View>,
+struct NodeReport {
+    /// True while a request for statistics is unanswered.
+    request_pending: bool,
+    /// Time at which the last answered request was made; 0 if there was none.
+    requested_ms: Ms,
+    /// The node's view of each member, by member index.
+    views: BTreeMap<usize, MemberView>,
 }
 
-/// A member as one node has it.
-struct View {
+/// One node's view of a member.
+struct MemberView {
     up: bool,
     start: Ms,
     cordoned: bool,
@@ -149,205 +165,226 @@
     sample: Sample,
 }
 
-/// What a node's figures say of each member: read once, however often it is looked at.
-fn views(plan: &Plan, ids: &HashMap<String, usize>, node: usize, figures: &Value) -> BTreeMap<usize, View> {
+/// Extracts the view of each member from a node's statistics. Done once per report, since views are read
+/// more often.
+fn member_views(
+    plan: &Plan,
+    ids: &HashMap<String, usize>,
+    node: usize,
+    stats: &Value,
+) -> BTreeMap<usize, MemberView> {
     if plan.what == MemberKind::Nodes {
-        let (up, start) = (figures["mode"] == "serving", figures["started_ms"].as_u64().unwrap_or(0));
-        let view = View { up, start, cordoned: false, in_flight: Some(0), sample: of_node(figures) };
+        let (up, start) = (stats["mode"] == "serving", stats["started_ms"].as_u64().unwrap_or(0));
+        let view =
+            MemberView { up, start, cordoned: false, in_flight: Some(0), sample: node_sample(stats) };
         return BTreeMap::from([(node, view)]);
     }
     let view = |b: &Value| {
         let member = ids.get(b["id"].as_str()?)?;
-        let view = View {
+        let view = MemberView {
             up: b["listed"] == "up",
             start: b["start_ms"].as_u64().unwrap_or(0),
             cordoned: b["state"] == "cordoned",
             in_flight: b["in_flight"].as_u64(),
-            sample: sample(b),
+            sample: backend_sample(b),
         };
         Some((*member, view))
     };
-    figures["backends"].as_array().into_iter().flatten().filter_map(view).collect()
+    stats["backends"].as_array().into_iter().flatten().filter_map(view).collect()
 }
 
+/// The running controller.
 struct Controller {
     plan: Arc<Plan>,
     dir: PathBuf,
-    machine: Machine,
+    rollout: Rollout,
     store: Store<RealDisk>,
-    nodes: Vec<Node>,
+    nodes: Vec<NodeReport>,
     ids: HashMap<String, usize>,
     jobs: Sender<Job>,
-    heard: Receiver<Heard>,
-    hear: Sender<Heard>,
-    lease: u64,
-    overtaken: bool,
-    begun: Ms,
-    /// What each node had counted of each member when the watch began.
-    base: BTreeMap<(usize, usize), Sample>,
-    failed: Option<StoreError>,
+    reports: Receiver<WorkerReport>,
+    report_sender: Sender<WorkerReport>,
+    /// Number of this controller's lease; a greater number takes the lease over.
+    lease_number: u64,
+    lease_lost: bool,
+    started_ms: Ms,
+    /// Counters per node and member at the time the watch began.
+    baseline: BTreeMap<(usize, usize), Sample>,
+    /// The last error of the journal. No further action is performed after one.
+    store_error: Option<StoreError>,
 }
 
-fn sample(backend: &Value) -> Sample {
+/// Reads the counters of a backend from a node's statistics.
+fn backend_sample(backend: &Value) -> Sample {
     let n = |key: &str| backend[key].as_u64().unwrap_or(0);
     let f = |key: &str| backend[key].as_f64().unwrap_or(0.0);
     Sample { done: n("done"), failed: n("failed"), ms: f("ms_sum"), ms_squared: f("ms_squared_sum") }
 }
 
-/// What a node itself has served.
-fn of_node(figures: &Value) -> Sample {
+/// Sums the requests that a node itself has served.
+fn node_sample(stats: &Value) -> Sample {
     let mut all = Sample::default();
-    for class in figures["classes"].as_object().into_iter().flat_map(|c| c.values()) {
+    for class in stats["classes"].as_object().into_iter().flat_map(|c| c.values()) {
         all.done += class["served"].as_u64().unwrap_or(0);
         all.failed += class["failed"].as_u64().unwrap_or(0);
     }
-    for backend in figures["backends"].as_array().into_iter().flatten() {
-        let one = sample(backend);
+    for backend in stats["backends"].as_array().into_iter().flatten() {
+        let one = backend_sample(backend);
         (all.ms, all.ms_squared) = (all.ms + one.ms, all.ms_squared + one.ms_squared);
     }
     all
 }
 
-/// Carries a release out, to its end or, where that is wanted, to its halt. `stop` ends the controller and leaves the
-/// release as it stands; `say` hears of each step.
+/// Carries out a release until it ends, or until it halts if `options.until_halt` is set. Setting `stop`
+/// ends the controller and leaves the release unfinished. `print_line` receives each line of progress.
 ///
 /// # Errors
-/// It cannot begin, its journal fails, or another controller has taken over.
+/// Returns an error if the release cannot start, its journal fails, or another controller has taken the
+/// lease.
 pub fn run(
     plan: Plan,
     options: &Options,
     stop: &AtomicBool,
-    mut say: impl FnMut(&str),
+    mut print_line: impl FnMut(&str),
 ) -> Result<Mode, RunError> {
-    let dir = place(&options.dir, &plan);
-    let named = dir.display().to_string();
+    let dir = release_dir(&options.dir, &plan);
+    let dir_name = dir.display().to_string();
     let disk = RealDisk::open(&dir.join("journal")).map_err(|e| match e.kind() {
-        io::ErrorKind::WouldBlock => RunError::Taken(named.clone()),
-        _ => RunError::File(named.clone(), e),
+        io::ErrorKind::WouldBlock => RunError::JournalLocked(dir_name.clone()),
+        _ => RunError::File(dir_name.clone(), e),
     })?;
-    let store = |e| RunError::Store(named.clone(), e);
-    let (mut journal, _) = Store::open(disk, Limits::default()).map_err(store)?;
+    let store_error = |e| RunError::Store(dir_name.clone(), e);
+    let (mut journal, _) = Store::open(disk, Limits::default()).map_err(store_error)?;
     let plan = Arc::new(plan);
     let text = |e: &Entry| String::from_utf8_lossy(&e.value).into_owned();
     let stored: BTreeMap<String, String> =
-        journal.of_kind(KIND).map(|(key, e)| (key.to_owned(), text(e))).collect();
+        journal.of_kind(ENTRY_KIND).map(|(key, e)| (key.to_owned(), text(e))).collect();
     let digest = plan.digest().to_string();
     if stored.get("plan").is_some_and(|known| *known != digest) {
-        return Err(RunError::Changed);
+        return Err(RunError::PlanChanged);
     }
     let holder = plan.name.clone();
-    let looks: Vec<Option<Value>> = look_at_all(&plan.nodes);
-    let mut lease = stored.get("lease").and_then(|l| l.parse().ok()).unwrap_or(0_u64);
-    for (figures, address) in looks.iter().zip(&plan.nodes) {
-        let Some(held) = figures.as_ref().map(|f| &f["lease"]) else { continue };
-        let (by, age) =
+    let all_stats: Vec<Option<Value>> = fetch_all_stats(&plan.nodes);
+    let mut lease_number = stored.get("lease").and_then(|l| l.parse().ok()).unwrap_or(0_u64);
+    for (stats, address) in all_stats.iter().zip(&plan.nodes) {
+        let Some(held) = stats.as_ref().map(|f| &f["lease"]) else { continue };
+        let (held_by, age_s) =
             (held["holder"].as_str().unwrap_or_default(), held["age_s"].as_u64().unwrap_or(u64::MAX));
-        if !by.is_empty() && by != NO_HOLDER && by != holder && age < LEASE_S {
-            return Err(RunError::Other(*address, by.to_owned()));
+        if !held_by.is_empty() && held_by != NO_HOLDER && held_by != holder && age_s < LEASE_EXPIRY_S {
+            return Err(RunError::OtherRelease(*address, held_by.to_owned()));
         }
-        lease = lease.max(held["number"].as_u64().unwrap_or(0));
+        lease_number = lease_number.max(held["number"].as_u64().unwrap_or(0));
     }
-    lease += 1;
-    for (key, value) in [("plan", digest), ("lease", lease.to_string())] {
+    lease_number += 1;
+    for (key, value) in [("plan", digest), ("lease", lease_number.to_string())] {
         journal
-            .put(KIND, key, Entry { written_ms: wall_ms(), value: value.into_bytes() })
-            .map_err(store)?;
+            .put(ENTRY_KIND, key, Entry { written_ms: wall_ms(), value: value.into_bytes() })
+            .map_err(store_error)?;
     }
-    journal.sync().map_err(store)?;
-    // Held at every node that can be reached before anything is done.
-    let taken = say_to_all(&plan.nodes, &OperatorCall::Lease { holder: holder.clone(), number: lease });
-    for (answer, address) in taken.into_iter().zip(&plan.nodes) {
+    journal.sync().map_err(store_error)?;
+    // Take the lease at every reachable node before any other action.
+    let answers =
+        call_all(&plan.nodes, &OperatorCall::Lease { holder: holder.clone(), number: lease_number });
+    for (answer, address) in answers.into_iter().zip(&plan.nodes) {
         if let Some(Err(why)) = answer {
-            return Err(RunError::Other(*address, why));
+            return Err(RunError::OtherRelease(*address, why));
         }
     }
-    let (jobs, work) = channel();
-    let (hear, heard) = channel();
-    callers(&plan, work, &hear);
+    let (jobs, job_receiver) = channel();
+    let (report_sender, reports) = channel();
+    spawn_callers(&plan, job_receiver, &report_sender);
     let now = wall_ms();
     let mut controller = Controller {
-        machine: Machine::new(now, plan.clone(), &stored),
-        nodes: plan.nodes.iter().map(|_| Node::default()).collect(),
+        rollout: Rollout::new(now, plan.clone(), &stored),
+        nodes: plan.nodes.iter().map(|_| NodeReport::default()).collect(),
         ids: plan.member.iter().enumerate().map(|(n, m)| (m.id.clone(), n)).collect(),
         plan,
         dir,
         store: journal,
         jobs,
-        heard,
-        hear,
-        lease,
-        overtaken: false,
-        begun: now,
-        base: BTreeMap::new(),
-        failed: None,
+        reports,
+        report_sender,
+        lease_number,
+        lease_lost: false,
+        started_ms: now,
+        baseline: BTreeMap::new(),
+        store_error: None,
     };
-    controller.run(options, stop, &mut say)
+    controller.run(options, stop, &mut print_line)
 }
 
-/// All nodes' figures, asked a few at a time; none of one that does not answer.
-fn look_at_all(nodes: &[SocketAddr]) -> Vec<Option<Value>> {
+/// Requests the statistics of all nodes, at most `MAX_CONCURRENT_CALLS` at once. Returns `None` for a node
+/// that does not answer.
+fn fetch_all_stats(nodes: &[SocketAddr]) -> Vec<Option<Value>> {
     let mut all = Vec::new();
-    for some in nodes.chunks(CALLERS) {
-        let asked: Vec<_> = some
+    for chunk in nodes.chunks(MAX_CONCURRENT_CALLS) {
+        let threads: Vec<_> = chunk
             .iter()
             .map(|node| {
                 let node = *node;
-                thread::spawn(move || figures(node))
+                thread::spawn(move || fetch_stats(node))
             })
             .collect();
-        all.extend(asked.into_iter().map(|t| t.join().ok().flatten()));
+        all.extend(threads.into_iter().map(|t| t.join().ok().flatten()));
     }
     all
 }
 
-/// A call to all nodes, a few at a time; none of one that does not answer.
-fn say_to_all(nodes: &[SocketAddr], call: &OperatorCall) -> Vec<Option<Result<String, String>>> {
+/// Makes a call to all nodes, at most `MAX_CONCURRENT_CALLS` at once. Returns `None` for a node that does
+/// not answer.
+fn call_all(nodes: &[SocketAddr], call: &OperatorCall) -> Vec<Option<Result<String, String>>> {
     let mut all = Vec::new();
-    for some in nodes.chunks(CALLERS) {
-        let asked: Vec<_> = (some.iter().copied())
+    for chunk in nodes.chunks(MAX_CONCURRENT_CALLS) {
+        let threads: Vec<_> = (chunk.iter().copied())
             .map(|node| {
                 let call = call.clone();
-                thread::spawn(move || call_node(node, &call, CALL).ok())
+                thread::spawn(move || call_node(node, &call, CALL_TIMEOUT).ok())
             })
             .collect();
-        all.extend(asked.into_iter().map(|t| t.join().ok().flatten()));
+        all.extend(threads.into_iter().map(|t| t.join().ok().flatten()));
     }
     all
 }
 
-fn figures(node: SocketAddr) -> Option<Value> {
-    let said = call_node(node, &OperatorCall::Stats, CALL).ok()?.ok()?;
-    serde_json::from_str(&said).ok()
+/// Requests a node's statistics. Returns `None` if it does not answer.
+fn fetch_stats(node: SocketAddr) -> Option<Value> {
+    let answer = call_node(node, &OperatorCall::Stats, CALL_TIMEOUT).ok()?.ok()?;
+    serde_json::from_str(&answer).ok()
 }
 
-/// Threads that call nodes; they end with the controller.
-fn callers(plan: &Plan, work: Receiver<Job>, hear: &Sender<Heard>) {
-    let work = Arc::new(Mutex::new(work));
-    for _ in 0..CALLERS.min(plan.nodes.len()) {
-        let (work, hear, nodes) = (work.clone(), hear.clone(), plan.nodes.clone());
+/// Starts the threads that call nodes. The threads end when the controller drops its job channel.
+fn spawn_callers(plan: &Plan, job_receiver: Receiver<Job>, report_sender: &Sender<WorkerReport>) {
+    let job_receiver = Arc::new(Mutex::new(job_receiver));
+    for _ in 0..MAX_CONCURRENT_CALLS.min(plan.nodes.len()) {
+        let (job_receiver, report_sender, nodes) =
+            (job_receiver.clone(), report_sender.clone(), plan.nodes.clone());
         thread::spawn(move || {
             loop {
-                let job = match work.lock() {
-                    Ok(work) => work.recv(),
+                let job = match job_receiver.lock() {
+                    Ok(job_receiver) => job_receiver.recv(),
                     Err(_) => return,
                 };
-                let heard = match job {
-                    Ok(Job::Look(node)) => {
-                        let at = wall_ms();
-                        Heard::Looked(node, at, nodes.get(node).and_then(|n| figures(*n)))
+                let report = match job {
+                    Ok(Job::FetchStats(node)) => {
+                        let requested_ms = wall_ms();
+                        WorkerReport::Stats(
+                            node,
+                            requested_ms,
+                            nodes.get(node).and_then(|n| fetch_stats(*n)),
+                        )
                     }
-                    Ok(Job::Say(node, call, said)) => {
-                        let answer = match nodes.get(node).map(|n| call_node(*n, &call, CALL)) {
+                    Ok(Job::Call(node, call, purpose)) => {
+                        let answer = match nodes.get(node).map(|n| call_node(*n, &call, CALL_TIMEOUT)) {
                             Some(Ok(Ok(_))) => Ok(()),
                             Some(Ok(Err(why))) => Err(why),
                             Some(Err(e)) => Err(e.to_string()),
                             None => Err("no such node".to_owned()),
                         };
-                        Heard::Said(node, said, answer)
+                        WorkerReport::CallAnswered(node, purpose, answer)
                     }
                     Err(_) => return,
                 };
-                if hear.send(heard).is_err() {
+                if report_sender.send(report).is_err() {
                     return;
                 }
             }
@@ -360,179 +397,193 @@
         &mut self,
         options: &Options,
         stop: &AtomicBool,
-        say: &mut impl FnMut(&str),
+        print_line: &mut impl FnMut(&str),
     ) -> Result<Mode, RunError> {
-        let (mut looked, mut compared, mut renewed, mut written) = (0, 0, 0, 0);
-        if self.machine.head.watched.is_some() {
-            // What was counted before is gone with the controller that died: the watch counts from here.
-            self.base.clear();
+        let (mut requested_ms, mut compared_ms, mut renewed_ms, mut written_ms) = (0, 0, 0, 0);
+        if self.rollout.state.watched.is_some() {
+            // The previous controller's baseline was not stored: counting starts again.
+            self.baseline.clear();
         }
         loop {
             let now = wall_ms();
-            while let Ok(heard) = self.heard.try_recv() {
-                self.take(now, heard, say);
+            while let Ok(report) = self.reports.try_recv() {
+                self.handle_report(now, report, print_line);
             }
-            for order in self.orders() {
-                say(&format!("order: {order:?}"));
-                self.act(now, Event::Ordered(order), say);
+            for order in self.take_orders() {
+                print_line(&format!("order: {order:?}"));
+                self.handle_event(now, Event::OrderGiven(order), print_line);
             }
-            if now >= looked + self.look_ms() {
-                looked = now;
+            if now >= requested_ms + self.stats_interval_ms() {
+                requested_ms = now;
                 for node in 0..self.nodes.len() {
-                    if !std::mem::replace(&mut self.nodes[node].asked, true) {
-                        let _ = self.jobs.send(Job::Look(node));
+                    if !std::mem::replace(&mut self.nodes[node].request_pending, true) {
+                        let _ = self.jobs.send(Job::FetchStats(node));
                     }
                 }
-                self.show(now, say);
+                self.observe_members(now, print_line);
             }
-            if now >= renewed + RENEW_MS {
-                renewed = now;
+            if now >= renewed_ms + LEASE_RENEWAL_MS {
+                renewed_ms = now;
                 for node in 0..self.nodes.len() {
-                    let call = OperatorCall::Lease { holder: self.plan.name.clone(), number: self.lease };
-                    let _ = self.jobs.send(Job::Say(node, call, Said::Lease));
+                    let call =
+                        OperatorCall::Lease { holder: self.plan.name.clone(), number: self.lease_number };
+                    let _ = self.jobs.send(Job::Call(node, call, CallPurpose::Lease));
                 }
             }
-            if now >= compared + COMPARE_MS {
-                compared = now;
-                let (new, rest) = self.compare();
-                self.act(now, Event::Compared(new, rest), say);
+            if now >= compared_ms + COMPARE_INTERVAL_MS {
+                compared_ms = now;
+                let (new, rest) = self.traffic_since_watch();
+                self.handle_event(now, Event::GroupsCompared(new, rest), print_line);
             }
-            self.act(now, Event::Tick, say);
-            if let Some(e) = self.failed.take() {
+            self.handle_event(now, Event::Tick, print_line);
+            if let Some(e) = self.store_error.take() {
                 return Err(RunError::Store(self.dir.display().to_string(), e));
             }
-            if self.overtaken {
-                return Err(RunError::Overtaken);
+            if self.lease_lost {
+                return Err(RunError::LeaseLost);
             }
-            let mode = self.machine.head.mode;
-            let halted = mode == Mode::Halted && options.until_halt && self.given_back();
-            let ends = mode == Mode::Over || halted || stop.load(Ordering::SeqCst);
-            if ends || now >= written + 500 {
-                written = now;
+            let mode = self.rollout.state.mode;
+            let has_halted = mode == Mode::Halted && options.until_halt && self.no_member_in_transition();
+            let is_finished = mode == Mode::Over || has_halted || stop.load(Ordering::SeqCst);
+            if is_finished || now >= written_ms + 500 {
+                written_ms = now;
                 self.write_status(now);
             }
-            if ends {
+            if is_finished {
                 if mode == Mode::Over {
-                    self.give_up();
+                    self.release_lease();
                 }
                 return Ok(mode);
             }
-            thread::sleep(TICK);
+            thread::sleep(TICK_INTERVAL);
         }
     }
 
-    /// What is over needs no lease. Who does not hear it lets it grow old.
-    fn give_up(&self) {
-        say_to_all(
+    /// Releases the lease. At a node that is not reached, the lease expires.
+    fn release_lease(&self) {
+        call_all(
             &self.plan.nodes,
-            &OperatorCall::Lease { holder: NO_HOLDER.to_owned(), number: self.lease },
+            &OperatorCall::Lease { holder: NO_HOLDER.to_owned(), number: self.lease_number },
         );
     }
 
-    /// Nothing is half-done any more.
-    fn given_back(&self) -> bool {
-        use crate::machine::Phase;
-        self.machine.members.iter().all(|m| matches!(m.phase, Phase::In | Phase::Warming | Phase::Stuck))
+    /// True if no member is between its cordon and its return to service.
+    fn no_member_in_transition(&self) -> bool {
+        use crate::rollout::Phase;
+        self.rollout.members.iter().all(|m| matches!(m.phase, Phase::In | Phase::Warming | Phase::Stuck))
     }
 
-    fn take(&mut self, now: Ms, heard: Heard, say: &mut impl FnMut(&str)) {
-        match heard {
-            Heard::Looked(node, at, figures) => {
+    fn handle_report(&mut self, now: Ms, report: WorkerReport, print_line: &mut impl FnMut(&str)) {
+        match report {
+            WorkerReport::Stats(node, requested_ms, stats) => {
                 let Some(n) = self.nodes.get_mut(node) else { return };
-                n.asked = false;
-                if let Some(figures) = figures {
-                    (n.at, n.views) = (at, views(&self.plan, &self.ids, node, &figures));
+                n.request_pending = false;
+                if let Some(stats) = stats {
+                    (n.requested_ms, n.views) =
+                        (requested_ms, member_views(&self.plan, &self.ids, node, &stats));
                 }
             }
-            Heard::Said(_, Said::Lease, Err(why)) if why.contains("lease") => self.overtake(now, say),
-            Heard::Said(_, Said::Lease, _) => {}
-            Heard::Said(node, Said::Member(member, out), answer) => {
-                let why = answer.err();
-                if why.as_ref().is_some_and(|w| w.contains("lease")) {
-                    return self.overtake(now, say);
+            WorkerReport::CallAnswered(_, CallPurpose::Lease, Err(why)) if why.contains("lease") => {
+                self.lose_lease(now, print_line)
+            }
+            WorkerReport::CallAnswered(_, CallPurpose::Lease, _) => {}
+            WorkerReport::CallAnswered(node, CallPurpose::Cordon(member, cordon), answer) => {
+                let error = answer.err();
+                if error.as_ref().is_some_and(|e| e.contains("lease")) {
+                    return self.lose_lease(now, print_line);
                 }
-                self.act(now, Event::Answered { member, node, out, why }, say);
+                self.handle_event(now, Event::CordonAnswered { member, node, cordon, error }, print_line);
+            }
+            WorkerReport::CommandEnded(member, error) => {
+                self.handle_event(now, Event::CommandEnded(member, error), print_line)
             }
-            Heard::Ran(member, why) => self.act(now, Event::Ran(member, why), say),
         }
     }
 
-    fn overtake(&mut self, now: Ms, say: &mut impl FnMut(&str)) {
-        self.overtaken = true;
-        self.act(now, Event::Overtaken, say);
+    /// Stops all actions after another controller has taken the lease.
+    fn lose_lease(&mut self, now: Ms, print_line: &mut impl FnMut(&str)) {
+        self.lease_lost = true;
+        self.handle_event(now, Event::LeaseLost, print_line);
     }
 
-    fn act(&mut self, now: Ms, event: Event, say: &mut impl FnMut(&str)) {
+    /// Passes an event to the rollout and performs the resulting actions.
+    fn handle_event(&mut self, now: Ms, event: Event, print_line: &mut impl FnMut(&str)) {
         let mut actions = Vec::new();
-        self.machine.handle(now, event, &mut actions);
-        // One sync for all that is stored before the first deed.
-        let mut dirty = false;
+        self.rollout.handle(now, event, &mut actions);
+        // One sync covers all entries stored before the first action with an outside effect.
+        let mut needs_sync = false;
         for action in actions {
             match action {
                 Action::Store(key, text) => {
                     let entry = Entry { written_ms: now, value: text.into_bytes() };
-                    dirty = true;
-                    if let Err(e) = self.store.put(KIND, &key, entry) {
-                        self.failed = Some(e);
+                    needs_sync = true;
+                    if let Err(e) = self.store.put(ENTRY_KIND, &key, entry) {
+                        self.store_error = Some(e);
                     }
                 }
                 Action::Audit(line) => {
-                    say(&line);
-                    self.audit(now, &line);
+                    print_line(&line);
+                    self.append_audit(now, &line);
                 }
-                deed => {
-                    if dirty && let Err(e) = self.store.sync() {
-                        self.failed = Some(e);
+                action => {
+                    if needs_sync && let Err(e) = self.store.sync() {
+                        self.store_error = Some(e);
                     }
-                    dirty = false;
-                    // Nothing is done that was not stored.
-                    if self.failed.is_none() {
-                        self.deed(deed);
+                    needs_sync = false;
+                    // An action is skipped if the state change before it is not durable.
+                    if self.store_error.is_none() {
+                        self.perform(action);
                     }
                 }
             }
         }
-        if dirty && let Err(e) = self.store.sync() {
-            self.failed = Some(e);
+        if needs_sync && let Err(e) = self.store.sync() {
+            self.store_error = Some(e);
         }
     }
 
-    fn deed(&mut self, deed: Action) {
-        match deed {
-            Action::Tell { member, node, out } => {
-                let Some(named) = self.plan.member.get(member) else { return };
-                let call = OperatorCall::Leased { cordon: out, id: named.id.clone(), lease: self.lease };
-                let _ = self.jobs.send(Job::Say(node, call, Said::Member(member, out)));
+    /// Performs an action with an effect outside the controller.
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::SetCordon { member, node, cordon } => {
+                let Some(planned) = self.plan.member.get(member) else { return };
+                let call =
+                    OperatorCall::Leased { cordon, id: planned.id.clone(), lease: self.lease_number };
+                let _ = self.jobs.send(Job::Call(node, call, CallPurpose::Cordon(member, cordon)));
             }
-            Action::Run { member, to } => {
-                let (plan, hear, dir) = (self.plan.clone(), self.hear.clone(), self.dir.join("output"));
+            Action::RunCommand { member, to } => {
+                let (plan, report_sender, dir) =
+                    (self.plan.clone(), self.report_sender.clone(), self.dir.join("output"));
                 if plan.what == MemberKind::Nodes {
                     thread::spawn(move || {
                         let version = if to == Version::New { &plan.to } else { &plan.from };
                         let call = OperatorCall::Upgrade(version.clone());
-                        let why = match plan.nodes.get(member).map(|n| call_node(*n, &call, UPGRADE)) {
-                            Some(Ok(Ok(_))) => None,
-                            Some(Ok(Err(why))) => Some(why),
-                            Some(Err(e)) => Some(e.to_string()),
-                            None => Some("it has no supervisor".to_owned()),
-                        };
-                        let _ = hear.send(Heard::Ran(member, why));
+                        let why =
+                            match plan.nodes.get(member).map(|n| call_node(*n, &call, UPGRADE_TIMEOUT)) {
+                                Some(Ok(Ok(_))) => None,
+                                Some(Ok(Err(why))) => Some(why),
+                                Some(Err(e)) => Some(e.to_string()),
+                                None => Some("it has no supervisor".to_owned()),
+                            };
+                        let _ = report_sender.send(WorkerReport::CommandEnded(member, why));
                     });
                     return;
                 }
                 thread::spawn(move || {
-                    let why =
-                        plan.member.get(member).and_then(|named| restart(&plan, named, to, &dir).err());
-                    let _ = hear.send(Heard::Ran(member, why));
+                    let why = plan
+                        .member
+                        .get(member)
+                        .and_then(|planned| run_member_command(&plan, planned, to, &dir).err());
+                    let _ = report_sender.send(WorkerReport::CommandEnded(member, why));
                 });
             }
-            Action::Watch => self.base = self.counted(),
+            Action::StartWatch => self.baseline = self.counters(),
             Action::Store(..) | Action::Audit(_) => {}
         }
     }
 
-    /// What each node has counted of each member so far.
-    fn counted(&self) -> BTreeMap<(usize, usize), Sample> {
+    /// Returns the current counters of each node and member.
+    fn counters(&self) -> BTreeMap<(usize, usize), Sample> {
         let mut all = BTreeMap::new();
         for (n, node) in self.nodes.iter().enumerate() {
             all.extend(node.views.iter().map(|(member, view)| ((n, *member), view.sample)));
@@ -540,12 +591,12 @@
         all
     }
 
-    /// What the members with the new version, and the others, have done since the watch began.
-    fn compare(&self) -> (Sample, Sample) {
+    /// Returns the traffic since the watch began: of members on the new version, and of all other members.
+    fn traffic_since_watch(&self) -> (Sample, Sample) {
         let (mut new, mut rest) = (Sample::default(), Sample::default());
-        for (at, now) in self.counted() {
-            let since = now.since(&self.base.get(&at).copied().unwrap_or_default());
-            let group = match self.machine.members.get(at.1).map(|m| m.version) {
+        for (at, now) in self.counters() {
+            let since = now.since(&self.baseline.get(&at).copied().unwrap_or_default());
+            let group = match self.rollout.members.get(at.1).map(|m| m.version) {
                 Some(Version::New) => &mut new,
                 _ => &mut rest,
             };
@@ -554,41 +605,45 @@
         (new, rest)
     }
 
-    /// Tells the machine how all nodes together see each member.
-    fn show(&mut self, now: Ms, say: &mut impl FnMut(&str)) {
-        let oldest = self.nodes.iter().map(|n| n.at).min().unwrap_or(0);
-        let all_fresh = now.saturating_sub(oldest) < self.fresh_ms();
-        let unseen = Seen { up: false, start: 0, cordoned: false, in_flight: all_fresh.then_some(0) };
-        let mut all = vec![(oldest, unseen); self.plan.member.len()];
+    /// Merges all nodes' views of each member and passes the result to the rollout.
+    fn observe_members(&mut self, now: Ms, print_line: &mut impl FnMut(&str)) {
+        let oldest = self.nodes.iter().map(|n| n.requested_ms).min().unwrap_or(0);
+        let all_fresh = now.saturating_sub(oldest) < self.max_stats_age_ms();
+        let unobserved =
+            MemberObservation { up: false, start: 0, cordoned: false, in_flight: all_fresh.then_some(0) };
+        let mut all = vec![(oldest, unobserved); self.plan.member.len()];
         for node in &self.nodes {
             for (member, view) in &node.views {
-                let Some((at, seen)) = all.get_mut(*member) else { continue };
-                seen.up |= view.up;
-                seen.start = seen.start.max(view.start);
-                seen.cordoned |= view.cordoned;
-                seen.in_flight = seen.in_flight.and_then(|all| Some(all + view.in_flight?));
+                let Some((at, observation)) = all.get_mut(*member) else { continue };
+                observation.up |= view.up;
+                observation.start = observation.start.max(view.start);
+                observation.cordoned |= view.cordoned;
+                observation.in_flight = observation.in_flight.and_then(|all| Some(all + view.in_flight?));
                 if self.plan.what == MemberKind::Nodes {
-                    // Each says itself how it is, and nobody else does.
-                    (*at, seen.in_flight) = (node.at, view.in_flight);
+                    // In a release of nodes, each node reports only on itself.
+                    (*at, observation.in_flight) = (node.requested_ms, view.in_flight);
                 }
             }
         }
-        for (member, (at, seen)) in all.into_iter().enumerate().filter(|(_, (at, _))| *at > 0) {
-            // As of when the oldest of the answers was asked for.
-            self.act(at, Event::Looked(member, seen), say);
+        for (member, (at, observation)) in all.into_iter().enumerate().filter(|(_, (at, _))| *at > 0) {
+            // The observation is as old as the oldest report in it.
+            self.handle_event(at, Event::Observed(member, observation), print_line);
         }
     }
 
-    /// Nodes are asked for their figures so often: many of them more seldom, so that the controller keeps up.
-    fn look_ms(&self) -> Ms {
-        LOOK_MS.max(LOOK_EACH_MS * self.nodes.len() as Ms)
+    /// Interval between requests for statistics. It grows with the number of nodes to bound the
+    /// controller's load.
+    fn stats_interval_ms(&self) -> Ms {
+        STATS_INTERVAL_MS.max(STATS_INTERVAL_PER_NODE_MS * self.nodes.len() as Ms)
     }
 
-    fn fresh_ms(&self) -> Ms {
-        FRESH_MS.max(3 * self.look_ms())
+    /// Age of a node's statistics from which they are outdated.
+    fn max_stats_age_ms(&self) -> Ms {
+        MAX_STATS_AGE_MS.max(3 * self.stats_interval_ms())
     }
 
-    fn orders(&self) -> Vec<Order> {
+    /// Reads and removes all orders, oldest first.
+    fn take_orders(&self) -> Vec<Order> {
         let dir = self.dir.join("orders");
         let Ok(entries) = fs::read_dir(&dir) else { return Vec::new() };
         let mut names: Vec<String> = entries
@@ -609,35 +664,38 @@
             .collect()
     }
 
-    fn audit(&self, now: Ms, line: &str) {
+    /// Appends a line to the audit log.
+    fn append_audit(&self, now: Ms, line: &str) {
         let file = OpenOptions::new().create(true).append(true).open(self.dir.join("audit.log"));
-        // The journal holds what matters; a full disk shows there.
-        let _ = file.and_then(|mut f| writeln!(f, "{now} lease {} {line}", self.lease));
+        // The audit log is informative: a full disk is reported by the journal's errors.
+        let _ = file.and_then(|mut f| writeln!(f, "{now} lease {} {line}", self.lease_number));
     }
 
+    /// Replaces the status file.
     fn write_status(&self, now: Ms) {
-        let m = &self.machine;
-        let member = |(m, named): (&crate::machine::Member, &Member)| {
-            json!({"id": named.id, "zone": named.zone, "phase": m.phase, "version": m.version, "why": m.why,
+        let m = &self.rollout;
+        let member = |(m, planned): (&crate::rollout::Member, &Member)| {
+            json!({"id": planned.id, "zone": planned.zone, "phase": m.phase, "version": m.version, "why": m.why,
                    "since_s": now.saturating_sub(m.since) / 1000, "held": m.held})
         };
         let members: Vec<Value> = m.members.iter().zip(&self.plan.member).map(member).collect();
         let new = m.members.iter().filter(|m| m.version == Version::New).count();
-        let spent = now.saturating_sub(self.begun) / 1000;
-        let left = (new > 0 && !m.head.back).then(|| spent * (m.members.len() - new) as u64 / new as u64);
-        let waits = self
+        let spent_s = now.saturating_sub(self.started_ms) / 1000;
+        let remaining_s =
+            (new > 0 && !m.state.back).then(|| spent_s * (m.members.len() - new) as u64 / new as u64);
+        let silent = self
             .nodes
             .iter()
             .zip(&self.plan.nodes)
-            .filter(|(n, _)| now.saturating_sub(n.at) > self.fresh_ms());
-        let (new_sample, rest) = self.compare();
+            .filter(|(n, _)| now.saturating_sub(n.requested_ms) > self.max_stats_age_ms());
+        let (new_sample, rest) = self.traffic_since_watch();
         let status = json!({
-            "name": self.plan.name, "from": self.plan.from, "to": self.plan.to, "mode": m.head.mode,
-            "back": m.head.back, "why": m.head.why,
-            "stage": self.plan.stage.get(m.head.stage).map(|s| s.name.clone()), "on_new": new,
-            "of": m.members.len(), "spent_s": spent, "left_s": left, "lease": self.lease, "written_ms": now,
-            "silent_nodes": waits.map(|(_, at)| at.to_string()).collect::<Vec<_>>(),
-            "named": m.named(), "compared": {"new": new_sample, "rest": rest}, "members": members,
+            "name": self.plan.name, "from": self.plan.from, "to": self.plan.to, "mode": m.state.mode,
+            "back": m.state.back, "why": m.state.why,
+            "stage": self.plan.stage.get(m.state.stage).map(|s| s.name.clone()), "on_new": new,
+            "of": m.members.len(), "spent_s": spent_s, "left_s": remaining_s, "lease": self.lease_number, "written_ms": now,
+            "silent_nodes": silent.map(|(_, at)| at.to_string()).collect::<Vec<_>>(),
+            "named": m.needs_attention(), "compared": {"new": new_sample, "rest": rest}, "members": members,
         });
         let draft = self.dir.join("status.draft");
         let _ = fs::write(&draft, status.to_string())
@@ -645,42 +703,44 @@
     }
 }
 
-/// Runs a member's command, and what verifies it, without a shell.
-fn restart(plan: &Plan, member: &Member, to: Version, dir: &Path) -> Result<(), String> {
+/// Runs the plan's command for a member, then the verification command until it succeeds or `back_s` has
+/// passed.
+fn run_member_command(plan: &Plan, member: &Member, to: Version, dir: &Path) -> Result<(), String> {
     let (command, version) = match to {
         Version::New => (&plan.restart, &plan.to),
         Version::Old => (&plan.back, &plan.from),
     };
-    execute(command, member, version, dir)?;
+    run_command(command, member, version, dir)?;
     if plan.verify.run.is_empty() {
         return Ok(());
     }
-    let end = Instant::now() + Duration::from_secs(plan.times.back_s);
+    let deadline = Instant::now() + Duration::from_secs(plan.times.back_s);
     loop {
-        match execute(&plan.verify, member, version, dir) {
+        match run_command(&plan.verify, member, version, dir) {
             Ok(()) => return Ok(()),
-            Err(why) if Instant::now() > end => return Err(format!("it is not on {version}: {why}")),
+            Err(why) if Instant::now() > deadline => return Err(format!("it is not on {version}: {why}")),
             Err(_) => thread::sleep(Duration::from_secs(1)),
         }
     }
 }
 
-/// Runs a command to its end or its limit; its output is kept under the member's id.
-fn execute(command: &Command, member: &Member, version: &str, dir: &Path) -> Result<(), String> {
+/// Runs a command without a shell, to its end or its time limit. The output is appended to a file planned
+/// after the member's id.
+fn run_command(command: &Command, member: &Member, version: &str, dir: &Path) -> Result<(), String> {
     let words = command.arguments(member, version);
     let [program, args @ ..] = &words[..] else { return Ok(()) };
-    let safe: String =
+    let safe_id: String =
         member.id.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect();
-    let file = dir.join(format!("{safe}.txt"));
+    let file = dir.join(format!("{safe_id}.txt"));
     let output =
         fs::create_dir_all(dir).and_then(|()| OpenOptions::new().create(true).append(true).open(&file));
     let mut output = output.map_err(|e| format!("{}: {e}", file.display()))?;
-    if output.metadata().is_ok_and(|m| m.len() > OUTPUT) {
+    if output.metadata().is_ok_and(|m| m.len() > MAX_OUTPUT_BYTES) {
         let _ = output.set_len(0);
     }
     let _ = writeln!(output, "$ {}", words.join(" "));
-    let both = output.try_clone().and_then(|o| Ok((o.try_clone()?, o)));
-    let (stdout, stderr) = both.map_err(|e| e.to_string())?;
+    let copies = output.try_clone().and_then(|o| Ok((o.try_clone()?, o)));
+    let (stdout, stderr) = copies.map_err(|e| e.to_string())?;
     let child = std::process::Command::new(program)
         .args(args)
         .stdin(Stdio::null())
@@ -688,8 +748,8 @@
         .stderr(stderr)
         .spawn();
     let mut child = child.map_err(|e| format!("{program}: {e}"))?;
-    let limit = command.limit_seconds();
-    let end = Instant::now() + Duration::from_secs(limit);
+    let limit_s = command.limit_seconds();
+    let deadline = Instant::now() + Duration::from_secs(limit_s);
     loop {
         match child.try_wait() {
             Ok(Some(status)) => {
@@ -700,9 +760,9 @@
                     Err(format!("{program}: {status}, see {}", file.display()))
                 };
             }
-            Ok(None) if Instant::now() > end => {
+            Ok(None) if Instant::now() > deadline => {
                 let _ = child.kill().and_then(|()| child.wait().map(drop));
-                return Err(format!("{program} did not end within {limit} s, see {}", file.display()));
+                return Err(format!("{program} did not end within {limit_s} s, see {}", file.display()));
             }
             Ok(None) => thread::sleep(Duration::from_millis(30)),
             Err(e) => return Err(format!("{program}: {e}")),
@@ -710,11 +770,11 @@
     }
 }
 
-/// Members by zone that a set of nodes lists, to begin a plan with.
-pub fn members(nodes: &[SocketAddr]) -> Vec<Member> {
+/// Lists the members with their zones as the given nodes report them, as a start for a plan.
+pub fn list_members(nodes: &[SocketAddr]) -> Vec<Member> {
     let mut all = BTreeSet::new();
-    for figures in look_at_all(nodes).into_iter().flatten() {
-        for b in figures["backends"].as_array().into_iter().flatten() {
+    for stats in fetch_all_stats(nodes).into_iter().flatten() {
+        for b in stats["backends"].as_array().into_iter().flatten() {
             let text = |key: &str| b[key].as_str().unwrap_or_default().to_owned();
             all.insert((text("id"), text("zone")));
         }
--- a/crates/release/tests/model.rs
+++ b/crates/release/tests/model.rs
@@ -1,54 +1,56 @@
-//! The release machine under a model checker: its controller dies after any action, and a node is deaf from any moment
-//! on, while the world does what it was told before.
+//! Model checking of the rollout. The controller may die after any action, and a node may stop receiving
+//! calls at any time, while commands that were already started still complete.
 
-use daleturn_release::machine::{Action, Event, Head, Machine, Member, Mode, Ms, Phase, Seen, Version};
 use daleturn_release::plan::{self, Plan};
+use daleturn_release::rollout::{
+    Action, Event, Member, MemberObservation, Mode, Ms, Phase, Rollout, RolloutState, Version,
+};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-const STEPS: u16 = 70;
+const MAX_STEPS: u16 = 70;
 const STEP_MS: Ms = 1000;
 const NODES: usize = 2;
 /// Seconds that a restart takes beyond the first.
-const RESTART: u8 = 2;
+const RESTART_S: u8 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     step: u16,
-    head: Head,
+    rollout_state: RolloutState,
     members: Vec<Member>,
     started: Ms,
     stored: BTreeMap<String, String>,
-    cordoned: Vec<BTreeSet<usize>>,
+    cordoned_by: Vec<BTreeSet<usize>>,
     starts: Vec<Ms>,
-    on: Vec<Version>,
-    /// Restarts that the world is about to make, whoever asked for them.
-    pending: Vec<Option<(Version, u8)>>,
-    runs: Vec<u8>,
+    versions: Vec<Version>,
+    /// Restarts in progress, by member. They complete even if the controller that ordered them dies.
+    pending_restarts: Vec<Option<(Version, u8)>>,
+    command_runs: Vec<u8>,
     deaths: u8,
-    deaf: Option<usize>,
+    unreachable_node: Option<usize>,
     unsafe_restart: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A second passes.
+    /// One second passes.
     Pass,
-    /// The same, but the controller dies after so many actions.
+    /// One second passes, and the controller dies after this many actions.
     Die(usize),
-    /// A node hears nothing from here on.
-    Deaf(usize),
+    /// A node receives no calls from here on.
+    Unreachable(usize),
 }
 
 struct World {
     plan: Arc<Plan>,
-    deaths: u8,
-    deaf: bool,
+    max_deaths: u8,
+    node_may_fail: bool,
 }
 
 impl World {
-    fn new(deaths: u8, deaf: bool) -> World {
+    fn new(max_deaths: u8, node_may_fail: bool) -> World {
         let mut plan = Plan { name: "r".into(), from: "1".into(), to: "2".into(), ..Plan::default() };
         plan.nodes = (1..=NODES).map(|n| format!("127.0.0.1:{n}").parse().unwrap()).collect();
         plan.member =
@@ -57,21 +59,21 @@
         plan.limits.in_percent = 0;
         plan.times = plan::Times { cordon_s: 3, drain_s: 2, back_s: 6, warm_s: 1, watch_s: 1, wait_s: 3 };
         plan.restart.limit_s = 4;
-        World { plan: Arc::new(plan), deaths, deaf }
+        World { plan: Arc::new(plan), max_deaths, node_may_fail }
     }
 
-    /// Carries actions out, but for those after the `most`th; false: the controller died on the way.
+    /// Carries out actions until `left` is used up. Returns false if the controller died.
     fn carry_out(
         &self,
         s: &mut State,
-        machine: &mut Machine,
+        rollout: &mut Rollout,
         event: Event,
         left: &mut Option<usize>,
     ) -> bool {
         let now = Ms::from(s.step) * STEP_MS;
-        let mut out = Vec::new();
-        machine.handle(now, event, &mut out);
-        for action in out {
+        let mut actions = Vec::new();
+        rollout.handle(now, event, &mut actions);
+        for action in actions {
             if let Some(left) = left {
                 if *left == 0 {
                     return false;
@@ -82,54 +84,60 @@
                 Action::Store(key, text) => {
                     s.stored.insert(key, text);
                 }
-                Action::Tell { member, node, out } if s.deaf != Some(node) => {
-                    if out {
-                        s.cordoned[member].insert(node);
+                Action::SetCordon { member, node, cordon } if s.unreachable_node != Some(node) => {
+                    if cordon {
+                        s.cordoned_by[member].insert(node);
                     } else {
-                        s.cordoned[member].remove(&node);
+                        s.cordoned_by[member].remove(&node);
                     }
-                    if !self.carry_out(s, machine, Event::Answered { member, node, out, why: None }, left) {
+                    if !self.carry_out(
+                        s,
+                        rollout,
+                        Event::CordonAnswered { member, node, cordon, error: None },
+                        left,
+                    ) {
                         return false;
                     }
                 }
-                Action::Run { member, to } => {
-                    s.unsafe_restart |= s.cordoned[member].len() < NODES;
-                    s.runs[member] += 1;
-                    s.pending[member] = Some((to, RESTART));
+                Action::RunCommand { member, to } => {
+                    s.unsafe_restart |= s.cordoned_by[member].len() < NODES;
+                    s.command_runs[member] += 1;
+                    s.pending_restarts[member] = Some((to, RESTART_S));
                 }
-                Action::Tell { .. } | Action::Watch | Action::Audit(_) => {}
+                Action::SetCordon { .. } | Action::StartWatch | Action::Audit(_) => {}
             }
         }
         true
     }
 
-    fn pass(&self, s: &mut State, mut left: Option<usize>) {
+    fn run_one_second(&self, s: &mut State, mut left: Option<usize>) {
         s.step += 1;
         let now = Ms::from(s.step) * STEP_MS;
-        let mut machine = Machine::with(self.plan.clone(), s.head.clone(), s.members.clone(), s.started);
-        let mut lives = true;
-        for n in 0..s.on.len() {
-            if let Some((to, left @ 1..)) = s.pending[n] {
-                s.pending[n] = Some((to, left - 1));
-            } else if let Some((to, _)) = s.pending[n].take() {
-                (s.on[n], s.starts[n]) = (to, now);
-                lives = lives && self.carry_out(s, &mut machine, Event::Ran(n, None), &mut left);
+        let mut rollout =
+            Rollout::from_parts(self.plan.clone(), s.rollout_state.clone(), s.members.clone(), s.started);
+        let mut alive = true;
+        for n in 0..s.versions.len() {
+            if let Some((to, left @ 1..)) = s.pending_restarts[n] {
+                s.pending_restarts[n] = Some((to, left - 1));
+            } else if let Some((to, _)) = s.pending_restarts[n].take() {
+                (s.versions[n], s.starts[n]) = (to, now);
+                alive = alive && self.carry_out(s, &mut rollout, Event::CommandEnded(n, None), &mut left);
             }
-            let seen = Seen {
-                up: s.pending[n].is_none(),
+            let observation = MemberObservation {
+                up: s.pending_restarts[n].is_none(),
                 start: s.starts[n],
-                cordoned: !s.cordoned[n].is_empty(),
+                cordoned: !s.cordoned_by[n].is_empty(),
                 in_flight: Some(0),
             };
-            lives = lives && self.carry_out(s, &mut machine, Event::Looked(n, seen), &mut left);
+            alive = alive && self.carry_out(s, &mut rollout, Event::Observed(n, observation), &mut left);
         }
-        lives = lives && self.carry_out(s, &mut machine, Event::Tick, &mut left);
-        if !lives || left.is_some() {
+        alive = alive && self.carry_out(s, &mut rollout, Event::Tick, &mut left);
+        if !alive || left.is_some() {
             s.deaths += 1;
-            machine = Machine::new(now, self.plan.clone(), &s.stored);
+            rollout = Rollout::new(now, self.plan.clone(), &s.stored);
             s.started = now;
         }
-        (s.head, s.members) = (machine.head.clone(), machine.members.clone());
+        (s.rollout_state, s.members) = (rollout.state.clone(), rollout.members.clone());
     }
 }
 
@@ -138,75 +146,86 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let machine = Machine::new(0, self.plan.clone(), &BTreeMap::new());
+        let rollout = Rollout::new(0, self.plan.clone(), &BTreeMap::new());
         let count = self.plan.member.len();
         vec![State {
             step: 0,
-            head: machine.head.clone(),
-            members: machine.members.clone(),
+            rollout_state: rollout.state.clone(),
+            members: rollout.members.clone(),
             started: 0,
             stored: BTreeMap::new(),
-            cordoned: vec![BTreeSet::new(); count],
+            cordoned_by: vec![BTreeSet::new(); count],
             starts: vec![1; count],
-            on: vec![Version::Old; count],
-            pending: vec![None; count],
-            runs: vec![0; count],
+            versions: vec![Version::Old; count],
+            pending_restarts: vec![None; count],
+            command_runs: vec![0; count],
             deaths: 0,
-            deaf: None,
+            unreachable_node: None,
             unsafe_restart: false,
         }]
     }
 
     fn actions(&self, s: &State, actions: &mut Vec<Step>) {
-        if s.step >= STEPS || s.head.mode == Mode::Over {
+        if s.step >= MAX_STEPS || s.rollout_state.mode == Mode::Over {
             return;
         }
         actions.push(Step::Pass);
-        if s.deaths < self.deaths {
+        if s.deaths < self.max_deaths {
             actions.extend((0..6).map(Step::Die));
         }
-        if self.deaf && s.deaf.is_none() {
-            actions.extend((0..NODES).map(Step::Deaf));
+        if self.node_may_fail && s.unreachable_node.is_none() {
+            actions.extend((0..NODES).map(Step::Unreachable));
         }
     }
 
     fn next_state(&self, state: &State, action: Step) -> Option<State> {
         let mut next = state.clone();
         match action {
-            Step::Pass => self.pass(&mut next, None),
-            Step::Die(after) => self.pass(&mut next, Some(after)),
-            Step::Deaf(node) => next.deaf = Some(node),
+            Step::Pass => self.run_one_second(&mut next, None),
+            Step::Die(after) => self.run_one_second(&mut next, Some(after)),
+            Step::Unreachable(node) => next.unreachable_node = Some(node),
         }
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<World>> {
         vec![
-            Property::always("no restart before every node's yes", |_, s: &State| !s.unsafe_restart),
-            Property::always("no more out than allowed", |_, s: &State| {
-                s.cordoned.iter().filter(|c| !c.is_empty()).count() <= 1
+            Property::always("no restart before every node has confirmed the cordon", |_, s: &State| {
+                !s.unsafe_restart
             }),
-            Property::always("no restart is made twice", |_, s: &State| s.runs.iter().all(|n| *n <= 1)),
-            Property::always("it ends, or halts and names whoever is not back", |_, s: &State| {
-                let named = |n: usize| s.cordoned[n].is_empty() || s.members[n].phase != Phase::In;
-                s.step < STEPS
-                    || s.head.mode == Mode::Over
-                    || (s.head.mode == Mode::Halted && (0..s.on.len()).all(named))
+            Property::always("no more members out of service than allowed", |_, s: &State| {
+                s.cordoned_by.iter().filter(|c| !c.is_empty()).count() <= 1
             }),
-            Property::always("what is over is whole", |_, s: &State| {
-                s.head.mode != Mode::Over
-                    || (s.on.iter().all(|v| *v == Version::New)
-                        && s.cordoned.iter().all(BTreeSet::is_empty))
+            Property::always("no restart is repeated", |_, s: &State| {
+                s.command_runs.iter().all(|n| *n <= 1)
             }),
-            Property::sometimes("it ends", |_, s: &State| s.head.mode == Mode::Over),
+            Property::always(
+                "the release ends, or halts and reports each member that is not in service",
+                |_, s: &State| {
+                    let is_reported =
+                        |n: usize| s.cordoned_by[n].is_empty() || s.members[n].phase != Phase::In;
+                    s.step < MAX_STEPS
+                        || s.rollout_state.mode == Mode::Over
+                        || (s.rollout_state.mode == Mode::Halted && (0..s.versions.len()).all(is_reported))
+                },
+            ),
+            Property::always(
+                "a release that is over has updated and uncordoned all members",
+                |_, s: &State| {
+                    s.rollout_state.mode != Mode::Over
+                        || (s.versions.iter().all(|v| *v == Version::New)
+                            && s.cordoned_by.iter().all(BTreeSet::is_empty))
+                },
+            ),
+            Property::sometimes("the release ends", |_, s: &State| s.rollout_state.mode == Mode::Over),
         ]
     }
 }
 
-fn check(deaths: u8, deaf: bool) {
-    let checker = World::new(deaths, deaf).checker().threads(4).spawn_bfs().join();
+fn check(max_deaths: u8, node_may_fail: bool) {
+    let checker = World::new(max_deaths, node_may_fail).checker().threads(4).spawn_bfs().join();
     println!(
-        "{deaths} deaths, deaf {deaf}: {} states, {} of them unique, depth {}",
+        "{max_deaths} deaths, unreachable node {node_may_fail}: {} states, {} of them unique, depth {}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth()
@@ -215,11 +234,11 @@
 }
 
 #[test]
-fn whatever_the_moments_of_two_deaths_it_ends_and_restarts_each_member_once() {
+fn release_ends_with_one_restart_per_member_for_any_two_controller_deaths() {
     check(2, false);
 }
 
 #[test]
-fn with_a_node_that_turns_deaf_and_a_death_it_ends_or_halts_and_names() {
+fn release_ends_or_halts_with_a_report_if_a_node_becomes_unreachable_and_the_controller_dies() {
     check(1, true);
 }
