--- a/crates/store/benches/open.rs
+++ b/crates/store/benches/open.rs
@@ -1,12 +1,13 @@
-//! How long a start takes that finds so much, every byte of it read and checked, and the next generation written.
-//! `cargo bench -p daleturn-store --bench open` prints it. The directory is under the system's temporary one.
+//! Duration of reading and of opening a store by its size. Opening reads and checks every byte and writes
+//! the next generation. Run with `cargo bench -p daleturn-store --bench open`. The stores are created under
+//! the system's temporary directory.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use daleturn_store::{Entry, Limits, RealDisk, Store};
 use std::path::PathBuf;
 
-fn filled(dir: &PathBuf, megabytes: usize) -> Limits {
-    let limits = Limits { entries: 80 << 20, journal: 4 << 20 };
+fn create_store(dir: &PathBuf, megabytes: usize) -> Limits {
+    let limits = Limits { max_entry_bytes: 80 << 20, max_journal_bytes: 4 << 20 };
     let _ = std::fs::remove_dir_all(dir);
     let disk = RealDisk::open(dir).unwrap_or_else(|e| panic!("{}: {e}", dir.display()));
     let (mut store, _) = Store::open(disk, limits).unwrap_or_else(|e| panic!("{e}"));
@@ -24,7 +25,7 @@
     group.sample_size(10);
     for megabytes in [0, 1, 4, 16, 64] {
         let dir = std::env::temp_dir().join(format!("daleturn-open-{}-{megabytes}", std::process::id()));
-        let limits = filled(&dir, megabytes);
+        let limits = create_store(&dir, megabytes);
         group.throughput(Throughput::Bytes((megabytes << 20) as u64));
         group.bench_function(BenchmarkId::new("read", format!("{megabytes} MB")), |b| {
             b.iter(|| Store::inspect(&mut RealDisk::open_read_only(&dir), limits).map(|l| l.0.len()));
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,5 +1,5 @@
-//! All that the store does with files, as one trait: a flat directory of files that are appended to, read whole,
-//! renamed and removed.
+//! The file operations that the store uses, as a trait: a flat directory of files that are appended to,
+//! read whole, renamed and removed.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -7,47 +7,47 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// A directory of files.
+/// A flat directory of files.
 pub trait Disk {
-    /// The names in it.
+    /// Returns the names of all files.
     ///
     /// # Errors
-    /// The directory cannot be read.
+    /// Returns an error if the directory cannot be read.
     fn list(&mut self) -> io::Result<Vec<String>>;
-    /// A file's content, of which no more than `limit` bytes are read.
+    /// Returns a file's content, at most its first `limit` bytes.
     ///
     /// # Errors
-    /// It is not there, or cannot be read.
+    /// Returns an error if the file does not exist or cannot be read.
     fn read(&mut self, name: &str, limit: usize) -> io::Result<Vec<u8>>;
-    /// Adds to the end of a file, which is made where it is missing. Not durable before [`Disk::sync`].
+    /// Appends to a file, which is created if it does not exist. Durable after [`Disk::sync`].
     ///
     /// # Errors
-    /// There is no room, or no permission; part of it may be there.
+    /// Returns an error if there is no space or no permission. Part of `bytes` may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file to `length`. Not durable before [`Disk::sync`].
+    /// Truncates a file to `length` bytes. Durable after [`Disk::sync`].
     ///
     /// # Errors
-    /// It cannot be written.
+    /// Returns an error if the file cannot be written.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Makes a file's content durable; not its name.
+    /// Makes a file's content durable, but not its name.
     ///
     /// # Errors
-    /// It is not durable, and asking again would not make it so.
+    /// Returns an error if the content is not durable. A later call that succeeds does not make it durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, whatever had that before. Not durable before [`Disk::sync_names`].
+    /// Renames a file and replaces a file of the new name. Durable after [`Disk::sync_names`].
     ///
     /// # Errors
-    /// It cannot be renamed.
+    /// Returns an error if the file cannot be renamed.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file. Not durable before [`Disk::sync_names`].
+    /// Removes a file. Durable after [`Disk::sync_names`].
     ///
     /// # Errors
-    /// It cannot be removed.
+    /// Returns an error if the file cannot be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes names durable.
+    /// Makes the directory's file names durable.
     ///
     /// # Errors
-    /// They are not.
+    /// Returns an error if the names are not durable.
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
@@ -85,31 +85,33 @@
     }
 }
 
-/// A real directory, held by one writer at a time.
+/// A real directory, locked by one writer at a time.
 #[derive(Debug)]
 pub struct RealDisk {
     dir: PathBuf,
-    open: HashMap<String, File>,
-    /// The system gives the lock back however the process ends.
+    open_files: HashMap<String, File>,
+    /// The locked file; `None` if opened read-only. The operating system releases the lock however the
+    /// process ends.
     lock: Option<File>,
 }
 
-/// The file that is locked.
-const LOCK: &str = "lock";
+/// Name of the file that the writer locks.
+const LOCK_FILE: &str = "lock";
 
 impl RealDisk {
-    /// Opens a directory for writing, made where it is missing.
+    /// Opens a directory for writing and creates it if it does not exist.
     ///
     /// # Errors
-    /// It cannot be made or written, or another process has it ([`io::ErrorKind::WouldBlock`]).
+    /// Returns an error if the directory cannot be created or written, or if another process has locked it
+    /// ([`io::ErrorKind::WouldBlock`]).
     pub fn open(dir: &Path) -> io::Result<RealDisk> {
         fs::create_dir_all(dir)?;
         let lock = Some(RealDisk::lock(dir)?);
-        Ok(RealDisk { dir: dir.to_owned(), open: HashMap::new(), lock })
+        Ok(RealDisk { dir: dir.to_owned(), open_files: HashMap::new(), lock })
     }
 
     fn lock(dir: &Path) -> io::Result<File> {
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(dir.join(LOCK))?;
+        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(dir.join(LOCK_FILE))?;
         match lock.try_lock() {
             Ok(()) => Ok(lock),
             Err(TryLockError::WouldBlock) => Err(io::ErrorKind::WouldBlock.into()),
@@ -117,8 +119,8 @@
         }
     }
 
-    /// Whether a file that is open is still the one of that name.
-    fn is_there(&self, file: &File, name: &str) -> io::Result<bool> {
+    /// Returns true if `name` still refers to the open `file`.
+    fn is_current(&self, file: &File, name: &str) -> io::Result<bool> {
         match fs::metadata(self.dir.join(name)) {
             Ok(named) => file.metadata().map(|own| (own.dev(), own.ino()) == (named.dev(), named.ino())),
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(false),
@@ -126,29 +128,29 @@
         }
     }
 
-    /// Takes the directory again where it was deleted and somebody has made it anew; it is not made here, since what
-    /// was deleted or is not mounted may be so for a reason.
-    fn hold(&mut self) -> io::Result<()> {
+    /// Locks the directory again if it was deleted and has been recreated by someone else. It is not
+    /// created here: it may have been deleted on purpose, or its file system may not be mounted.
+    fn relock_if_replaced(&mut self) -> io::Result<()> {
         if let Some(lock) = &self.lock
-            && !self.is_there(lock, LOCK)?
+            && !self.is_current(lock, LOCK_FILE)?
         {
             self.lock = Some(RealDisk::lock(&self.dir)?);
         }
         Ok(())
     }
 
-    /// Opens a directory to look at, also while a process has it.
+    /// Opens a directory for reading, even while another process has locked it.
     pub fn open_read_only(dir: &Path) -> RealDisk {
-        RealDisk { dir: dir.to_owned(), open: HashMap::new(), lock: None }
+        RealDisk { dir: dir.to_owned(), open_files: HashMap::new(), lock: None }
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        if !self.open.contains_key(name) {
-            self.hold()?;
+        if !self.open_files.contains_key(name) {
+            self.relock_if_replaced()?;
             let file = OpenOptions::new().create(true).append(true).open(self.dir.join(name))?;
-            self.open.insert(name.to_owned(), file);
+            self.open_files.insert(name.to_owned(), file);
         }
-        self.open.get_mut(name).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.open_files.get_mut(name).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
@@ -158,7 +160,7 @@
         for entry in fs::read_dir(&self.dir)? {
             let entry = entry?;
             if entry.file_type()?.is_file() {
-                names.extend(entry.file_name().into_string().ok().filter(|n| n != LOCK));
+                names.extend(entry.file_name().into_string().ok().filter(|n| n != LOCK_FILE));
             }
         }
         Ok(names)
@@ -180,9 +182,9 @@
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         self.file(name)?.sync_all()?;
-        // What was written to a file that nobody finds any more is not kept.
-        let there = self.open.get(name).map_or(Ok(false), |file| self.is_there(file, name))?;
-        if there {
+        // Data in a file that has been deleted or replaced is lost.
+        let is_current = self.open_files.get(name).map_or(Ok(false), |file| self.is_current(file, name))?;
+        if is_current {
             Ok(())
         } else {
             Err(io::Error::new(io::ErrorKind::NotFound, format!("{name} was deleted")))
@@ -190,13 +192,13 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.open.remove(from);
-        self.open.remove(to);
+        self.open_files.remove(from);
+        self.open_files.remove(to);
         fs::rename(self.dir.join(from), self.dir.join(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open.remove(name);
+        self.open_files.remove(name);
         fs::remove_file(self.dir.join(name))
     }
 
@@ -211,25 +213,25 @@
     use crate::{Entry, Limits, Store, StoreError};
 
     #[test]
-    fn what_is_written_to_a_deleted_directory_is_an_error_until_there_is_one_again() {
+    fn writing_to_a_deleted_directory_fails_until_it_is_recreated() {
         let dir = std::env::temp_dir().join(format!("daleturn-deleted-{}", std::process::id()));
         let _ = fs::remove_dir_all(&dir);
         let (mut store, _) = Store::open(RealDisk::open(&dir).unwrap(), Limits::default()).unwrap();
         let entry = Entry { written_ms: 1, value: vec![1] };
-        let kept =
+        let put_and_sync =
             |store: &mut Store<RealDisk>| store.put("k", "x", entry.clone()).and_then(|()| store.sync());
-        kept(&mut store).unwrap();
+        put_and_sync(&mut store).unwrap();
         fs::remove_dir_all(&dir).unwrap();
         for _ in 0..2 {
-            let refused = kept(&mut store).unwrap_err();
+            let error = put_and_sync(&mut store).unwrap_err();
             assert!(
-                matches!(&refused, StoreError::Disk(e) if e.kind() == io::ErrorKind::NotFound),
-                "{refused}"
+                matches!(&error, StoreError::Disk(e) if e.kind() == io::ErrorKind::NotFound),
+                "{error}"
             );
         }
         fs::create_dir(&dir).unwrap();
-        kept(&mut store).unwrap();
-        // It is held again, too.
+        put_and_sync(&mut store).unwrap();
+        // The recreated directory is locked again.
         assert_eq!(RealDisk::open(&dir).unwrap_err().kind(), io::ErrorKind::WouldBlock);
         drop(store);
         let (store, _) = Store::open(RealDisk::open(&dir).unwrap(), Limits::default()).unwrap();
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -1,69 +1,75 @@
-//! A disk in memory that fails on demand and loses power: what was synced is kept apart from what was not, and of the
-//! latter any part may be there afterwards.
+//! An in-memory disk for tests that injects errors and simulates power loss. It keeps durable data apart
+//! from data that is not synced yet, any part of which may survive a power loss.
 
 use crate::disk::Disk;
 use std::collections::BTreeMap;
 use std::io;
 
-/// A change to a file's content that is not durable yet.
+/// A change of a file's content that is not durable yet.
 #[derive(Clone, Debug)]
 enum Change {
     Write { at: usize, bytes: Vec<u8> },
-    Cut(usize),
+    Truncate(usize),
 }
 
+/// A file's content: what is durable, what is read, and the changes between the two.
 #[derive(Clone, Debug, Default)]
 struct File {
     durable: Vec<u8>,
-    now: Vec<u8>,
-    since: Vec<Change>,
+    current: Vec<u8>,
+    unsynced: Vec<Change>,
 }
 
-/// A change of names that is not durable yet.
+/// A change of file names that is not durable yet.
 #[derive(Clone, Debug)]
-enum Naming {
-    Made(String, usize),
+enum NameChange {
+    Created(String, usize),
     Renamed(String, String, usize),
     Removed(String),
 }
 
-/// What fails next.
+/// Faults to inject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// There is room for so many bytes more.
+    /// Remaining space in bytes; `None` for no limit.
     pub free_bytes: Option<usize>,
-    /// Syncing a file fails this many times; what was not durable then is lost, though it can still be read.
+    /// Number of file syncs that will fail. Data that was not durable at that time is lost after a power
+    /// loss, although it can be read before.
     pub failing_syncs: u32,
-    /// Nothing can be written.
+    /// All writing fails.
     pub read_only: bool,
-    /// Reading fails.
+    /// All reading fails.
     pub unreadable: bool,
 }
 
-/// The disk.
+/// An in-memory disk.
 #[derive(Clone, Debug, Default)]
 pub struct FaultDisk {
     files: Vec<File>,
+    /// Files by their current names.
     names: BTreeMap<String, usize>,
-    durable: BTreeMap<String, usize>,
-    naming: Vec<Naming>,
-    /// What fails.
+    /// Files by their durable names.
+    durable_names: BTreeMap<String, usize>,
+    /// Changes of names since the last sync of names.
+    unsynced_names: Vec<NameChange>,
+    /// Faults to inject.
     pub faults: Faults,
-    /// Operations left until power is lost; none for never.
-    pub power: Option<u64>,
-    /// Operations so far.
+    /// Number of operations until power is lost; `None` for never.
+    pub operations_until_power_loss: Option<u64>,
+    /// Number of operations so far.
     pub operations: u64,
 }
 
-fn lost() -> io::Error {
+fn power_lost() -> io::Error {
     io::Error::other("power lost")
 }
 
 impl FaultDisk {
-    fn operate(&mut self) -> io::Result<()> {
+    /// Counts an operation. Fails once power is lost.
+    fn begin_operation(&mut self) -> io::Result<()> {
         self.operations += 1;
-        match &mut self.power {
-            Some(0) => Err(lost()),
+        match &mut self.operations_until_power_loss {
+            Some(0) => Err(power_lost()),
             Some(n) => {
                 *n -= 1;
                 Ok(())
@@ -72,8 +78,9 @@
         }
     }
 
-    fn written(&mut self) -> io::Result<()> {
-        self.operate()?;
+    /// Counts an operation that writes. Fails on a read-only disk as well.
+    fn begin_write(&mut self) -> io::Result<()> {
+        self.begin_operation()?;
         if self.faults.read_only { Err(io::ErrorKind::ReadOnlyFilesystem.into()) } else { Ok(()) }
     }
 
@@ -81,30 +88,31 @@
         self.names.get(name).copied().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// The disk as the next start may find it. `draw(n)` picks one of n possibilities, for each change that was not
-    /// durable: whether it is there, and how much of it.
+    /// Returns the disk as it may be found after a power loss. For each change that was not durable,
+    /// `draw(n)` chooses one of `n` possibilities: whether the change survives, and how much of it.
     pub fn after_power_loss(&self, mut draw: impl FnMut(usize) -> usize) -> FaultDisk {
-        let mut names = self.durable.clone();
-        // Names may come in any subset; each by itself is whole.
-        for change in &self.naming {
+        let mut names = self.durable_names.clone();
+        // Any subset of the name changes may survive; each is atomic.
+        for change in &self.unsynced_names {
             if draw(2) == 0 {
                 continue;
             }
             match change {
-                Naming::Made(name, file) => drop(names.insert(name.clone(), *file)),
-                Naming::Renamed(from, to, file) => {
+                NameChange::Created(name, file) => drop(names.insert(name.clone(), *file)),
+                NameChange::Renamed(from, to, file) => {
                     names.remove(from);
                     names.insert(to.clone(), *file);
                 }
-                Naming::Removed(name) => drop(names.remove(name)),
+                NameChange::Removed(name) => drop(names.remove(name)),
             }
         }
         let files = self.files.iter().map(|file| {
             let mut content = file.durable.clone();
-            for change in &file.since {
+            for change in &file.unsynced {
                 match change {
                     Change::Write { at, bytes } => {
-                        // Not there, torn at any byte, or whole; before it there may be a hole.
+                        // The write is lost, cut off at any byte, or complete. If an earlier write was
+                        // lost, zeros take its place.
                         let kept = match draw(3) {
                             0 => 0,
                             1 => draw(bytes.len() + 1),
@@ -118,36 +126,36 @@
                             content[*at..end].copy_from_slice(&bytes[..kept]);
                         }
                     }
-                    Change::Cut(length) => {
+                    Change::Truncate(length) => {
                         if draw(2) == 1 {
                             content.truncate(*length);
                         }
                     }
                 }
             }
-            File { durable: content.clone(), now: content, since: Vec::new() }
+            File { durable: content.clone(), current: content, unsynced: Vec::new() }
         });
-        FaultDisk { files: files.collect(), durable: names.clone(), names, ..FaultDisk::default() }
+        FaultDisk { files: files.collect(), durable_names: names.clone(), names, ..FaultDisk::default() }
     }
 
-    /// Changes a byte of a file, as a bad disk would.
-    pub fn spoil(&mut self, name: &str, at: usize) {
+    /// Flips bits of one byte of a file, as a faulty disk would.
+    pub fn corrupt_byte(&mut self, name: &str, at: usize) {
         if let Ok(i) = self.index(name)
-            && let Some(byte) = self.files[i].now.get_mut(at)
+            && let Some(byte) = self.files[i].current.get_mut(at)
         {
             *byte ^= 0x55;
         }
     }
 
-    /// A file's length.
+    /// Returns a file's length in bytes; 0 if it does not exist.
     pub fn length(&self, name: &str) -> usize {
-        self.index(name).map_or(0, |i| self.files[i].now.len())
+        self.index(name).map_or(0, |i| self.files[i].current.len())
     }
 }
 
 impl Disk for FaultDisk {
     fn list(&mut self) -> io::Result<Vec<String>> {
-        self.operate()?;
+        self.begin_operation()?;
         if self.faults.unreadable {
             Err(io::Error::other("EIO"))
         } else {
@@ -156,23 +164,23 @@
     }
 
     fn read(&mut self, name: &str, limit: usize) -> io::Result<Vec<u8>> {
-        self.operate()?;
+        self.begin_operation()?;
         if self.faults.unreadable {
             return Err(io::Error::other("EIO"));
         }
-        let content = &self.files[self.index(name)?].now;
+        let content = &self.files[self.index(name)?].current;
         Ok(content[..content.len().min(limit)].to_vec())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.written()?;
+        self.begin_write()?;
         let i = match self.names.get(name) {
             Some(i) => *i,
             None => {
                 self.files.push(File::default());
                 let i = self.files.len() - 1;
                 self.names.insert(name.to_owned(), i);
-                self.naming.push(Naming::Made(name.to_owned(), i));
+                self.unsynced_names.push(NameChange::Created(name.to_owned(), i));
                 i
             }
         };
@@ -181,32 +189,32 @@
             *free_bytes -= fits;
         }
         let file = &mut self.files[i];
-        let at = file.now.len();
-        file.now.extend_from_slice(&bytes[..fits]);
-        file.since.push(Change::Write { at, bytes: bytes[..fits].to_vec() });
+        let at = file.current.len();
+        file.current.extend_from_slice(&bytes[..fits]);
+        file.unsynced.push(Change::Write { at, bytes: bytes[..fits].to_vec() });
         if fits < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.written()?;
+        self.begin_write()?;
         let i = self.index(name)?;
         let length = usize::try_from(length).unwrap_or(usize::MAX);
-        self.files[i].now.truncate(length);
-        self.files[i].since.push(Change::Cut(length));
+        self.files[i].current.truncate(length);
+        self.files[i].unsynced.push(Change::Truncate(length));
         Ok(())
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.written()?;
+        self.begin_write()?;
         let i = self.index(name)?;
         let file = &mut self.files[i];
         if self.faults.failing_syncs > 0 {
             self.faults.failing_syncs -= 1;
-            // What was not durable is dropped by the system and will not become so, whatever later syncs say.
-            file.since.clear();
+            // As on Linux, a failed sync drops the unsynced data: later syncs succeed without writing it.
+            file.unsynced.clear();
             return Err(io::Error::other("EIO"));
         }
-        for change in std::mem::take(&mut file.since) {
+        for change in std::mem::take(&mut file.unsynced) {
             match change {
                 Change::Write { at, bytes } => {
                     let end = at + bytes.len();
@@ -215,33 +223,33 @@
                     }
                     file.durable[at..end].copy_from_slice(&bytes);
                 }
-                Change::Cut(length) => file.durable.truncate(length),
+                Change::Truncate(length) => file.durable.truncate(length),
             }
         }
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.written()?;
+        self.begin_write()?;
         let i = self.index(from)?;
         self.names.remove(from);
         self.names.insert(to.to_owned(), i);
-        self.naming.push(Naming::Renamed(from.to_owned(), to.to_owned(), i));
+        self.unsynced_names.push(NameChange::Renamed(from.to_owned(), to.to_owned(), i));
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.written()?;
+        self.begin_write()?;
         self.index(name)?;
         self.names.remove(name);
-        self.naming.push(Naming::Removed(name.to_owned()));
+        self.unsynced_names.push(NameChange::Removed(name.to_owned()));
         Ok(())
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
-        self.written()?;
-        self.durable = self.names.clone();
-        self.naming.clear();
+        self.begin_write()?;
+        self.durable_names = self.names.clone();
+        self.unsynced_names.clear();
         Ok(())
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,12 +1,16 @@
-//! Small state that survives crashes and power loss. It knows names and bytes, not what they mean.
+//! A key-value store for small state that survives crashes and power loss. Kinds and keys are strings and
+//! values are bytes; the store does not interpret them.
 //!
-//! A directory holds one generation: a snapshot `G.snap` and a journal `G.log` of what changed since. Each is a header
-//! and records with a length, a number and a checksum. A change is durable once [`Store::sync`] came back. A new
-//! generation is whole on disk, name included, before the one before is removed; so at every moment there is one.
+//! A directory holds one generation: a snapshot `G.snap` and a journal `G.log` of the changes since. Each
+//! file is a header followed by records with a length, a sequence number and a checksum. A change is
+//! durable once [`Store::sync`] has returned without an error. A new generation is written completely and
+//! made durable, including its file names, before the previous one is removed, so a complete generation
+//! exists at every moment.
 //!
-//! - [`disk`] is the one narrow way to files, for real ones and for tests that lose power at any byte.
-//! - [`scripted_faults`] does the same to the disk of a whole process.
-//! - [`store`] is the generation, its journal and its checks.
+//! - [`disk`]: the file operations that the store uses, as a trait, and a real directory that implements it.
+//! - [`faults`]: an in-memory disk for tests that injects errors and loses power at any operation.
+//! - [`scripted_faults`]: the same faults for the real disk of a whole process.
+//! - [`store`]: generations, the journal and their checks.
 
 pub mod disk;
 pub mod faults;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,8 +1,8 @@
-//! The store itself: entries by kind and key, in one generation of a snapshot and a journal.
+//! The store: entries by kind and key, in one generation of a snapshot and a journal.
 //!
-//! Why no embedded database: the state is a few hundred small entries of which each start reads all, the platform
-//! wants one small process, and what counts here is which byte is durable when, which a journal of 300 lines shows and
-//! a test can enumerate.
+//! An embedded database is not used: the state is a few hundred small entries, all of which are read at
+//! each start; the platform expects one small process; and what matters is which byte is durable at which
+//! moment, which a test can enumerate for a journal of 300 lines.
 
 use crate::disk::Disk;
 use serde::{Deserialize, Serialize};
@@ -10,42 +10,44 @@
 use std::io;
 use thiserror::Error;
 
-/// The format that is written; a greater one is another build's.
+/// Format version that this build writes. A greater number comes from a later build.
 pub const FORMAT: u16 = 1;
-/// The least format whose readers understand what is written: a build that goes back finds a file of a later format
-/// that names its own here, and reads it. Entries of kinds that it does not know it keeps as they are.
-pub const LEAST: u16 = 1;
+/// Oldest format version whose readers understand the files that this build writes. It lets an older build
+/// read the files of a newer one after a rollback: a reader accepts a later format if this number in the
+/// header is not above its own format version. A reader keeps entries of unknown kinds unchanged.
+pub const MIN_READER_FORMAT: u16 = 1;
 const MAGIC: [u8; 4] = *b"DLTN";
-/// Magic, format, least format (0 for the format itself), generation, checksum.
-const HEADER: usize = 4 + 2 + 2 + 8 + 4;
-/// Length, number and checksum before each record.
-const FRAME: usize = 4 + 8 + 4;
+/// Size of a file header: magic number, format version, minimum reader version (0 means the format
+/// version), generation, checksum.
+const HEADER_BYTES: usize = 4 + 2 + 2 + 8 + 4;
+/// Size of the frame before each record's payload: length, sequence number, checksum.
+const FRAME_BYTES: usize = 4 + 8 + 4;
 
-/// Bounds of a store.
+/// Size limits of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of all entries together.
-    pub entries: usize,
-    /// Bytes of the journal from which a new generation is begun.
-    pub journal: usize,
+    /// Maximum size of all entries together, in bytes.
+    pub max_entry_bytes: usize,
+    /// Size of the journal, in bytes, above which a new generation is written.
+    pub max_journal_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { entries: 16 << 20, journal: 4 << 20 }
+        Limits { max_entry_bytes: 16 << 20, max_journal_bytes: 4 << 20 }
     }
 }
 
-/// An entry.
+/// A stored value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When it was written, in milliseconds since 1970 by the writer's clock.
+    /// Time of the write in milliseconds since 1970, by the writer's clock.
     pub written_ms: u64,
-    /// What.
+    /// The value.
     pub value: Vec<u8>,
 }
 
-/// One change, as the journal has it; a snapshot is the changes that lead to it.
+/// A change, as recorded in the journal. A snapshot consists of the changes that recreate its entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Record {
     Put {
@@ -57,27 +59,27 @@
         kind: String,
         key: String,
     },
-    /// A snapshot was whole.
+    /// Marks the end of a complete snapshot.
     End {
         entries: u64,
     },
 }
 
-/// Why the store cannot be used.
+/// Error of a store operation.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The disk says why.
+    /// A disk operation failed.
     #[error("{0}")]
     Disk(#[from] io::Error),
-    /// It was written by a later build.
+    /// The file was written by a later build in a format that this build cannot read.
     #[error("{file} has format {found}, this build reads up to {FORMAT}")]
     Newer {
-        /// Which file.
+        /// Name of the file.
         file: String,
-        /// Its format.
+        /// Format version of the file.
         found: u16,
     },
-    /// It would grow beyond its bound.
+    /// The entry would exceed the size limit of all entries, which is given in bytes.
     #[error("full: {0} bytes of entries are allowed")]
     Full(usize),
     /// An entry cannot be encoded.
@@ -85,77 +87,85 @@
     Encode(String),
 }
 
-/// What a start found.
+/// What was found when the store was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// The generation that was taken; 0 for none.
+    /// Generation that was read; 0 if there was none.
     pub generation: u64,
-    /// Records of its journal.
+    /// Number of records read from its journal.
     pub records: u64,
-    /// Bytes that were cut off: a torn tail, or what follows damage, and then the journal is among `quarantined`.
+    /// Bytes of the journal after its last valid record, which were ignored: an incomplete record at the
+    /// end, or everything after a damaged record. In the second case the journal is also listed in
+    /// `quarantined`.
     pub truncated_bytes: u64,
-    /// Files that were damaged, with what they are called now.
+    /// Damaged files: their names and the names to which they were renamed.
     pub quarantined: Vec<(String, String)>,
 }
 
 /// Entries by kind and key.
 pub type Entries = BTreeMap<(String, String), Entry>;
 
-/// The store.
+/// An open store.
 #[derive(Debug)]
 pub struct Store<D> {
     disk: D,
     limits: Limits,
     entries: Entries,
-    bytes: usize,
+    /// Total size of all entries in bytes.
+    entry_bytes: usize,
     generation: u64,
-    /// Number of the next record.
-    next: u64,
-    journal: usize,
-    /// The journal is not to be trusted any more: a sync or a write of it failed.
-    broken: bool,
-    /// Records since the last sync. They go to the disk in one piece, so that a power loss can leave a beginning of
-    /// them and no more: a whole record behind one that is not is damage.
+    /// Sequence number of the next record.
+    next_number: u64,
+    /// Size of the journal in bytes.
+    journal_bytes: usize,
+    /// True after a failed write or sync of the journal, until a new generation is written.
+    journal_failed: bool,
+    /// Records since the last sync. They are appended in one write, so a power loss leaves a prefix of
+    /// them. A valid record after an invalid one is therefore evidence of damage.
     pending: Vec<u8>,
 }
 
-fn name(generation: u64, what: &str) -> String {
-    format!("{generation:016x}.{what}")
+/// Returns the name of a generation's file.
+fn file_name(generation: u64, extension: &str) -> String {
+    format!("{generation:016x}.{extension}")
 }
 
-fn generation_of(file: &str, what: &str) -> Option<u64> {
-    let hex = file.strip_suffix(what)?.strip_suffix('.')?;
+/// Returns the generation of a file name with this extension.
+fn generation_of(file: &str, extension: &str) -> Option<u64> {
+    let hex = file.strip_suffix(extension)?.strip_suffix('.')?;
     if hex.len() == 16 { u64::from_str_radix(hex, 16).ok() } else { None }
 }
 
+/// Encodes a file header.
 fn header(generation: u64) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend(FORMAT.to_le_bytes());
-    bytes.extend(LEAST.to_le_bytes());
+    bytes.extend(MIN_READER_FORMAT.to_le_bytes());
     bytes.extend(generation.to_le_bytes());
     bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
     bytes
 }
 
-fn array<const N: usize>(bytes: &[u8], at: usize) -> Option<[u8; N]> {
+fn read_array<const N: usize>(bytes: &[u8], at: usize) -> Option<[u8; N]> {
     bytes.get(at..at + N)?.try_into().ok()
 }
 
-/// Whether a header is whole and of this generation; a whole one of a later format is told apart.
+/// Returns true if a header is valid and belongs to this generation. A valid header whose format this build
+/// cannot read is an error.
 fn check_header(file: &str, bytes: &[u8], generation: u64) -> Result<bool, StoreError> {
-    let whole = || {
-        let sum = u32::from_le_bytes(array(bytes, HEADER - 4)?);
-        let format = u16::from_le_bytes(array(bytes, 4)?);
-        let least = match u16::from_le_bytes(array(bytes, 6)?) {
+    let parsed = || {
+        let sum = u32::from_le_bytes(read_array(bytes, HEADER_BYTES - 4)?);
+        let format = u16::from_le_bytes(read_array(bytes, 4)?);
+        let min_reader = match u16::from_le_bytes(read_array(bytes, 6)?) {
             0 => format,
-            least => least,
+            min_reader => min_reader,
         };
-        let own = u64::from_le_bytes(array(bytes, 8)?);
-        (bytes.get(..4)? == MAGIC && crc32fast::hash(bytes.get(..HEADER - 4)?) == sum)
-            .then_some((format, least, own))
+        let own = u64::from_le_bytes(read_array(bytes, 8)?);
+        (bytes.get(..4)? == MAGIC && crc32fast::hash(bytes.get(..HEADER_BYTES - 4)?) == sum)
+            .then_some((format, min_reader, own))
     };
-    match whole() {
-        Some((found, least, _)) if least > FORMAT => {
+    match parsed() {
+        Some((found, min_reader, _)) if min_reader > FORMAT => {
             Err(StoreError::Newer { file: file.to_owned(), found })
         }
         Some((.., own)) => Ok(own == generation),
@@ -163,10 +173,11 @@
     }
 }
 
-fn frame(number: u64, record: &Record) -> Result<Vec<u8>, StoreError> {
+/// Encodes a record with its frame.
+fn encode_record(number: u64, record: &Record) -> Result<Vec<u8>, StoreError> {
     let payload = postcard::to_stdvec(record).map_err(|e| StoreError::Encode(e.to_string()))?;
     let length = u32::try_from(payload.len()).map_err(|e| StoreError::Encode(e.to_string()))?;
-    let mut bytes = Vec::with_capacity(FRAME + payload.len());
+    let mut bytes = Vec::with_capacity(FRAME_BYTES + payload.len());
     bytes.extend(length.to_le_bytes());
     bytes.extend(number.to_le_bytes());
     let mut sum = crc32fast::Hasher::new();
@@ -177,43 +188,45 @@
     Ok(bytes)
 }
 
-/// Reads records with rising numbers from `first` on, up to the first that is not whole; where that begins, and
-/// whether it is the end.
-fn records(bytes: &[u8], first: u64, mut take: impl FnMut(Record)) -> (usize, u64) {
-    let (mut at, mut number) = (HEADER, first);
+/// Reads records with consecutive sequence numbers, starting at `first`, up to the first invalid one.
+/// Returns the offset where the valid records end and the next sequence number.
+fn read_records(bytes: &[u8], first: u64, mut on_record: impl FnMut(Record)) -> (usize, u64) {
+    let (mut at, mut number) = (HEADER_BYTES, first);
     loop {
         let record = || {
-            let payload = framed(bytes, at, number..number + 1)?;
-            Some((postcard::from_bytes(payload).ok()?, at + FRAME + payload.len()))
+            let payload = valid_payload(bytes, at, number..number + 1)?;
+            Some((postcard::from_bytes(payload).ok()?, at + FRAME_BYTES + payload.len()))
         };
         let Some((record, end)) = record() else { return (at, number) };
-        take(record);
+        on_record(record);
         (at, number) = (end, number + 1);
     }
 }
 
-/// A whole record that starts at `at`, of a number in `numbers`: its payload.
-fn framed(bytes: &[u8], at: usize, numbers: std::ops::Range<u64>) -> Option<&[u8]> {
-    let length = u32::from_le_bytes(array(bytes, at)?) as usize;
-    if !numbers.contains(&u64::from_le_bytes(array(bytes, at + 4)?)) {
+/// Returns the payload of the record at offset `at`, if it is valid and its sequence number is in
+/// `numbers`.
+fn valid_payload(bytes: &[u8], at: usize, numbers: std::ops::Range<u64>) -> Option<&[u8]> {
+    let length = u32::from_le_bytes(read_array(bytes, at)?) as usize;
+    if !numbers.contains(&u64::from_le_bytes(read_array(bytes, at + 4)?)) {
         return None;
     }
-    let sum = u32::from_le_bytes(array(bytes, at + 12)?);
-    let payload = bytes.get(at + FRAME..at.checked_add(FRAME)?.checked_add(length)?)?;
+    let sum = u32::from_le_bytes(read_array(bytes, at + 12)?);
+    let payload = bytes.get(at + FRAME_BYTES..at.checked_add(FRAME_BYTES)?.checked_add(length)?)?;
     let mut own = crc32fast::Hasher::new();
     own.update(bytes.get(at..at + 12)?);
     own.update(payload);
     (own.finalize() == sum).then_some(payload)
 }
 
-/// Whether a whole record of a later number follows where the journal seemed to end: then it is damaged within, and
-/// not torn at its tail.
-fn later(bytes: &[u8], end: usize, number: u64) -> bool {
-    // A record has 16 bytes at least, so no number beyond this can be in what is left.
-    let most = number + 1 + (bytes.len().saturating_sub(end) / FRAME) as u64;
-    (end..bytes.len()).any(|at| framed(bytes, at, number + 1..most).is_some())
+/// Returns true if a valid record with a later sequence number follows the apparent end of the journal. The
+/// journal is then damaged in the middle and not just incomplete at its end.
+fn has_later_record(bytes: &[u8], end: usize, number: u64) -> bool {
+    // A record has at least 16 bytes, which bounds the sequence numbers that fit into the remaining bytes.
+    let max_number = number + 1 + (bytes.len().saturating_sub(end) / FRAME_BYTES) as u64;
+    (end..bytes.len()).any(|at| valid_payload(bytes, at, number + 1..max_number).is_some())
 }
 
+/// Applies a change to the entries.
 fn apply(entries: &mut Entries, record: Record) {
     match record {
         Record::Put { kind, key, entry } => drop(entries.insert((kind, key), entry)),
@@ -222,29 +235,32 @@
     }
 }
 
-fn size(kind: &str, key: &str, entry: &Entry) -> usize {
+/// Returns the size of an entry as counted against `Limits::max_entry_bytes`: its strings, its value and 32
+/// bytes.
+fn entry_size(kind: &str, key: &str, entry: &Entry) -> usize {
     kind.len() + key.len() + entry.value.len() + 32
 }
 
 impl<D: Disk> Store<D> {
-    /// Reads what is there, every byte of it checked, and begins a generation of its own: whole, and on disk. A torn
-    /// tail of the journal is cut; damaged files are moved aside, never removed.
+    /// Opens a store: reads and checks every byte and writes a new generation. An incomplete record at the
+    /// end of the journal is dropped; damaged files are renamed, never removed.
     ///
     /// # Errors
-    /// The disk fails, or holds a later format; nothing is changed then.
+    /// Returns an error if the disk fails or holds a later format that this build cannot read. A later
+    /// format is left unchanged.
     pub fn open(mut disk: D, limits: Limits) -> Result<(Store<D>, Report), StoreError> {
         let mut report = Report::default();
-        let (entries, damaged, newest) = read(&mut disk, limits, &mut report)?;
-        let bytes = entries.iter().map(|((kind, key), e)| size(kind, key, e)).sum();
+        let (entries, damaged, newest) = read_newest_generation(&mut disk, limits, &mut report)?;
+        let entry_bytes = entries.iter().map(|((kind, key), e)| entry_size(kind, key, e)).sum();
         let mut store = Store {
             disk,
             limits,
             entries,
-            bytes,
+            entry_bytes,
             generation: newest,
-            next: 0,
-            journal: 0,
-            broken: false,
+            next_number: 0,
+            journal_bytes: 0,
+            journal_failed: false,
             pending: Vec::new(),
         };
         for file in damaged {
@@ -256,57 +272,60 @@
         Ok((store, report))
     }
 
-    /// Reads what is there and changes nothing.
+    /// Reads a store without changing it. Returns the entries, the names of damaged files and the report.
     ///
     /// # Errors
-    /// As [`Store::open`].
+    /// Returns the errors of [`Store::open`].
     pub fn inspect(disk: &mut D, limits: Limits) -> Result<(Entries, Vec<String>, Report), StoreError> {
         let mut report = Report::default();
-        let (entries, damaged, _) = read(disk, limits, &mut report)?;
+        let (entries, damaged, _) = read_newest_generation(disk, limits, &mut report)?;
         Ok((entries, damaged, report))
     }
 
-    /// An entry.
+    /// Returns an entry.
     pub fn get(&self, kind: &str, key: &str) -> Option<&Entry> {
         self.entries.get(&(kind.to_owned(), key.to_owned()))
     }
 
-    /// All entries of a kind, by key.
+    /// Returns all entries of a kind, by key.
     pub fn of_kind<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = (&'a str, &'a Entry)> {
         self.entries.iter().filter(move |((k, _), _)| k == kind).map(|((_, key), e)| (key.as_str(), e))
     }
 
-    /// Puts an entry in place of what was under its key. Durable after [`Store::sync`].
+    /// Writes an entry and replaces the previous one of that key. Durable after [`Store::sync`].
     ///
     /// # Errors
-    /// It is full, or the journal is and the disk fails; then the entry is as it was.
+    /// Returns an error if the store is full, or if the journal is full and the new generation cannot be
+    /// written. The entry is then unchanged.
     pub fn put(&mut self, kind: &str, key: &str, entry: Entry) -> Result<(), StoreError> {
-        let before = self.get(kind, key).map_or(0, |e| size(kind, key, e));
-        let bytes = self.bytes - before + size(kind, key, &entry);
-        if bytes > self.limits.entries {
-            return Err(StoreError::Full(self.limits.entries));
+        let before = self.get(kind, key).map_or(0, |e| entry_size(kind, key, e));
+        let entry_bytes = self.entry_bytes - before + entry_size(kind, key, &entry);
+        if entry_bytes > self.limits.max_entry_bytes {
+            return Err(StoreError::Full(self.limits.max_entry_bytes));
         }
         self.write(Record::Put { kind: kind.to_owned(), key: key.to_owned(), entry })?;
-        self.bytes = bytes;
+        self.entry_bytes = entry_bytes;
         Ok(())
     }
 
     /// Removes an entry. Durable after [`Store::sync`].
     ///
     /// # Errors
-    /// The journal is full and the disk fails; then the entry is as it was.
+    /// Returns an error if the journal is full and the new generation cannot be written. The entry is then
+    /// unchanged.
     pub fn remove(&mut self, kind: &str, key: &str) -> Result<(), StoreError> {
-        let Some(before) = self.get(kind, key).map(|e| size(kind, key, e)) else { return Ok(()) };
+        let Some(before) = self.get(kind, key).map(|e| entry_size(kind, key, e)) else { return Ok(()) };
         self.write(Record::Remove { kind: kind.to_owned(), key: key.to_owned() })?;
-        self.bytes -= before;
+        self.entry_bytes -= before;
         Ok(())
     }
 
+    /// Adds a record to the journal, or writes a new generation if the journal is full or has failed.
     fn write(&mut self, record: Record) -> Result<(), StoreError> {
-        let bytes = frame(self.next, &record)?;
-        if !self.broken && self.journal + bytes.len() <= self.limits.journal {
-            self.next += 1;
-            self.journal += bytes.len();
+        let bytes = encode_record(self.next_number, &record)?;
+        if !self.journal_failed && self.journal_bytes + bytes.len() <= self.limits.max_journal_bytes {
+            self.next_number += 1;
+            self.journal_bytes += bytes.len();
             self.pending.extend(bytes);
             apply(&mut self.entries, record);
             return Ok(());
@@ -316,97 +335,100 @@
         self.compact().inspect_err(|_| self.entries = before)
     }
 
-    /// Makes all that was written durable. After a failure the journal is never believed again: the next change, or
-    /// the next call, writes all of it anew. What could not be made durable stays in memory and is written with that,
-    /// unless it is taken back.
+    /// Makes all changes durable. After a failure the journal is not used again: the next change or the
+    /// next call of this method writes a new generation. Changes that could not be made durable stay in
+    /// memory and are part of that generation, unless the caller reverts them.
     ///
     /// # Errors
-    /// It is not durable.
+    /// Returns an error if the changes are not durable.
     pub fn sync(&mut self) -> Result<(), StoreError> {
-        if self.broken {
+        if self.journal_failed {
             return self.compact();
         }
         if self.pending.is_empty() {
             return Ok(());
         }
-        let (pending, log) = (std::mem::take(&mut self.pending), name(self.generation, "log"));
+        let (pending, log) = (std::mem::take(&mut self.pending), file_name(self.generation, "log"));
         let written = self.disk.append(&log, &pending).and_then(|()| self.disk.sync(&log));
-        // Part of it may be there: nothing may follow it.
-        self.broken = written.is_err();
+        // After a failure, part of the data may be in the file, so nothing may be appended after it.
+        self.journal_failed = written.is_err();
         Ok(written?)
     }
 
-    /// Begins a new generation: whole and durable, name included, before the one before goes.
+    /// Writes a new generation and makes it durable, including its file names, before removing the previous
+    /// one.
     ///
     /// # Errors
-    /// The disk fails; the generation before is untouched.
+    /// Returns an error if the disk fails. The previous generation is then unchanged.
     pub fn compact(&mut self) -> Result<(), StoreError> {
-        // Whatever a failed attempt left has a name that is not used again.
+        // Each attempt uses a new number, since a failed attempt may have left files under its number.
         let generation = self.generation + 1;
         self.generation = generation;
-        self.broken = true;
-        let draft = name(generation, "draft");
+        self.journal_failed = true;
+        let draft = file_name(generation, "draft");
         let mut bytes = header(generation);
         let mut number = 0;
         for ((kind, key), entry) in &self.entries {
             let record = Record::Put { kind: kind.clone(), key: key.clone(), entry: entry.clone() };
-            bytes.extend(frame(number, &record)?);
+            bytes.extend(encode_record(number, &record)?);
             number += 1;
         }
-        bytes.extend(frame(number, &Record::End { entries: number })?);
-        let log = name(generation, "log");
+        bytes.extend(encode_record(number, &Record::End { entries: number })?);
+        let log = file_name(generation, "log");
         let written = (|| {
             self.disk.append(&draft, &bytes)?;
             self.disk.sync(&draft)?;
             self.disk.append(&log, &header(generation))?;
             self.disk.sync(&log)?;
-            // The snapshot's name is what makes the generation: it comes last. A journal whose own name was lost
-            // before that is empty.
-            self.disk.rename(&draft, &name(generation, "snap"))?;
+            // The rename of the snapshot makes the generation valid, so it comes last. If the journal's
+            // name is lost before that, the journal was still empty.
+            self.disk.rename(&draft, &file_name(generation, "snap"))?;
             self.disk.sync_names()
         })();
         if let Err(e) = written {
-            // What it left is only room lost; the next start clears it.
+            // A leftover file only takes up space; the next generation removes it.
             let _ = self.disk.remove(&draft);
             return Err(e.into());
         }
-        (self.next, self.journal, self.broken) = (number + 1, HEADER, false);
+        (self.next_number, self.journal_bytes, self.journal_failed) = (number + 1, HEADER_BYTES, false);
         self.pending.clear();
         for file in self.disk.list()? {
-            let old = ["snap", "log", "draft"]
+            let is_old = ["snap", "log", "draft"]
                 .iter()
                 .any(|w| generation_of(&file, w).is_some_and(|g| g < generation));
-            if old {
-                // One that stays is cleared with the next generation.
+            if is_old {
+                // A file that cannot be removed now is removed with the next generation.
                 let _ = self.disk.remove(&file);
             }
         }
         Ok(())
     }
 
-    /// Entries and bytes of them.
+    /// Returns the number of entries and their total size in bytes.
     pub fn size(&self) -> (usize, usize) {
-        (self.entries.len(), self.bytes)
+        (self.entries.len(), self.entry_bytes)
     }
 
-    /// The disk.
+    /// Returns the disk.
     pub fn disk(&mut self) -> &mut D {
         &mut self.disk
     }
 
-    /// Gives the disk back.
+    /// Closes the store and returns the disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
 }
 
-/// The entries of the newest whole generation, the files that are damaged, and the greatest generation in use.
-fn read<D: Disk>(
+/// Returns the entries of the newest complete generation, the names of damaged files, and the greatest
+/// generation number in use.
+fn read_newest_generation<D: Disk>(
     disk: &mut D,
     limits: Limits,
     report: &mut Report,
 ) -> Result<(Entries, Vec<String>, u64), StoreError> {
-    let most = HEADER + 4 * limits.entries.max(limits.journal) + (1 << 20);
+    let max_file_bytes =
+        HEADER_BYTES + 4 * limits.max_entry_bytes.max(limits.max_journal_bytes) + (1 << 20);
     let names = disk.list()?;
     let mut generations: Vec<u64> = names.iter().filter_map(|n| generation_of(n, "snap")).collect();
     generations.sort_unstable_by(|a, b| b.cmp(a));
@@ -414,31 +436,32 @@
     let newest = names.iter().filter_map(of).max().unwrap_or(0);
     let mut damaged = Vec::new();
     for generation in generations {
-        let snap = name(generation, "snap");
-        let bytes = disk.read(&snap, most)?;
+        let snap = file_name(generation, "snap");
+        let bytes = disk.read(&snap, max_file_bytes)?;
         let mut entries = Entries::new();
-        let mut ended = None;
-        let own = check_header(&snap, &bytes, generation)?;
-        let (end, next) = records(&bytes, 0, |record| {
+        let mut end_record = None;
+        let is_own_header = check_header(&snap, &bytes, generation)?;
+        let (end, next) = read_records(&bytes, 0, |record| {
             if let Record::End { entries } = record {
-                ended = Some(entries);
+                end_record = Some(entries);
             }
             apply(&mut entries, record);
         });
-        let whole =
-            own && end == bytes.len() && ended.is_some_and(|n| n + 1 == next && n == entries.len() as u64);
-        if !whole {
+        let is_complete = is_own_header
+            && end == bytes.len()
+            && end_record.is_some_and(|n| n + 1 == next && n == entries.len() as u64);
+        if !is_complete {
             damaged.push(snap);
             continue;
         }
-        let log = name(generation, "log");
+        let log = file_name(generation, "log");
         if names.contains(&log) {
-            let bytes = disk.read(&log, most)?;
+            let bytes = disk.read(&log, max_file_bytes)?;
             if check_header(&log, &bytes, generation)? {
-                let (end, after) = records(&bytes, next, |record| apply(&mut entries, record));
+                let (end, after) = read_records(&bytes, next, |record| apply(&mut entries, record));
                 report.records = after - next;
                 report.truncated_bytes = (bytes.len() - end) as u64;
-                if later(&bytes, end, after) {
+                if has_later_record(&bytes, end, after) {
                     damaged.push(log);
                 }
             } else {
@@ -451,21 +474,22 @@
     Ok((Entries::new(), damaged, newest))
 }
 
-/// Has the reader take any bytes as a snapshot and a journal, and the store go on from what it makes of them: for the
-/// fuzzer, and for the replay of its corpus. The first two bytes tell how long the snapshot is.
+/// Opens a store with arbitrary bytes as its snapshot and journal, writes an entry and opens it again. Used
+/// by the fuzzer and by the replay of its corpus. The first two bytes give the snapshot's length.
 ///
 /// # Panics
-/// What was read cannot be written and read again as it was.
+/// Panics if durable entries are not read back unchanged.
 pub fn exercise(bytes: &[u8]) {
-    let limits = Limits { entries: 1 << 16, journal: 1 << 12 };
+    let limits = Limits { max_entry_bytes: 1 << 16, max_journal_bytes: 1 << 12 };
     let (length, rest) = match bytes.split_first_chunk::<2>() {
         Some((length, rest)) => (usize::from(u16::from_le_bytes(*length)), rest),
         None => (0, bytes),
     };
     let (snap, log) = rest.split_at(length.min(rest.len()));
     let mut disk = crate::faults::FaultDisk::default();
-    let laid = disk.append(&name(1, "snap"), snap).and_then(|()| disk.append(&name(1, "log"), log));
-    if laid.is_err() {
+    let written =
+        disk.append(&file_name(1, "snap"), snap).and_then(|()| disk.append(&file_name(1, "log"), log));
+    if written.is_err() {
         return;
     }
     let Ok((mut store, _)) = Store::open(disk, limits) else { return };
@@ -475,7 +499,7 @@
     let again = Store::open(store.into_disk(), limits);
     if synced {
         let again = again.map(|(store, report)| (store.entries, report.quarantined.is_empty()));
-        assert_eq!(again.ok(), Some((before, true)), "what was durable is read again");
+        assert_eq!(again.ok(), Some((before, true)), "durable entries are read back");
     }
 }
 
@@ -484,18 +508,18 @@
     use super::*;
     use crate::faults::{FaultDisk, Faults};
 
-    const SMALL: Limits = Limits { entries: 4096, journal: 300 };
+    const SMALL: Limits = Limits { max_entry_bytes: 4096, max_journal_bytes: 300 };
 
     fn entry(n: u64) -> Entry {
         Entry { written_ms: n, value: n.to_le_bytes().to_vec() }
     }
 
     fn opened(disk: FaultDisk) -> (Store<FaultDisk>, Report) {
-        Store::open(disk, SMALL).expect("it opens")
+        Store::open(disk, SMALL).expect("the store opens")
     }
 
     #[test]
-    fn a_later_format_is_read_where_it_says_that_it_may_be_and_else_left_alone() {
+    fn later_format_is_read_if_its_header_allows_and_is_refused_otherwise() {
         let (mut store, _) = opened(FaultDisk::default());
         store.put("cordon", "s-1", entry(1)).unwrap();
         store.put("of a later build", "x", entry(2)).unwrap();
@@ -505,19 +529,23 @@
             let mut disk = disk.clone();
             for file in disk.list().unwrap() {
                 let bytes = disk.read(&file, usize::MAX).unwrap();
-                let mut header = bytes[..HEADER - 4].to_vec();
+                let mut header = bytes[..HEADER_BYTES - 4].to_vec();
                 header[4..6].copy_from_slice(&(FORMAT + 1).to_le_bytes());
                 header[6..8].copy_from_slice(&least.to_le_bytes());
                 header.extend(crc32fast::hash(&header).to_le_bytes());
                 disk.truncate(&file, 0).unwrap();
-                disk.append(&file, &[&header, &bytes[HEADER..]].concat()).unwrap();
+                disk.append(&file, &[&header, &bytes[HEADER_BYTES..]].concat()).unwrap();
             }
             disk
         };
         let (store, report) = opened(later(FORMAT));
         assert!(report.quarantined.is_empty() && report.truncated_bytes == 0, "{report:?}");
         assert_eq!(store.get("cordon", "s-1"), Some(&entry(1)));
-        assert_eq!(store.get("of a later build", "x"), Some(&entry(2)), "kept for its next start");
+        assert_eq!(
+            store.get("of a later build", "x"),
+            Some(&entry(2)),
+            "entries of unknown kinds are kept"
+        );
         for least in [0, FORMAT + 1] {
             let refused = Store::open(later(least), SMALL).unwrap_err();
             assert!(matches!(refused, StoreError::Newer { found, .. } if found == FORMAT + 1), "{refused}");
@@ -525,23 +553,23 @@
     }
 
     #[test]
-    fn a_journal_that_is_damaged_within_is_moved_aside_and_a_torn_one_is_cut() {
+    fn damaged_journal_is_quarantined_and_incomplete_one_is_truncated() {
         let (mut store, _) = opened(FaultDisk::default());
         for n in 0..4 {
             store.put("k", &format!("{n}"), entry(n)).unwrap();
         }
         store.sync().unwrap();
-        let log = name(store.generation, "log");
+        let log = file_name(store.generation, "log");
         let whole = store.into_disk();
         let length = whole.length(&log);
-        // Its second record: the first is believed, and the file with the two behind it is kept.
-        let mut spoilt = whole.clone();
-        spoilt.spoil(&log, HEADER + (length - HEADER) / 4 + 20);
-        let (store, report) = opened(spoilt);
+        // Damage in the second record: the first one is used, and the file with the other two is kept.
+        let mut damaged = whole.clone();
+        damaged.corrupt_byte(&log, HEADER_BYTES + (length - HEADER_BYTES) / 4 + 20);
+        let (store, report) = opened(damaged);
         assert_eq!(report.quarantined, [(log.clone(), format!("damaged-{log}"))]);
         assert_eq!(store.entries.len(), 1);
         assert_eq!(store.into_disk().length(&format!("damaged-{log}")), length);
-        // The last one: that is what a power loss leaves.
+        // An incomplete last record, as after a power loss.
         let mut torn = whole;
         torn.truncate(&log, length as u64 - 3).unwrap();
         let (store, report) = opened(torn);
@@ -550,7 +578,7 @@
     }
 
     #[test]
-    fn what_was_put_is_there_after_a_start() {
+    fn entries_are_present_after_reopening() {
         let (mut store, report) = opened(FaultDisk::default());
         assert_eq!(report, Report::default());
         for n in 0..40 {
@@ -569,7 +597,7 @@
     }
 
     #[test]
-    fn a_store_that_is_full_says_so_and_stays_as_it_was() {
+    fn full_store_rejects_an_entry_and_stays_unchanged() {
         let (mut store, _) = opened(FaultDisk::default());
         let big = Entry { written_ms: 0, value: vec![7; 3000] };
         store.put("k", "a", big.clone()).unwrap();
@@ -580,13 +608,13 @@
     }
 
     #[test]
-    fn a_later_format_is_refused_and_nothing_is_touched() {
+    fn refused_later_format_is_left_unchanged() {
         let mut disk = FaultDisk::default();
         let mut bytes = header(5);
         (bytes[4], bytes[6]) = (9, 9);
-        let sum = crc32fast::hash(&bytes[..HEADER - 4]);
-        bytes[HEADER - 4..].copy_from_slice(&sum.to_le_bytes());
-        disk.append(&name(5, "snap"), &bytes).unwrap();
+        let sum = crc32fast::hash(&bytes[..HEADER_BYTES - 4]);
+        bytes[HEADER_BYTES - 4..].copy_from_slice(&sum.to_le_bytes());
+        disk.append(&file_name(5, "snap"), &bytes).unwrap();
         let before = disk.list().unwrap();
         let mut kept = disk.clone();
         assert!(matches!(Store::open(disk, SMALL), Err(StoreError::Newer { found: 9, .. })));
@@ -594,7 +622,7 @@
     }
 
     #[test]
-    fn a_spoilt_byte_is_seen_wherever_it_is_and_the_file_is_kept_aside() {
+    fn damage_of_any_byte_is_detected_and_the_file_is_quarantined() {
         let (mut store, _) = opened(FaultDisk::default());
         for n in 0..3 {
             store.put("k", &n.to_string(), entry(n)).unwrap();
@@ -602,28 +630,28 @@
         store.compact().unwrap();
         store.put("k", "9", entry(9)).unwrap();
         store.sync().unwrap();
-        let (snap, log) = (name(store.generation, "snap"), name(store.generation, "log"));
+        let (snap, log) = (file_name(store.generation, "snap"), file_name(store.generation, "log"));
         let whole = store.entries.clone();
         let disk = store.into_disk();
         for at in 0..disk.length(&snap) {
-            let mut spoilt = disk.clone();
-            spoilt.spoil(&snap, at);
-            let read = Store::open(spoilt, SMALL);
-            // A spoilt format number may read as a later one, if its checksum did not tell.
-            let (store, report) = read.expect("it starts");
+            let mut damaged = disk.clone();
+            damaged.corrupt_byte(&snap, at);
+            let read = Store::open(damaged, SMALL);
+            // The header checksum keeps a damaged format number from being read as a later format.
+            let (store, report) = read.expect("the store opens");
             assert!(store.entries.is_empty() && report.quarantined.len() == 1, "byte {at}");
         }
         for at in 0..disk.length(&log) {
-            let mut spoilt = disk.clone();
-            spoilt.spoil(&log, at);
-            let (store, _) = Store::open(spoilt, SMALL).expect("it starts");
+            let mut damaged = disk.clone();
+            damaged.corrupt_byte(&log, at);
+            let (store, _) = Store::open(damaged, SMALL).expect("the store opens");
             assert!(store.entries.iter().all(|(k, e)| whole.get(k) == Some(e)), "byte {at}");
-            assert_eq!(store.entries.len(), 3, "byte {at}: the record is not whole");
+            assert_eq!(store.entries.len(), 3, "byte {at}: the damaged record is dropped");
         }
     }
 
     #[test]
-    fn no_room_and_a_failed_sync_are_never_taken_for_success() {
+    fn full_disk_and_failed_sync_are_reported() {
         let (mut store, _) = opened(FaultDisk::default());
         store.put("k", "a", entry(1)).unwrap();
         store.sync().unwrap();
@@ -631,12 +659,12 @@
         assert!(store.put("k", "b", entry(2)).and_then(|()| store.sync()).is_err());
         assert!(
             store.remove("k", "b").is_err() && store.get("k", "b").is_some(),
-            "still no room to take it back"
+            "the entry cannot be removed while the disk is full"
         );
         store.disk().faults = Faults::default();
         store.put("k", "b", entry(2)).unwrap();
         store.sync().unwrap();
-        // A sync that fails once and then succeeds has lost what was written.
+        // A sync that fails once and then succeeds has still lost the written data.
         store.put("k", "c", entry(3)).unwrap();
         store.disk().faults = Faults { failing_syncs: 1, ..Faults::default() };
         assert!(store.sync().is_err());
@@ -651,8 +679,9 @@
         assert!(matches!(Store::open(disk, SMALL), Err(StoreError::Disk(_))));
     }
 
-    /// Plays changes until power is lost at the given operation. Hands back the disk, what was acknowledged as durable
-    /// last, and every state since: one of these must be found, whole.
+    /// Makes random changes until power is lost at the given operation, or until all steps are done.
+    /// Returns the disk, the states that may be found on it, and true if all steps were done. The states
+    /// are the one that was durable last and every state since.
     fn until_power_loss(
         disk: FaultDisk,
         power: u64,
@@ -660,13 +689,14 @@
         steps: u64,
     ) -> (FaultDisk, Vec<Entries>, bool) {
         let mut disk = disk;
-        disk.power = Some(power);
+        disk.operations_until_power_loss = Some(power);
         let mut rng = fastrand::Rng::with_seed(seed);
-        // A copy of the disk, as the power loss leaves it, is taken from the store that dies.
+        // `Store::open` gets a copy of the disk; the disk of the interrupted store is returned.
         let mut states = Vec::new();
         let (mut store, _) = match Store::open(disk.clone(), SMALL) {
             Ok(opened) => opened,
-            // Lost while it started: the disk as far as that came is played again, step by step.
+            // Power was lost while the store was opened, which consumed the copy: repeat the same
+            // operations on a disk that is kept.
             Err(_) => return (replay_open(disk), states, false),
         };
         states.push(store.entries.clone());
@@ -677,7 +707,7 @@
                 _ => store.put("k", &key, entry(n)),
             };
             if done.is_err() {
-                // Whether it is there is open: both are whole states.
+                // The failed change may or may not be on disk: both states are valid.
                 let mut other = store.entries.clone();
                 other.insert(("k".to_owned(), key.clone()), entry(n));
                 states.push(other);
@@ -697,7 +727,7 @@
         (store.into_disk(), states, true)
     }
 
-    /// An open that dies keeps its disk to itself: it is done again on a shared one.
+    /// Opens a store on a borrowed disk, so that the disk is available after the open has failed.
     fn replay_open(disk: FaultDisk) -> FaultDisk {
         struct Shared<'a>(&'a mut FaultDisk);
         impl Disk for Shared<'_> {
@@ -731,27 +761,28 @@
         disk
     }
 
-    fn found(disk: &FaultDisk, states: &[Entries], what: &str) {
-        let (mut store, report) = Store::open(disk.clone(), SMALL).expect("it starts whatever is there");
+    fn assert_state_found(disk: &FaultDisk, states: &[Entries], what: &str) {
+        let (mut store, report) =
+            Store::open(disk.clone(), SMALL).expect("the store opens after any power loss");
         assert!(
             states.contains(&store.entries),
             "{what}: {:?} {report:?} not one of {states:?}",
             store.entries
         );
-        assert!(report.quarantined.is_empty(), "{what}: nothing is damaged by a power loss: {report:?}");
-        // And it goes on.
+        assert!(report.quarantined.is_empty(), "{what}: a power loss leaves no damaged file: {report:?}");
+        // The store accepts further changes.
         store.put("k", "again", entry(1)).unwrap();
         store.sync().unwrap();
     }
 
     #[test]
-    fn short_runs_survive_a_power_loss_at_every_operation_whatever_is_left() {
+    fn short_runs_survive_a_power_loss_at_every_operation_with_every_surviving_state() {
         let mut points = 0_u64;
         for seed in 0..100 {
             for power in 0.. {
                 let (disk, states, ended) = until_power_loss(FaultDisk::default(), power, seed, 4);
                 let states = if states.is_empty() { vec![Entries::new()] } else { states };
-                // Every choice of what is left, as digits of a number that counts up.
+                // Enumerates every combination of what survives, as the digits of a counter.
                 let mut choices: Vec<(usize, usize)> = Vec::new();
                 for _ in 0..1000 {
                     let mut n = 0;
@@ -764,7 +795,11 @@
                         choices[n - 1].0.min(of - 1)
                     });
                     choices.truncate(n);
-                    found(&left, &states, &format!("seed {seed} power {power} choices {choices:?}"));
+                    assert_state_found(
+                        &left,
+                        &states,
+                        &format!("seed {seed} power {power} choices {choices:?}"),
+                    );
                     points += 1;
                     while choices.last().is_some_and(|(c, of)| c + 1 >= *of) {
                         choices.pop();
@@ -783,7 +818,7 @@
     }
 
     #[test]
-    fn long_runs_survive_power_losses_one_after_the_other() {
+    fn long_runs_survive_repeated_power_losses() {
         let mut rng = fastrand::Rng::with_seed(11);
         for run in 0..400 {
             let mut disk = FaultDisk::default();
@@ -797,7 +832,7 @@
                 let mut drawn = Vec::new();
                 for _ in 0..32 {
                     let left = dead.after_power_loss(|of| rng.usize(0..of));
-                    found(&left, &known, &format!("run {run} loss {loss}"));
+                    assert_state_found(&left, &known, &format!("run {run} loss {loss}"));
                     drawn.push(left);
                 }
                 disk = drawn.swap_remove(rng.usize(0..drawn.len()));
--- a/fuzz/fuzz_targets/reader.rs
+++ b/fuzz/fuzz_targets/reader.rs
@@ -1,5 +1,6 @@
-//! Feeds a store's reader with any bytes as its snapshot and journal: `cargo +nightly fuzz run reader`, from `fuzz/..`.
-//! What it finds goes into `fuzz/corpus/reader`, which the store's tests replay.
+//! Feeds arbitrary bytes to the store's reader as its snapshot and journal. Run it with `cargo +nightly
+//! fuzz run reader` in the repository's root directory. Inputs that it finds go into `fuzz/corpus/reader`,
+//! which the store's tests replay.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
