--- a/src/balancer_state.rs
+++ b/src/balancer_state.rs
@@ -1,5 +1,5 @@
-//! State of a balancer as others see it: snapshots for operators, the memory that the next process of the node restores,
-//! and changes of settings. Nothing is decided here.
+//! State of a balancer as others see it: snapshots for operators, the memory that the next process of the node
+//! restores, and changes of settings. Nothing is decided here.
 
 use crate::counters::LoadSnapshot;
 use crate::interface::{
@@ -41,8 +41,12 @@
             let prat = b.failure_record.congested.then_some(b.failure_record.prat);
             BackendMemory { backend: b.id, limit: b.cap.limit, cut_at: b.cap.cut_at, prat }
         };
-        let times = |l: &ClassStatistics| {
-            if l.answers < 20 { [0.0; 4] } else { [l.mean_ms, l.deviation_ms, l.p80_ms, l.usual_ms] }
+        let times = |stats: &ClassStatistics| {
+            if stats.answers < 20 {
+                [0.0; 4]
+            } else {
+                [stats.mean_ms, stats.deviation_ms, stats.p80_ms, stats.usual_ms]
+            }
         };
         let classes = self.class_statistics.iter().map(times).collect();
         Memory {
@@ -66,10 +70,11 @@
             (b.failure_record.congested, b.failure_record.prat) =
                 (remembered.prat.is_some(), remembered.prat.unwrap_or(0.0));
         }
-        for (l, times) in self.class_statistics.iter_mut().zip(&memory.classes).filter(|(_, t)| t[0] > 0.0)
+        for (stats, times) in
+            self.class_statistics.iter_mut().zip(&memory.classes).filter(|(_, t)| t[0] > 0.0)
         {
-            [l.mean_ms, l.deviation_ms, l.p80_ms, l.usual_ms] = *times;
-            l.answers = 20;
+            [stats.mean_ms, stats.deviation_ms, stats.p80_ms, stats.usual_ms] = *times;
+            stats.answers = 20;
         }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,9 +1,9 @@
 //! The input and output of a [`Balancer`](crate::Balancer): settings, events and actions. The only logic here is the
 //! validation of settings.
 //!
-//! All times are milliseconds of one monotonic clock with an arbitrary origin, and are passed in with each event. A host
-//! passes [`Event`]s in the order in which they happened and carries out the [`Action`]s in the order in which they are
-//! returned.
+//! All times are milliseconds of one monotonic clock with an arbitrary origin, and are passed in with each event. A
+//! host passes [`Event`]s in the order in which they happened and carries out the [`Action`]s in the order in which
+//! they are returned.
 
 use crate::counters::{AdmissionCounters, LoadSnapshot, RefusalCounts};
 use std::fmt;
@@ -209,7 +209,7 @@
     pub over_share_worth: f64,
     /// True if worth is counted by work rather than by request.
     pub worth_by_work: bool,
-    /// True if a backend that met a key lately needs less work for it.
+    /// True if a backend that recently served a key needs less work for the same key.
     pub warm_keys: bool,
     /// Time after its start at which a cold backend is warm at the latest.
     pub cold_ms: f64,
@@ -275,8 +275,8 @@
     /// Validates the settings.
     ///
     /// # Errors
-    /// Returns [`SettingsError::NoClass`] if there is no class, and [`SettingsError::Range`] for the first value that is
-    /// not a number or outside its range.
+    /// Returns [`SettingsError::NoClass`] if there is no class, and [`SettingsError::Range`] for the first value that
+    /// is not a number or outside its range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
@@ -496,7 +496,7 @@
         /// Trials that failed before.
         failed_trials: u32,
     },
-    /// Requests were stopped since the last such note.
+    /// Requests were stopped since the last note of this kind.
     Stopped(Box<(AdmissionCounters, LoadSnapshot)>),
 }
 
@@ -522,7 +522,7 @@
     pub load: LoadSnapshot,
     /// Refused requests since the start, by reason.
     pub refusals: RefusalCounts,
-    /// Highest rate, in requests per second, that a warm backend was lately seen to serve for this node.
+    /// Highest rate, in requests per second, that a warm backend was recently seen to serve for this node.
     pub warm_rate: f64,
     /// State of each backend.
     pub backends: Vec<BackendSnapshot>,
@@ -543,7 +543,7 @@
     pub cap: f64,
     /// This node's requests in flight there.
     pub in_flight: u32,
-    /// True if the backend has started lately.
+    /// True if the backend has started recently.
     pub cold: bool,
     /// Pressure by its load reports, 0 to 1.
     pub pressure: f64,
@@ -552,8 +552,8 @@
 /// An update that other nodes of the fleet share with this one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SharedUpdate {
-    /// Part of each tenant's requests that is within its share over the whole fleet, by the tenant's index; `None` where
-    /// that is not known well enough.
+    /// Part of each tenant's requests that is within its share over the whole fleet, by the tenant's index; `None`
+    /// where that is not known well enough.
     TenantShares(Vec<Option<f64>>),
     /// Another node observed that a backend fails, or serves again.
     Verdict {
@@ -566,7 +566,7 @@
         /// Time until which the verdict counts.
         until_ms: f64,
     },
-    /// A backend that is none of a key's candidates has met the key.
+    /// A backend that is none of a key's candidates has served the key.
     KeyLocation {
         /// Short hash of the key.
         key: u32,
--- a/src/operator_call.rs
+++ b/src/operator_call.rs
@@ -1,5 +1,5 @@
-//! Operators' calls to a node: how they are written and parsed, and a client. A connection carries one call: a line, and
-//! an answer that begins with `OK` or `ERR`.
+//! Operators' calls to a node: how they are written and parsed, and a client. A connection carries one call, which is
+//! a line, and one answer, which begins with `OK` or `ERR`.
 
 use std::fmt;
 use std::io::{Read, Write};
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -44,7 +44,7 @@
 impl Balancer {
     /// Updates the strain, the admission level and each class's probability of admission, at every tick.
     pub(super) fn update_admission(&mut self, seconds: f64) {
-        // A stall of this node makes one tick span several seconds. The limit keeps such a tick from closing or
+        // A stall of this node makes one tick span several seconds. The limit keeps that tick from closing or
         // opening admission all at once.
         let seconds = seconds.min(1.0);
         let keep = (-seconds / 2.0_f64).exp();
@@ -77,23 +77,27 @@
         a.outcomes.decay(seconds);
         // Orders the classes by what the goal gains per unit of work.
         let mut order: Vec<(f64, usize, usize)> = Vec::new();
-        let served_share = |l: &ClassStatistics| if l.requests > 0.0 { l.served / l.requests } else { 1.0 };
+        let served_share = |stats: &ClassStatistics| {
+            if stats.requests > 0.0 { stats.served / stats.requests } else { 1.0 }
+        };
         let worst = self.class_statistics.iter().map(served_share).fold(1.0, f64::min);
-        let work = |l: &ClassStatistics| if self.settings.worth_by_work { 1.0 } else { l.mean_ms.max(1.0) };
+        let work = |stats: &ClassStatistics| {
+            if self.settings.worth_by_work { 1.0 } else { stats.mean_ms.max(1.0) }
+        };
         let total: f64 = self
             .class_statistics
             .iter()
             .zip(&self.settings.classes)
-            .map(|(l, c)| l.requests * c.worth)
+            .map(|(stats, c)| stats.requests * c.worth)
             .sum();
-        for (i, (l, c)) in self.class_statistics.iter().zip(&self.settings.classes).enumerate() {
-            let own = (l.requests * c.worth).max(1e-9);
-            let closeness_to_worst = (1.0 - (served_share(l) - worst) / 0.05).max(0.0);
+        for (i, (stats, c)) in self.class_statistics.iter().zip(&self.settings.classes).enumerate() {
+            let own = (stats.requests * c.worth).max(1e-9);
+            let closeness_to_worst = (1.0 - (served_share(stats) - worst) / 0.05).max(0.0);
             let gain = (self.settings.goal.whole + self.settings.goal.worst_window) / total.max(1e-9)
                 + self.settings.goal.worst_class * closeness_to_worst / own;
             for over in 0..2 {
                 let part = if over == 1 { self.settings.over_share_worth } else { 1.0 };
-                order.push((c.worth * gain * part / work(l), i, over));
+                order.push((c.worth * gain * part / work(stats), i, over));
             }
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -109,7 +113,7 @@
             left = (left - offered).max(0.0);
             a.offered[i][over] *= keep;
         }
-        self.class_statistics.iter_mut().for_each(|l| l.decay(seconds));
+        self.class_statistics.iter_mut().for_each(|stats| stats.decay(seconds));
     }
 
     /// Decides whether a request is admitted: by its class's probability, and only while this node's in-flight
--- a/src/policy/backend_list.rs
+++ b/src/policy/backend_list.rs
@@ -71,7 +71,7 @@
             });
             let b = &mut self.backends[index];
             if ready_at > b.cold_since {
-                // The backend restarted: the old process's failures say nothing about the new one.
+                // The backend restarted: failures of the old process say nothing about the new one.
                 if now - ready_at < self.settings.cold_ms {
                     b.cold_tokens = self.rng.f64();
                 }
--- a/src/policy/failure_record.rs
+++ b/src/policy/failure_record.rs
@@ -64,8 +64,8 @@
     /// Time to the next trial (t in the paper): the longest aim at first, doubled by each failed trial, and at most a
     /// quarter of `cold_ms`.
     pub(super) fn trial_pause_ms(&mut self, failed_trials: u32) -> f64 {
-        let most = (self.settings.cold_ms / 4.0).max(self.settings.max_aim_ms());
-        let t = (self.settings.max_aim_ms() * f64::from(1_u32 << failed_trials.min(6))).min(most);
+        let max_pause = (self.settings.cold_ms / 4.0).max(self.settings.max_aim_ms());
+        let pause = (self.settings.max_aim_ms() * f64::from(1_u32 << failed_trials.min(6))).min(max_pause);
         // Nodes that report to each other mark a backend at the same time. Spreading their trials lets the first
         // result spare the others theirs.
         let spread = if self.relies_on_peers() {
@@ -73,7 +73,7 @@
         } else {
             0.0
         };
-        t * (0.75 + 0.5 * self.rng.f64()) + spread * self.rng.f64()
+        pause * (0.75 + 0.5 * self.rng.f64()) + spread * self.rng.f64()
     }
 
     /// Marks a backend congested if it has failed too often.
@@ -85,18 +85,30 @@
         // The allowed number of failures (M in the paper) grows with the tries and with the fleet's failure share: a
         // failure that the whole fleet shares says little about one backend. Where nodes report to each other, only
         // a backend that answers hardly any request is marked: an overloaded one still answers some.
-        let part = 0.25 + 3.0 * self.fleet_failure_share;
-        let most = 1.0 + tries * if self.relies_on_peers() { part.max(PEER_FAILURE_SHARE) } else { part };
+        let allowed_share = 0.25 + 3.0 * self.fleet_failure_share;
+        let max_failures = 1.0
+            + tries
+                * if self.relies_on_peers() {
+                    allowed_share.max(PEER_FAILURE_SHARE)
+                } else {
+                    allowed_share
+                };
         // A backend that has just stopped answering still has a window full of answers. A run of failures with a
         // probability of 0.005 at the fleet's failure share marks it too.
-        let run = 1.0 + 0.005_f64.ln() / self.fleet_failure_share.clamp(0.02, 0.95).ln();
-        if !record.congested && (failures > most || f64::from(record.consecutive_failures) + reports > run)
+        let max_run = 1.0 + 0.005_f64.ln() / self.fleet_failure_share.clamp(0.02, 0.95).ln();
+        if !record.congested
+            && (failures > max_failures || f64::from(record.consecutive_failures) + reports > max_run)
         {
-            let t = self.trial_pause_ms(0);
+            let pause = self.trial_pause_ms(0);
             let b = &mut self.backends[i];
             b.failure_record.congested = true;
-            b.failure_record.prat = now + t;
-            actions.push(Action::Log(LogNote::Congested { backend: b.id, failures, tries, pause_ms: t }));
+            b.failure_record.prat = now + pause;
+            actions.push(Action::Log(LogNote::Congested {
+                backend: b.id,
+                failures,
+                tries,
+                pause_ms: pause,
+            }));
             if own > 0.0 {
                 self.share_observation(i, true, actions);
             }
@@ -126,11 +138,11 @@
         actions: &mut Vec<Action>,
     ) {
         let failed_trials = self.backends[i].failure_record.failed_trials;
-        let t = self.trial_pause_ms(failed_trials + 1);
+        let pause = self.trial_pause_ms(failed_trials + 1);
         let b = &mut self.backends[i];
         if matches!(result, PeerMessage::TrialFailed) {
             b.failure_record.failed_trials += 1;
-            b.failure_record.prat = now + t;
+            b.failure_record.prat = now + pause;
             return;
         }
         // A backend that did not answer at least one trial may have restarted before the list says so: it counts as
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -63,7 +63,7 @@
     pub(crate) pressure: f64,
     /// Mean pressure above which admission counts the fleet as strained.
     full_pressure: f64,
-    /// Highest rate, in requests per second, that a warm backend was lately seen to serve for this node.
+    /// Highest rate, in requests per second, that a warm backend was recently seen to serve for this node.
     pub(crate) warm_rate: DecayingPeak,
     /// Time of the last tick.
     last_tick: f64,
--- a/src/policy/refusal.rs
+++ b/src/policy/refusal.rs
@@ -34,7 +34,7 @@
         let any_live = up().any(|b| !b.failure_record.congested);
         let prat = up().map(|b| b.failure_record.prat).fold(f64::INFINITY, f64::min);
         let wait = if any_live || !prat.is_finite() { 0.0 } else { (prat - now).max(0.0) };
-        let t = aim.min(self.settings.max_retry_after_ms / 2.0);
-        (wait + t * (1.0 + self.rng.f64())).min(self.settings.max_retry_after_ms)
+        let delay = aim.min(self.settings.max_retry_after_ms / 2.0);
+        (wait + delay * (1.0 + self.rng.f64())).min(self.settings.max_retry_after_ms)
     }
 }
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -21,12 +21,12 @@
         let mut worth = class.map_or(1.0, |c| c.worth);
         let late_worth = class.map_or(0.0, |c| c.late_worth);
         let mut age = 0.0;
-        if let Some(l) = self.class_statistics.get_mut(request.class) {
+        if let Some(stats) = self.class_statistics.get_mut(request.class) {
             // A client with a short time limit looks like one at its last try. Where a late answer still has worth,
             // the request counts as a first try: otherwise these clients would all be refused, even by a fleet at
             // ease.
-            age = if late_worth > 0.0 { 0.0 } else { l.request_age(given_ms, deadline) };
-            l.requests += if age > 0.0 { 0.0 } else { 1.0 };
+            age = if late_worth > 0.0 { 0.0 } else { stats.request_age(given_ms, deadline) };
+            stats.requests += if age > 0.0 { 0.0 } else { 1.0 };
         }
         let over_share = self.is_over_share(request.tenant);
         if over_share {
@@ -35,7 +35,7 @@
         if age >= aim {
             worth *= late_worth;
         }
-        let mean = self.class_statistics.get(request.class).map_or(1.0, |l| l.mean_ms.max(1.0));
+        let mean = self.class_statistics.get(request.class).map_or(1.0, |stats| stats.mean_ms.max(1.0));
         let cost = request.effort_ms.filter(|e| e.is_finite() && *e > 0.0).unwrap_or(mean);
         self.counters.count_request();
         let admitted = self.admit(&request, cost, worth, over_share || age >= aim);
@@ -78,12 +78,14 @@
         let end = if late && self.admission.level > 0.95 { open.request.deadline_ms } else { open.aim_at };
         let mut timeout_ms = end.min(open.request.deadline_ms) - now;
         let b = &mut self.backends[index];
-        if let Some(l) = self.class_statistics.get(open.request.class).filter(|l| l.answers >= 20) {
+        if let Some(stats) =
+            self.class_statistics.get(open.request.class).filter(|stats| stats.answers >= 20)
+        {
             // The time-out is short where the backend may be failing and a repeat is allowed, so that a backend
             // that does not answer costs little time.
             let suspect = b.failure_record.congested || b.failure_record.consecutive_failures > 0;
             if suspect && send_rules::may_repeat(class) && self.admission.retry_tokens >= 1.0 {
-                timeout_ms = timeout_ms.min(l.mean_ms + 4.0 * l.deviation_ms);
+                timeout_ms = timeout_ms.min(stats.mean_ms + 4.0 * stats.deviation_ms);
             }
         }
         if timeout_ms < self.settings.tick_ms {
@@ -180,8 +182,8 @@
                 self.record_outcome(now, i, class, (outcome, in_aim, elapsed), worth, actions);
             }
         }
-        if in_aim && let Some(l) = self.class_statistics.get_mut(class) {
-            l.served += 1.0;
+        if in_aim && let Some(stats) = self.class_statistics.get_mut(class) {
+            stats.served += 1.0;
         }
         let Some(open) = self.open_requests.get(&id).filter(|o| !o.has_attempt_in_flight()) else {
             return;
@@ -220,9 +222,9 @@
         // A time-out counts as an answer that took at least that long. Without it each time-out would make the
         // next time-out shorter.
         if matches!(outcome, Outcome::Done | Outcome::TimedOut)
-            && let Some(l) = self.class_statistics.get_mut(class)
+            && let Some(stats) = self.class_statistics.get_mut(class)
         {
-            l.record_answer(elapsed);
+            stats.record_answer(elapsed);
         }
         if outcome == Outcome::Done && now - self.backends[i].cold_since >= self.settings.cold_ms {
             self.warm_rate.record();
@@ -232,7 +234,8 @@
             Outcome::Done if in_aim => {
                 // Strain starts at the geometric mean of the class's usual time and its aim. From there on, more
                 // requests in flight make no answer faster, long before the aim itself is missed.
-                let usual = self.class_statistics.get(class).map_or(0.0, |l| l.usual_ms).min(0.8 * aim);
+                let usual =
+                    self.class_statistics.get(class).map_or(0.0, |stats| stats.usual_ms).min(0.8 * aim);
                 let from = (usual * aim).sqrt();
                 ((elapsed - from) / (aim - from)).clamp(0.0, 1.0)
             }
@@ -253,7 +256,7 @@
         // At the floor, all nodes together keep half a request in flight. The floor is far lower for errors, and an
         // error counts as no quicker than an answer: otherwise a backend of quick errors would look idle and draw
         // more requests.
-        let mean = self.class_statistics.get(class).map_or(0.0, |l| l.mean_ms);
+        let mean = self.class_statistics.get(class).map_or(0.0, |stats| stats.mean_ms);
         let (floor, elapsed) = match outcome {
             Outcome::Error => (ERROR_CAP_FLOOR, elapsed.max(mean)),
             _ => (0.5 / f64::from(self.settings.nodes_per_backend()), elapsed),
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -8,8 +8,8 @@
 
 /// Pressure up to which the first candidate always keeps its keys.
 const LOW_PRESSURE: f64 = 0.6;
-/// Probability of taking the second candidate, for each unit of pressure that it has less than the first: certain from a
-/// difference of 0.4 on.
+/// Probability of taking the second candidate, for each unit of pressure that it has less than the first: certain from
+/// a difference of 0.4 on.
 const SWITCH_PER_PRESSURE: f64 = 2.5;
 /// Further keys into which a key with a backend's mean share of the traffic is split.
 const HOT_KEY_SPLIT: f64 = 4.0;
@@ -90,7 +90,7 @@
         if candidate.is_some() {
             return candidate;
         }
-        // A backend that has not met the key needs more work for a spilled request: spills take tokens of a budget.
+        // A backend that has not served the key needs more work for a spilled request: spills take tokens of a budget.
         // A spill also counts as strain on the first candidate's zone, since no outcome shows it.
         let remote = self.backends.get(first).is_none_or(|b| self.is_priced_crossing(b.zone));
         if self.settings.warm_keys && self.admission.spill_tokens < 1.0 {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,10 +1,10 @@
-//! Slow start: the budget of requests that all nodes together may send to a cold backend, one that started lately,
+//! Slow start: the budget of requests that all nodes together may send to a cold backend, one that started recently,
 //! and this node's part of it. The rate that warm backends serve is its measure.
 
 use super::Balancer;
 use crate::interface::Settings;
 
-/// Work of a request at a backend that has not met its key, relative to the work at a warm backend.
+/// Work of a request at a backend that has not served its key, relative to the work at a warm backend.
 const COLD_KEY_WORK: f64 = 2.0;
 
 impl Balancer {
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -275,8 +275,8 @@
 
 #[test]
 fn a_longer_last_try_of_a_client_does_not_make_first_tries_look_old() {
-    // Regression: the longest time limit seen was taken for that of first tries. It belonged to a last try, so that three
-    // of four first tries looked old and were refused.
+    // Regression: the longest time limit seen was taken for that of first tries. It belonged to a last try, so that
+    // three of four first tries looked old and were refused.
     let mut world = safe_world(5);
     for n in 0..200 {
         let given = if n % 10 == 9 { 990.0 } else { 600.0 };
@@ -581,7 +581,8 @@
         world.end(id, Outcome::Done);
     }
     assert!(world.logs.iter().any(|l| l.starts_with("congested")));
-    // At least one trial fails before one succeeds. The backend then counts as cold, although its start in the list is old.
+    // At least one trial fails before one succeeds. The backend then counts as cold, although its start in the list is
+    // long ago.
     while world.probes.is_empty() {
         world.wait(100.0);
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Property tests with random sequences of events. The world in `tests/common` checks the operators' four rules at every
-//! action.
+//! Property tests with random sequences of events. The world in `tests/common` checks the operators' four rules at
+//! every action.
 mod common;
 
 use common::{World, settings, up};
