--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! `daleturn`, the operators' command: what is said on the command line, and what is printed. What it does lives
-//! in the libraries.
+//! `daleturn`, the operators' command. This crate parses the command line and prints results; the work is
+//! done by the libraries.
 
 mod call;
 mod capacity;
@@ -15,7 +15,8 @@
 
 /// Operates daleturn, an HTTP load balancer that runs large fleets through failures.
 ///
-/// Exit codes: 0 done, 1 the answer is no or a file is wrong, 2 the command line is wrong.
+/// Exit codes: 0 success, 1 the call was answered with ERR or a file is invalid,
+/// 2 the command line is invalid.
 #[derive(Debug, Parser)]
 #[command(name = "daleturn", version, max_term_width = 100, arg_required_else_help = true)]
 struct Args {
@@ -25,50 +26,50 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Calls a node at its operators' address
+    /// Calls a node or a supervisor at its operator address
     #[command(after_help = call::EXAMPLES)]
     Call(call::Args),
-    /// Checks configuration files, and tells what they may hold
+    /// Checks configuration files and lists the options
     #[command(subcommand)]
     Config(config::Command),
-    /// Shows it working: a small fleet with a fault, for 20 s
+    /// Shows a small fleet with a fault for 20 s
     Demo {
-        /// The node's program, in place of the one beside this command
+        /// Program of the node; default: the one in this command's directory
         #[arg(long, value_name = "PATH")]
         node: Option<std::path::PathBuf>,
     },
-    /// Plays days with real node processes and faults between them
+    /// Runs test scenarios and measurements with node processes on this machine
     #[command(subcommand)]
     Lab(lab::Command),
-    /// Serves as a plain balancer in a node's place; the lab starts it
+    /// Serves as a plain load balancer in place of a node; started by the lab
     #[command(hide = true)]
     Baseline {
-        /// Which
+        /// Name of the baseline
         name: String,
     },
-    /// Carries out a staged release of servers, with a halt and a way back
+    /// Runs a staged release of servers or nodes, with halt and rollback
     #[command(subcommand)]
     Release(release::Command),
-    /// Keeps a machine's node running, and brings it from one version to another
+    /// Keeps a machine's node running and upgrades it
     #[command(after_help = "Example:\n  daleturn supervise /etc/daleturn/supervisor.toml")]
     Supervise {
-        /// The supervisor's file: versions, addresses, limits
+        /// Configuration file of the supervisor
         #[arg(value_name = "FILE")]
         file: std::path::PathBuf,
     },
-    /// Looks at a node's state directory, also while the node has it
+    /// Inspects a node's state directory, also while the node runs
     #[command(subcommand)]
     State(state::Command),
-    /// Prints a script that completes this command in a shell
+    /// Prints a shell completion script
     #[command(after_help = "Example:\n  daleturn completions bash > /etc/bash_completion.d/daleturn")]
     Completions {
-        /// Which shell
+        /// The shell
         shell: Shell,
     },
 }
 
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         Command::Call(args) => call::run(&args).map(|()| ExitCode::SUCCESS),
         Command::Config(command) => config::run(&command).map(|()| ExitCode::SUCCESS),
         Command::Demo { node } => lab::demo(node.as_deref()),
@@ -83,12 +84,12 @@
             page::print(&String::from_utf8_lossy(&script)).map(|()| ExitCode::SUCCESS)
         }
     };
-    match done {
+    match result {
         Ok(code) => code,
-        // Whoever read the output has seen enough.
-        Err(page::Failure::Closed) => ExitCode::SUCCESS,
-        Err(page::Failure::Said(why)) => {
-            eprintln!("daleturn: {why}");
+        // The reader closed the pipe, as `head` does: not an error.
+        Err(page::Failure::OutputClosed) => ExitCode::SUCCESS,
+        Err(page::Failure::Message(message)) => {
+            eprintln!("daleturn: {message}");
             ExitCode::FAILURE
         }
     }
