--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -1,4 +1,4 @@
-//! `daleturn state`: what a node keeps on disk, for people.
+//! `daleturn state`: inspects and repairs a node's state directory.
 
 use crate::page::{Failure, print, table};
 use clap::Subcommand;
@@ -8,30 +8,30 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Shows what is kept
+    /// Shows all entries
     Show {
-        /// The directory, as `state.dir` names it
+        /// The state directory: `state.dir` in the node's configuration
         dir: PathBuf,
     },
-    /// Checks every byte; exit code 1 if something is damaged
+    /// Checks every byte; exit code 1 if a file is damaged
     Verify {
-        /// The directory
+        /// The state directory
         dir: PathBuf,
     },
-    /// Moves damaged files aside and writes what is whole anew; not while a node has the directory
+    /// Renames damaged files and writes the intact entries anew; fails while a node uses the directory
     Repair {
-        /// The directory
+        /// The state directory
         dir: PathBuf,
     },
     /// Prints all entries as one line of JSON
     Export {
-        /// The directory
+        /// The state directory
         dir: PathBuf,
     },
 }
 
-/// A value for eyes: a number, a text, or its length.
-fn shown(kind: &str, value: &[u8]) -> String {
+/// Formats a value: a known number, a short text, or the value's length.
+fn format_value(kind: &str, value: &[u8]) -> String {
     match (kind, <[u8; 8]>::try_from(value), std::str::from_utf8(value)) {
         ("incarnation", Ok(bytes), _) => u64::from_le_bytes(bytes).to_string(),
         (_, _, Ok(text)) if text.len() <= 60 => text.to_owned(),
@@ -39,42 +39,44 @@
     }
 }
 
-fn look(dir: &Path) -> Result<(Entries, Vec<String>), Failure> {
+/// Reads a state directory without changing it. Returns the entries and the names of damaged files.
+fn inspect(dir: &Path) -> Result<(Entries, Vec<String>), Failure> {
     if !dir.is_dir() {
         return Err(format!("{}: not a directory", dir.display()).into());
     }
-    let looked = Store::inspect(&mut RealDisk::open_read_only(dir), Limits::default());
-    let (entries, damaged, _) = looked.map_err(|e| format!("{}: {e}", dir.display()))?;
+    let result = Store::inspect(&mut RealDisk::open_read_only(dir), Limits::default());
+    let (entries, damaged, _) = result.map_err(|e| format!("{}: {e}", dir.display()))?;
     Ok((entries, damaged))
 }
 
+/// Runs a subcommand.
 pub fn run(command: &Command) -> Result<(), Failure> {
     match command {
         Command::Show { dir } => {
-            let (entries, damaged) = look(dir)?;
+            let (entries, damaged) = inspect(dir)?;
             let rows = entries.iter().map(|((kind, key), e)| {
-                vec![kind.clone(), key.clone(), e.written_ms.to_string(), shown(kind, &e.value)]
+                vec![kind.clone(), key.clone(), e.written_ms.to_string(), format_value(kind, &e.value)]
             });
             print(&table(&["kind", "key", "written ms", "value"], rows.collect()))?;
             damaged.iter().try_for_each(|file| print(&format!("damaged: {file}\n")))
         }
         Command::Verify { dir } => {
-            let (entries, damaged) = look(dir)?;
+            let (entries, damaged) = inspect(dir)?;
             if damaged.is_empty() {
                 return print(&format!("{}: {} entries, all whole\n", dir.display(), entries.len()));
             }
             Err(format!("{}: damaged: {}", dir.display(), damaged.join(", ")).into())
         }
         Command::Repair { dir } => {
-            look(dir)?;
+            inspect(dir)?;
             let disk = RealDisk::open(dir).map_err(|e| match e.kind() {
-                std::io::ErrorKind::WouldBlock => format!("{}: a node has it", dir.display()),
+                std::io::ErrorKind::WouldBlock => format!("{}: in use by a node", dir.display()),
                 _ => format!("{}: {e}", dir.display()),
             })?;
             let opened = Store::open(disk, Limits::default());
             let (store, report) = opened.map_err(|e| format!("{}: {e}", dir.display()))?;
-            for (file, aside) in &report.quarantined {
-                print(&format!("{file} is damaged, now {aside}\n"))?;
+            for (file, new_name) in &report.quarantined {
+                print(&format!("{file} is damaged, now {new_name}\n"))?;
             }
             print(&format!(
                 "{} entries are kept, {} bytes of a torn tail cut\n",
@@ -83,7 +85,7 @@
             ))
         }
         Command::Export { dir } => {
-            let (entries, _) = look(dir)?;
+            let (entries, _) = inspect(dir)?;
             let all: Vec<Value> = (entries.iter())
                 .map(|((kind, key), e)| {
                     let text = String::from_utf8(e.value.clone()).ok();
