--- a/crates/cli/src/release.rs
+++ b/crates/cli/src/release.rs
@@ -1,4 +1,5 @@
-//! `daleturn release`: carries a release out, tells where it stands, and hands orders to it.
+//! `daleturn release`: runs a release, shows its status and gives it orders. `daleturn supervise` runs here
+//! as well.
 
 use crate::page::{Failure, print, table};
 use clap::Subcommand;
@@ -15,79 +16,80 @@
 use std::time::Duration;
 
 #[derive(Debug, clap::Args)]
-pub struct Which {
-    /// The plan
+pub struct ReleaseArgs {
+    /// The release plan
     #[arg(value_name = "FILE")]
     plan: PathBuf,
-    /// Where releases keep their journals, outputs and orders
+    /// Directory of the releases' journals, command output and orders
     #[arg(long, value_name = "DIR", default_value = "releases")]
     state: PathBuf,
 }
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Checks a plan, and shows its stages
+    /// Checks a plan and shows its stages
     Check {
-        /// The plan
+        /// The release plan
         #[arg(value_name = "FILE")]
         plan: PathBuf,
     },
-    /// Carries a release out, or goes on with one that was begun
+    /// Runs a release, or resumes one that has begun
     #[command(
-        after_help = "Exit codes: 0 all members have the version, 1 they do not, 2 no plan.\n\nExample:\n  daleturn \
+        after_help = "Exit codes: 0 all members have the new version, 1 they do not, 2 invalid plan.\n\nExample:\n  daleturn \
                             release run config-2026-12.toml --state /var/lib/daleturn/releases"
     )]
     Run {
         #[command(flatten)]
-        which: Which,
-        /// End when the release halts, in place of waiting for an order
+        args: ReleaseArgs,
+        /// End when the release halts, instead of waiting for an order
         #[arg(long)]
         until_halt: bool,
     },
-    /// Where it stands: who is on which version, what it waits for and why
+    /// Shows the versions of all members, and what the release waits for and why
     Status {
         #[command(flatten)]
-        which: Which,
-        /// As JSON
+        args: ReleaseArgs,
+        /// Print JSON
         #[arg(long)]
         json: bool,
-        /// Renew it each second, until it is over or Ctrl-C
+        /// Repeat every second until the release is over or Ctrl-C
         #[arg(long)]
         watch: bool,
     },
-    /// Stops it within a second: what is begun is given back, or brought to its end
-    Halt(Which),
-    /// Lets it go on
-    Resume(Which),
-    /// Brings the old version back, in reverse order, as carefully
-    Back(Which),
-    /// Ends it as it stands
-    Abandon(Which),
+    /// Halts the release within a second; restarts under way are completed, other cordons are taken back
+    Halt(ReleaseArgs),
+    /// Continues a halted release
+    Resume(ReleaseArgs),
+    /// Rolls back to the old version in reverse order, within the same limits
+    Back(ReleaseArgs),
+    /// Ends the release and leaves each member on its current version
+    Abandon(ReleaseArgs),
 }
 
-/// What cannot be read is no plan, exit code 2.
-fn plan(path: &Path) -> Result<Plan, ExitCode> {
+/// Reads a plan. On an error, prints it and returns exit code 2.
+fn read_plan(path: &Path) -> Result<Plan, ExitCode> {
     Plan::read(path).map_err(|e| {
         eprintln!("daleturn: {}: {e}", path.display());
         ExitCode::from(2)
     })
 }
 
+/// Runs a subcommand.
 pub fn run(command: &Command) -> Result<ExitCode, Failure> {
     let path = match command {
         Command::Check { plan } => plan,
-        Command::Run { which, .. } | Command::Status { which, .. } => &which.plan,
-        Command::Halt(which) | Command::Resume(which) | Command::Back(which) | Command::Abandon(which) => {
-            &which.plan
+        Command::Run { args, .. } | Command::Status { args, .. } => &args.plan,
+        Command::Halt(args) | Command::Resume(args) | Command::Back(args) | Command::Abandon(args) => {
+            &args.plan
         }
     };
-    let plan = match plan(path) {
+    let plan = match read_plan(path) {
         Ok(plan) => plan,
         Err(code) => return Ok(code),
     };
-    let give = |which: &Which, order: Order| {
-        run::submit_order(&which.state, &plan, order)
-            .map_err(|e| format!("{}: {e}", which.state.display()))?;
+    let submit = |args: &ReleaseArgs, order: Order| {
+        run::submit_order(&args.state, &plan, order)
+            .map_err(|e| format!("{}: {e}", args.state.display()))?;
         print(&format!("{order:?}: handed to {}\n", plan.name))?;
         Ok(ExitCode::SUCCESS)
     };
@@ -107,27 +109,28 @@
             ))?;
             Ok(ExitCode::SUCCESS)
         }
-        Command::Run { which, until_halt } => carry_out(plan, which, *until_halt),
-        Command::Status { which, json, watch } => loop {
-            let status = run::read_status(&which.state, &plan);
+        Command::Run { args, until_halt } => run_release(plan, args, *until_halt),
+        Command::Status { args, json, watch } => loop {
+            let status = run::read_status(&args.state, &plan);
             let status = status
-                .map_err(|e| format!("{}: no release {} here: {e}", which.state.display(), plan.name))?;
-            let shown = if *json { format!("{status}\n") } else { page(&status)? };
+                .map_err(|e| format!("{}: no release {} here: {e}", args.state.display(), plan.name))?;
+            let text = if *json { format!("{status}\n") } else { format_status(&status)? };
             let clear = *watch && !json && std::io::stdout().is_terminal();
-            print(&if clear { format!("\x1b[2J\x1b[H{shown}") } else { shown })?;
+            print(&if clear { format!("\x1b[2J\x1b[H{text}") } else { text })?;
             if !watch || status["mode"] == "over" {
                 return Ok(ExitCode::SUCCESS);
             }
             std::thread::sleep(Duration::from_secs(1));
         },
-        Command::Halt(which) => give(which, Order::Halt),
-        Command::Resume(which) => give(which, Order::Resume),
-        Command::Back(which) => give(which, Order::Back),
-        Command::Abandon(which) => give(which, Order::Abandon),
+        Command::Halt(args) => submit(args, Order::Halt),
+        Command::Resume(args) => submit(args, Order::Resume),
+        Command::Back(args) => submit(args, Order::Back),
+        Command::Abandon(args) => submit(args, Order::Abandon),
     }
 }
 
-fn carry_out(plan: Plan, which: &Which, until_halt: bool) -> Result<ExitCode, Failure> {
+/// Runs the controller of a release until it returns, and prints the result.
+fn run_release(plan: Plan, args: &ReleaseArgs, until_halt: bool) -> Result<ExitCode, Failure> {
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build();
@@ -137,29 +140,29 @@
             stopped.store(true, Ordering::SeqCst);
         }
     });
-    let options = Options { dir: which.state.clone(), until_halt };
+    let options = Options { dir: args.state.clone(), until_halt };
     let all = plan.member.len();
-    let (state, copy) = (which.state.clone(), plan.clone());
+    let (state_dir, plan_copy) = (args.state.clone(), plan.clone());
     let mode = run::run(plan, &options, &stop, |line| {
-        // A reader that has gone does not end a release.
+        // A closed output does not end the release.
         let _ = print(&format!("{line}\n"));
     });
     runtime.shutdown_background();
     let mode = mode.map_err(|e| e.to_string())?;
-    let status = run::read_status(&state, &copy).unwrap_or(Value::Null);
+    let status = run::read_status(&state_dir, &plan_copy).unwrap_or(Value::Null);
     let on_new = status["on_new"].as_u64().unwrap_or(0);
     print(&format!(
         "release: {} {} {on_new} of {all} on {}: {}\n",
-        copy.name,
-        word(mode),
-        copy.to,
+        plan_copy.name,
+        mode_word(mode),
+        plan_copy.to,
         text(&status["why"])
     ))?;
-    let done = mode == Mode::Over && on_new as usize == all;
-    Ok(if done { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let is_complete = mode == Mode::Over && on_new as usize == all;
+    Ok(if is_complete { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Supervises until SIGTERM.
+/// Runs the supervisor until SIGTERM.
 pub fn supervise(file: &Path) -> Result<ExitCode, Failure> {
     let config = match Config::read(file) {
         Ok(config) => config,
@@ -172,7 +175,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn word(mode: Mode) -> &'static str {
+/// Returns the word for a mode in the last line of `daleturn release run`.
+fn mode_word(mode: Mode) -> &'static str {
     match mode {
         Mode::Running => "STOPPED",
         Mode::Halted => "HALTED",
@@ -180,6 +184,7 @@
     }
 }
 
+/// Formats a JSON value. A missing value is a dash.
 fn text(value: &Value) -> String {
     match value {
         Value::String(s) => s.clone(),
@@ -188,7 +193,8 @@
     }
 }
 
-fn page(s: &Value) -> Result<String, Failure> {
+/// Formats the status of a release as text and a table.
+fn format_status(s: &Value) -> Result<String, Failure> {
     let way = if s["back"] == true { "back" } else { "there" };
     let mut out = format!(
         "{} from {} to {}: {} on the way {way}, stage {}, {} of {} on the new version, {} s so far, {} s to go\n",
