--- a/crates/cli/tests/capacity.rs
+++ b/crates/cli/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! What `daleturn lab capacity` turns down, and how.
+//! Rejection of invalid arguments by `daleturn lab capacity`.
 
 use std::process::{Command, Output};
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_wrong_argument_is_named_with_exit_code_2_and_nothing_is_measured() {
+fn invalid_arguments_are_named_with_exit_code_2_and_nothing_is_measured() {
     let dir = std::env::temp_dir().join(format!("daleturn-cli-capacity-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let (out, file) = (dir.join("out"), dir.join("file"));
@@ -25,12 +25,12 @@
         (&["--seed", "x", "--out", out], "--seed"),
         (&["--repetitions", "0", "--out", out], "--repetitions"),
     ];
-    for (args, named) in cases {
-        let done = capacity(args);
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert_eq!(done.status.code(), Some(2), "{args:?}: {said}");
-        assert!(said.contains(named), "{args:?}: {said}");
-        assert!(done.stdout.is_empty(), "{args:?}");
+    for (args, message) in cases {
+        let output = capacity(args);
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{args:?}: {stderr}");
+        assert!(stderr.contains(message), "{args:?}: {stderr}");
+        assert!(output.stdout.is_empty(), "{args:?}");
     }
     assert!(!dir.join("out").join("capacity.json").exists());
     std::fs::remove_dir_all(dir).unwrap();
--- a/crates/cli/tests/pages.rs
+++ b/crates/cli/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The command as a person and a script meet it: pages, exit codes, and output that nobody reads.
+//! The command line: help pages, exit codes, output formats, and output into a closed pipe.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -13,7 +13,7 @@
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-fn file(name: &str, content: &[u8]) -> PathBuf {
+fn write_file(name: &str, content: &[u8]) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("daleturn-cli-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let path = dir.join(name);
@@ -21,22 +21,22 @@
     path
 }
 
-/// A node that answers one call with this.
-fn node(answer: &'static str) -> (String, std::thread::JoinHandle<String>) {
+/// Starts a node that answers one call with `answer`. The thread returns the call that it received.
+fn start_node(answer: &'static str) -> (String, std::thread::JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let peer = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        let mut said = String::new();
-        stream.read_to_string(&mut said).unwrap();
+        let mut call = String::new();
+        stream.read_to_string(&mut call).unwrap();
         stream.write_all(answer.as_bytes()).unwrap();
-        said
+        call
     });
     (address, peer)
 }
 
 #[test]
-fn every_help_page_fits_80_columns_and_has_no_colour_in_a_pipe() {
+fn help_pages_fit_80_columns_and_have_no_colour_in_a_pipe() {
     let pages: [&[&str]; 9] = [
         &["--help"],
         &["call", "--help"],
@@ -49,9 +49,9 @@
         &["-h"],
     ];
     for page in pages {
-        let shown = daleturn(page);
-        assert_eq!(shown.status.code(), Some(0), "{page:?}");
-        let shown = text(&shown.stdout);
+        let output = daleturn(page);
+        assert_eq!(output.status.code(), Some(0), "{page:?}");
+        let shown = text(&output.stdout);
         assert!(shown.lines().all(|l| l.chars().count() <= 80), "{page:?}\n{shown}");
         assert!(!shown.contains('\x1b'), "{page:?}");
     }
@@ -60,31 +60,31 @@
 }
 
 #[test]
-fn a_wrong_command_line_is_2_a_no_is_1_and_a_yes_is_0() {
+fn exit_code_is_2_for_a_usage_error_1_for_err_and_0_for_ok() {
     assert_eq!(daleturn(&[]).status.code(), Some(2));
     assert_eq!(daleturn(&["call", "nowhere", "health"]).status.code(), Some(2));
     assert_eq!(daleturn(&["call", "127.0.0.1:1", "cordon"]).status.code(), Some(2));
     assert_eq!(daleturn(&["call", "127.0.0.1:1", "--timeout", "0", "health"]).status.code(), Some(2));
-    let (address, peer) = node("OK serving\n");
-    let yes = daleturn(&["call", &address, "health"]);
-    assert_eq!((yes.status.code(), text(&yes.stdout)), (Some(0), "OK serving\n".to_owned()));
+    let (address, peer) = start_node("OK serving\n");
+    let ok = daleturn(&["call", &address, "health"]);
+    assert_eq!((ok.status.code(), text(&ok.stdout)), (Some(0), "OK serving\n".to_owned()));
     assert_eq!(peer.join().unwrap(), "health\n");
-    let (address, _peer) = node("ERR no backend \"s-9\" is known\n");
-    let no = daleturn(&["call", &address, "cordon", "s-9"]);
-    assert_eq!((no.status.code(), text(&no.stdout)), (Some(1), String::new()));
-    assert!(text(&no.stderr).contains("ERR no backend"));
-    let (address, _peer) = node("ERR this process is starting\n");
-    let no = daleturn(&["call", &address, "health", "--json"]);
-    assert_eq!(no.status.code(), Some(1));
-    assert_eq!(text(&no.stdout), "{\"ok\":false,\"said\":\"this process is starting\"}\n");
-    // Nobody listens there once the test's own listener is gone.
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
-    let gone = daleturn(&["call", &gone, "health"]);
-    assert!(gone.status.code() == Some(1) && text(&gone.stderr).contains("refused"));
+    let (address, _peer) = start_node("ERR no backend \"s-9\" is known\n");
+    let err = daleturn(&["call", &address, "cordon", "s-9"]);
+    assert_eq!((err.status.code(), text(&err.stdout)), (Some(1), String::new()));
+    assert!(text(&err.stderr).contains("ERR no backend"));
+    let (address, _peer) = start_node("ERR this process is starting\n");
+    let err = daleturn(&["call", &address, "health", "--json"]);
+    assert_eq!(err.status.code(), Some(1));
+    assert_eq!(text(&err.stdout), "{\"ok\":false,\"said\":\"this process is starting\"}\n");
+    // The listener is dropped at once, so nothing listens on its port.
+    let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let refused = daleturn(&["call", &unused_address, "health"]);
+    assert!(refused.status.code() == Some(1) && text(&refused.stderr).contains("refused"));
 }
 
 #[test]
-fn figures_are_a_table_for_eyes() {
+fn stats_are_printed_as_tables() {
     let answer = r#"OK {"name":"n0","mode":"serving","pid":7,"version":"0.2.0","uptime_s":61,"open":2,
 "list":{"version":41,"backends":2},"settings":{"taken":1,"digest":"00ff"},
 "admission":{"level":1.0,"strain":0.05,"pressure":0.0},
@@ -98,7 +98,7 @@
 "backends":[{"id":"s-1","zone":"a","state":"up","verdict":"live","trial_in_ms":null,"cap":3.5,"in_flight":2,
 "cold":false,"sent":10,"failed":0},{"id":"s-2","zone":"a","state":"cordoned","verdict":"live","trial_in_ms":null,
 "cap":null,"in_flight":0,"cold":false,"sent":0,"failed":0}]}"#;
-    let (address, peer) = node(answer);
+    let (address, peer) = start_node(answer);
     let shown = daleturn(&["call", &address, "stats"]);
     assert_eq!(peer.join().unwrap(), "stats\n");
     assert_eq!(shown.status.code(), Some(0), "{}", text(&shown.stderr));
@@ -106,10 +106,10 @@
 }
 
 #[test]
-fn files_are_checked_by_what_they_are() {
-    let good = file("good.toml", b"[log]\nformat = \"json\"\n");
-    let bad = file("bad.toml", b"[log]\nfrmat = \"json\"\n");
-    let platform = file("config.json", b"{\"listen\": \"127.0.0.1:1\", \"seed\": \"1\"}");
+fn config_check_recognizes_the_kind_of_each_file() {
+    let good = write_file("good.toml", b"[log]\nformat = \"json\"\n");
+    let bad = write_file("bad.toml", b"[log]\nfrmat = \"json\"\n");
+    let platform = write_file("config.json", b"{\"listen\": \"127.0.0.1:1\", \"seed\": \"1\"}");
     let (good, bad, platform) = (good.display(), bad.display(), platform.display());
     let checked = daleturn(&["config", "check", &good.to_string()]);
     assert_eq!(checked.status.code(), Some(0));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn output_into_a_closed_pipe_ends_quietly() {
+fn closed_output_pipe_is_not_an_error() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_daleturn"))
         .args(["completions", "bash"])
         .stdout(Stdio::piped())
@@ -136,6 +136,6 @@
         .spawn()
         .unwrap();
     drop(child.stdout.take());
-    let ended = child.wait_with_output().unwrap();
-    assert_eq!((ended.status.code(), text(&ended.stderr)), (Some(0), String::new()));
+    let output = child.wait_with_output().unwrap();
+    assert_eq!((output.status.code(), text(&output.stderr)), (Some(0), String::new()));
 }
