--- a/crates/cli/src/page.rs
+++ b/crates/cli/src/page.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// Formats a table without borders, with one cell for each heading in every row. Columns that hold only
-/// numbers or dashes are aligned right.
+/// Formats a table without borders, with one cell for each heading in every row. A column is aligned right if
+/// each of its cells starts with a digit or is a dash.
 pub fn table(headings: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_content_arrangement(ContentArrangement::Disabled);
--- a/crates/release/src/plan.rs
+++ b/crates/release/src/plan.rs
@@ -35,11 +35,11 @@
     pub times: Times,
     /// Conditions under which a stage passes.
     pub gate: Gate,
-    /// Command that installs the new version on a member.
+    /// Command that installs the new version on a server. Unused in a release of nodes.
     pub restart: Command,
-    /// Command that restores the old version on a member.
+    /// Command that restores the old version on a server. Unused in a release of nodes.
     pub back: Command,
-    /// Command that exits with 0 if a member runs version `{version}`; empty for no verification.
+    /// Command that exits with 0 if a server runs version `{version}`; empty for no verification.
     pub verify: Command,
 }
 
--- a/crates/release/src/run.rs
+++ b/crates/release/src/run.rs
@@ -724,7 +724,7 @@
     }
 }
 
-/// Runs a command without a shell, to its end or its time limit. The output is appended to a file planned
+/// Runs a command without a shell, to its end or its time limit. The output is appended to a file named
 /// after the member's id.
 fn run_command(command: &Command, member: &Member, version: &str, dir: &Path) -> Result<(), String> {
     let words = command.arguments(member, version);
--- a/crates/release/src/supervise.rs
+++ b/crates/release/src/supervise.rs
@@ -134,7 +134,7 @@
 /// A call that a connection's thread passes to the supervisor.
 struct SupervisorCall {
     call: OperatorCall,
-    /// Receives the answer.
+    /// Sender for the answer.
     answer: Sender<Result<String, String>>,
 }
 
--- a/crates/release/tests/model.rs
+++ b/crates/release/tests/model.rs
@@ -43,14 +43,14 @@
     Unreachable(usize),
 }
 
-struct World {
+struct ReleaseModel {
     plan: Arc<Plan>,
     max_deaths: u8,
     node_may_fail: bool,
 }
 
-impl World {
-    fn new(max_deaths: u8, node_may_fail: bool) -> World {
+impl ReleaseModel {
+    fn new(max_deaths: u8, node_may_fail: bool) -> ReleaseModel {
         let mut plan = Plan { name: "r".into(), from: "1".into(), to: "2".into(), ..Plan::default() };
         plan.nodes = (1..=NODES).map(|n| format!("127.0.0.1:{n}").parse().unwrap()).collect();
         plan.member =
@@ -59,26 +59,27 @@
         plan.limits.in_percent = 0;
         plan.times = plan::Times { cordon_s: 3, drain_s: 2, back_s: 6, warm_s: 1, watch_s: 1, wait_s: 3 };
         plan.restart.limit_s = 4;
-        World { plan: Arc::new(plan), max_deaths, node_may_fail }
+        ReleaseModel { plan: Arc::new(plan), max_deaths, node_may_fail }
     }
 
-    /// Carries out actions until `left` is used up. Returns false if the controller died.
+    /// Carries out actions until `actions_left` is used up; `None` is no limit. Returns false if the controller
+    /// died.
     fn carry_out(
         &self,
         s: &mut State,
         rollout: &mut Rollout,
         event: Event,
-        left: &mut Option<usize>,
+        actions_left: &mut Option<usize>,
     ) -> bool {
         let now = Ms::from(s.step) * STEP_MS;
         let mut actions = Vec::new();
         rollout.handle(now, event, &mut actions);
         for action in actions {
-            if let Some(left) = left {
-                if *left == 0 {
+            if let Some(count) = actions_left {
+                if *count == 0 {
                     return false;
                 }
-                *left -= 1;
+                *count -= 1;
             }
             match action {
                 Action::Store(key, text) => {
@@ -94,7 +95,7 @@
                         s,
                         rollout,
                         Event::CordonAnswered { member, node, cordon, error: None },
-                        left,
+                        actions_left,
                     ) {
                         return false;
                     }
@@ -110,18 +111,19 @@
         true
     }
 
-    fn run_one_second(&self, s: &mut State, mut left: Option<usize>) {
+    fn run_one_second(&self, s: &mut State, mut actions_left: Option<usize>) {
         s.step += 1;
         let now = Ms::from(s.step) * STEP_MS;
         let mut rollout =
             Rollout::from_parts(self.plan.clone(), s.rollout_state.clone(), s.members.clone(), s.started);
         let mut alive = true;
         for n in 0..s.versions.len() {
-            if let Some((to, left @ 1..)) = s.pending_restarts[n] {
-                s.pending_restarts[n] = Some((to, left - 1));
+            if let Some((to, seconds_left @ 1..)) = s.pending_restarts[n] {
+                s.pending_restarts[n] = Some((to, seconds_left - 1));
             } else if let Some((to, _)) = s.pending_restarts[n].take() {
                 (s.versions[n], s.starts[n]) = (to, now);
-                alive = alive && self.carry_out(s, &mut rollout, Event::CommandEnded(n, None), &mut left);
+                alive = alive
+                    && self.carry_out(s, &mut rollout, Event::CommandEnded(n, None), &mut actions_left);
             }
             let observation = MemberObservation {
                 up: s.pending_restarts[n].is_none(),
@@ -129,10 +131,11 @@
                 cordoned: !s.cordoned_by[n].is_empty(),
                 in_flight: Some(0),
             };
-            alive = alive && self.carry_out(s, &mut rollout, Event::Observed(n, observation), &mut left);
+            alive = alive
+                && self.carry_out(s, &mut rollout, Event::Observed(n, observation), &mut actions_left);
         }
-        alive = alive && self.carry_out(s, &mut rollout, Event::Tick, &mut left);
-        if !alive || left.is_some() {
+        alive = alive && self.carry_out(s, &mut rollout, Event::Tick, &mut actions_left);
+        if !alive || actions_left.is_some() {
             s.deaths += 1;
             rollout = Rollout::new(now, self.plan.clone(), &s.stored);
             s.started = now;
@@ -141,7 +144,7 @@
     }
 }
 
-impl Model for World {
+impl Model for ReleaseModel {
     type State = State;
     type Action = Step;
 
@@ -188,7 +191,7 @@
         Some(next)
     }
 
-    fn properties(&self) -> Vec<Property<World>> {
+    fn properties(&self) -> Vec<Property<ReleaseModel>> {
         vec![
             Property::always("no restart before every node has confirmed the cordon", |_, s: &State| {
                 !s.unsafe_restart
@@ -223,7 +226,7 @@
 }
 
 fn check(max_deaths: u8, node_may_fail: bool) {
-    let checker = World::new(max_deaths, node_may_fail).checker().threads(4).spawn_bfs().join();
+    let checker = ReleaseModel::new(max_deaths, node_may_fail).checker().threads(4).spawn_bfs().join();
     println!(
         "{max_deaths} deaths, unreachable node {node_may_fail}: {} states, {} of them unique, depth {}",
         checker.state_count(),
--- a/crates/store/src/scripted_faults.rs
+++ b/crates/store/src/scripted_faults.rs
@@ -3,8 +3,8 @@
 //! losing power. Killing the process is not enough to test that: the page cache survives the process.
 //!
 //! The files are in a control directory apart from the disk. `orders.json` holds [`FaultOrders`] and is
-//! read before each operation; `course` is the operation log, which grows up to [`MAX_LOG_BYTES`]. For
-//! tests and drills only.
+//! read before each operation that changes the disk; `course` is the operation log, which grows up to
+//! [`MAX_LOG_BYTES`]. For tests and drills only.
 
 use crate::disk::Disk;
 use crate::faults::FaultDisk;
