--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,8 +1,10 @@
-//! Slow verdicts from many observations, which the nodes of a fleet share: state machines like the policy's, without
-//! I/O, clock or threads. They choose for no single request; what they find reaches the policy as an event.
+//! State machines without I/O, clock or threads that support the policy: they keep the list of backends,
+//! share state between the nodes of a fleet, and judge zones from many observations. They take no decision on
+//! a single request; their results reach the policy as events.
 //!
-//! [`gossip::Gossip`] owns the parts: [`members`] says who is in the fleet, [`share`] holds what is shared, and
-//! [`packet`] is how it is written into datagrams of at most 256 bytes. `docs/shared-state.md` tells the whole.
+//! [`gossip::Gossip`] combines [`membership`] (which nodes are in the fleet), [`shared_state`] (what they
+//! share) and [`datagram`] (its encoding in datagrams of at most 256 bytes). `docs/shared-state.md` has the
+//! full description.
 
 pub mod datagram;
 pub mod departures;
--- a/src/control/start_times.rs
+++ b/src/control/start_times.rs
@@ -1,66 +1,72 @@
-//! Starts of backends, which discovery tells in wall time, on this node's own clock.
+//! Start times of backends, which discovery reports in wall time, on this node's own clock.
 //!
-//! The node's clock goes on from the wall clock of its machine at its own start and is monotonic from there. That wall clock may
-//! be wrong, by seconds or by an hour, and nobody tells the node. Two things are known all the same: no start lies in the future,
-//! and a start that was not listed when discovery was last heard is hardly older than that. A start that contradicts either is
-//! moved as far as it takes. One that was listed from the first is taken as told.
+//! The node's clock starts from the wall clock of its machine and is monotonic from then on. That wall clock
+//! may be wrong by seconds or by an hour, and the node is not told. Two facts hold anyway: no start lies in
+//! the future, and a start that was not listed when discovery last responded is not much older than that
+//! response. A start time that contradicts either fact is moved by as much as necessary. The start times in
+//! the first list are taken as reported.
 
 use crate::interface::BackendId;
 use std::collections::BTreeMap;
 
-/// So much later than a backend starts it may be listed, in milliseconds: lists come late, and a start is told once the backend
-/// serves.
+/// Longest time between a backend's start and its first listing, in milliseconds: lists arrive late, and a
+/// start is reported once the backend serves.
 pub const LISTED_AFTER_MS: f64 = 5000.0;
 
-/// Starts that are remembered; beyond that only those of listed backends are.
-const MOST_STARTS: usize = 4096;
+/// Number of start times kept; beyond it only those of listed backends are.
+const MAX_STARTS: usize = 4096;
 
-/// A start as it was told, and on the node's clock.
+/// A start time as discovery reported it, and on the node's clock.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    told_ms: f64,
-    own_ms: f64,
+    reported_ms: f64,
+    local_ms: f64,
 }
 
-/// The starts that are known.
+/// The known start times.
 #[derive(Debug, Default)]
 pub struct StartTimes {
     starts: BTreeMap<BackendId, Start>,
-    heard_ms: Option<f64>,
+    list_received_ms: Option<f64>,
 }
 
 impl StartTimes {
-    /// A backend is listed with this start, by an answer that was heard at `now`; 0 is a start of long ago.
-    pub fn record(&mut self, now: f64, backend: BackendId, told_ms: f64) {
-        if told_ms <= 0.0 || self.starts.get(&backend).is_some_and(|start| start.told_ms == told_ms) {
+    /// Records that a backend is listed with this start time, in a response received at `now`. A start time
+    /// of 0 means long ago.
+    pub fn record(&mut self, now: f64, backend: BackendId, reported_ms: f64) {
+        if reported_ms <= 0.0
+            || self.starts.get(&backend).is_some_and(|start| start.reported_ms == reported_ms)
+        {
             return;
         }
-        let earliest = self.heard_ms.map_or(f64::NEG_INFINITY, |heard| heard - LISTED_AFTER_MS);
-        let own_ms = told_ms.max(earliest).min(now);
-        self.starts.insert(backend, Start { told_ms, own_ms });
+        let earliest =
+            self.list_received_ms.map_or(f64::NEG_INFINITY, |received| received - LISTED_AFTER_MS);
+        let local_ms = reported_ms.max(earliest).min(now);
+        self.starts.insert(backend, Start { reported_ms, local_ms });
     }
 
-    /// All of an answer was noted. What is listed from here on and was not before began about now, at the earliest.
+    /// Records that all lines of a response have been recorded. A start that only a later response lists was
+    /// about now at the earliest.
     pub fn list_received(&mut self, now: f64) {
-        self.heard_ms = Some(now);
+        self.list_received_ms = Some(now);
     }
 
-    /// A start on the node's clock.
-    pub fn local_start_ms(&mut self, now: f64, backend: BackendId, told_ms: f64) -> f64 {
-        match self.starts.get(&backend).filter(|start| start.told_ms == told_ms) {
-            Some(start) => start.own_ms,
-            None if told_ms > now => {
-                self.starts.insert(backend, Start { told_ms, own_ms: now });
+    /// Returns a start time on the node's clock, in milliseconds.
+    pub fn local_start_ms(&mut self, now: f64, backend: BackendId, reported_ms: f64) -> f64 {
+        match self.starts.get(&backend).filter(|start| start.reported_ms == reported_ms) {
+            Some(start) => start.local_ms,
+            None if reported_ms > now => {
+                self.starts.insert(backend, Start { reported_ms, local_ms: now });
                 now
             }
-            None => told_ms,
+            None => reported_ms,
         }
     }
 
-    /// Forgets those of backends that are not listed, if there are too many.
-    pub fn trim(&mut self, listed: impl Fn(BackendId) -> bool) {
-        if self.starts.len() > MOST_STARTS {
-            self.starts.retain(|backend, _| listed(*backend));
+    /// Forgets the start times of backends that are not listed if there are too many.
+    pub fn trim(&mut self, is_listed: impl Fn(BackendId) -> bool) {
+        if self.starts.len() > MAX_STARTS {
+            self.starts.retain(|backend, _| is_listed(*backend));
         }
     }
 }
