--- a/src/peer_message.rs
+++ b/src/peer_message.rs
@@ -1,17 +1,17 @@
-//! What nodes tell each other of a backend, in five bytes: what happened, and the short form of its id.
+//! Messages between nodes about a backend, in five bytes: what happened, and the backend's short ID.
 
 use crate::interface::BackendId;
 
-/// What happened at a backend.
+/// What happened at a backend. The discriminant is the first byte of the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerMessage {
     /// An attempt failed.
     AttemptFailed = 1,
-    /// One was answered where others had failed.
+    /// An attempt was answered after others had failed.
     AttemptAnswered,
-    /// A trial failed.
+    /// A trial of a congested backend failed.
     TrialFailed,
-    /// A trial was answered.
+    /// A trial of a congested backend was answered.
     TrialSucceeded,
 }
 
@@ -23,18 +23,18 @@
         PeerMessage::TrialSucceeded,
     ];
 
-    /// The message.
+    /// Encodes the message.
     pub(crate) fn encode(self, backend: BackendId) -> Vec<u8> {
         let mut bytes = vec![self as u8];
         bytes.extend(backend.short().to_be_bytes());
         bytes
     }
 
-    /// Reads a message; none where it is anything else.
+    /// Decodes a message into its kind and the backend's short ID; none if the bytes are not a valid message.
     pub(crate) fn decode(bytes: &[u8]) -> Option<(PeerMessage, u32)> {
-        let &[news, a, b, c, d] = bytes else { return None };
-        let news = PeerMessage::ALL.into_iter().find(|n| *n as u8 == news)?;
-        Some((news, u32::from_be_bytes([a, b, c, d])))
+        let &[kind, a, b, c, d] = bytes else { return None };
+        let message = PeerMessage::ALL.into_iter().find(|message| *message as u8 == kind)?;
+        Some((message, u32::from_be_bytes([a, b, c, d])))
     }
 }
 
@@ -43,11 +43,11 @@
     use super::*;
 
     #[test]
-    fn a_message_is_read_as_it_was_written_and_nothing_else_is() {
+    fn an_encoded_message_decodes_to_itself_and_other_bytes_are_rejected() {
         let backend = BackendId(0x0123_4567_89ab_cdef);
-        for news in PeerMessage::ALL {
-            let bytes = news.encode(backend);
-            assert_eq!(PeerMessage::decode(&bytes), Some((news, backend.short())));
+        for message in PeerMessage::ALL {
+            let bytes = message.encode(backend);
+            assert_eq!(PeerMessage::decode(&bytes), Some((message, backend.short())));
             assert_eq!(PeerMessage::decode(&bytes[..4]), None);
             assert_eq!(PeerMessage::decode(&[&bytes[..], &[0]].concat()), None);
         }
