--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -242,8 +242,10 @@
 /// The latest wave that this node has passed on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Wave {
+    /// The root's number and incarnation.
     root: (NodeId, u32),
     number: u32,
+    /// This node's distance from the root.
     depth: u8,
     received_at: Ms,
 }
--- a/src/control/list_sync.rs
+++ b/src/control/list_sync.rs
@@ -1,6 +1,11 @@
 //! Keeps the list of backends up to date: chooses the next request to discovery and its timeout, and
 //! evaluates each response or failure. This module handles no addresses, sockets or list lines.
 //!
+//! The list arrives in one of two modes. In pushed mode ([`Discovery::Pushed`]) the node calls an agent to
+//! which changes are pushed; in on-request mode ([`Discovery::OnRequest`]) it calls one service for all
+//! nodes, when the policy requests updates. In both modes a watch is a request for changes that discovery
+//! answers as soon as there are some, or when the requested wait has passed.
+//!
 //! Discovery's contract says when a change counts as notified to a node, whether or not the node has received
 //! it. The synchronizer knows the earliest such deadline and sends a new request before it, leaving time for
 //! one more failure: each call gets half of the remaining time. `docs/design.md` lists the bounds for each
@@ -8,9 +13,8 @@
 //!
 //! After a failure, and until a response arrives, the moment at which discovery recovers is unknown. In
 //! pushed mode, changes count as notified as soon as discovery recovers, so short parallel calls on separate
-//! connections run beside each call, which may hang across the recovery. In on-request mode one service
-//! answers all nodes and each call loads it, so calls follow in rounds short enough to leave time for one
-//! failure.
+//! connections run beside each call, which may hang across the recovery. In on-request mode each call loads
+//! the service, so calls follow in rounds short enough to leave time for one failure.
 //!
 //! A call that was replaced, after a timeout or by a change of address, may already have been answered: its
 //! departures count as notified from the moment at which discovery wrote the response. The response is
@@ -38,10 +42,11 @@
 /// Bounds of the requested wait in on-request mode, where the setting `must_ask_in_ms` determines it.
 const MIN_WAIT_MS: f64 = 1000.0;
 const MAX_WAIT_MS: f64 = 20_000.0;
-/// First and longest pause after a failure or an unusable response; the pause doubles in between. A watch
-/// that is renewed within 200 ms misses no change.
-const FIRST_PAUSE_MS: f64 = 20.0;
-const MAX_PAUSE_MS: f64 = 150.0;
+/// First pause after a failure or an unusable response in pushed mode. It doubles up to the interval between
+/// parallel calls. A watch that is renewed within 200 ms misses no change.
+const FIRST_PUSHED_PAUSE_MS: f64 = 20.0;
+/// Longest pause in on-request mode; the pause doubles up to it.
+const MAX_ON_REQUEST_PAUSE_MS: f64 = 150.0;
 /// First pause in on-request mode, where one service answers all nodes.
 const FIRST_ON_REQUEST_PAUSE_MS: f64 = 100.0;
 /// Longest time between two calls in on-request mode after a failure and until discovery responds again, even
@@ -459,10 +464,16 @@
         false
     }
 
+    /// Sets the pause before the next call. The pause doubles after each call that was of no use.
     fn back_off(&mut self, now: f64) {
-        let first = if self.mode == Discovery::Pushed { FIRST_PAUSE_MS } else { FIRST_ON_REQUEST_PAUSE_MS };
+        let first =
+            if self.mode == Discovery::Pushed { FIRST_PUSHED_PAUSE_MS } else { FIRST_ON_REQUEST_PAUSE_MS };
         // Before a notification deadline the pause must leave time for the next call.
-        let longest = if self.mode == Discovery::Pushed { self.parallel_interval_ms } else { MAX_PAUSE_MS };
+        let longest = if self.mode == Discovery::Pushed {
+            self.parallel_interval_ms
+        } else {
+            MAX_ON_REQUEST_PAUSE_MS
+        };
         let last = self.notified_at.map_or(longest, |notified_at| longest.min((notified_at - now) / 4.0));
         let pause = (first * f64::from(1_u32 << self.unproductive.min(12))).min(last);
         self.unproductive = self.unproductive.saturating_add(1);
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -91,6 +91,7 @@
     refutable_until: Ms,
     /// This node raised the suspicion.
     is_suspected_here: bool,
+    /// Number of recent changes of the status, and the time at which this number last changed.
     flaps: u32,
     flapped_at: Ms,
 }
@@ -140,7 +141,9 @@
     heartbeat_boost: u32,
     members: Vec<Member>,
     checks: BTreeMap<NodeId, Check>,
+    /// Maximum number of children of a member in the tree.
     fan_out: usize,
+    /// How late this node has recently been, up to [`MAX_LATENESS`]; it gives other members more time.
     lateness: u32,
     lateness_changed_at: Ms,
     ticked_at: Ms,
--- a/src/control/zones.rs
+++ b/src/control/zones.rs
@@ -87,20 +87,29 @@
 #[derive(Clone, Debug)]
 struct Zone {
     state: ZoneState,
+    /// Time of the last change of state.
     since: f64,
     reason: String,
     order: Option<ZoneOrder>,
+    /// Evidence that the zone is lost: the log odds of the sequential test, 0 or more.
     log_odds: f64,
+    /// Failures since the evidence was last zero.
     failures: u32,
+    /// Answers since the last failure.
     answers: u32,
-    /// Servers with a failure since `failures` was last 0, and servers with an answer since the last failure.
+    /// Servers at which these failures occurred.
     failed_servers: BTreeSet<u32>,
+    /// Servers that gave these answers.
     answered_servers: BTreeSet<u32>,
     /// Decaying counts of outcomes: good, all, strained.
     outcomes: [f64; 3],
+    /// Time for which the zone was left at least when it was last left.
     absence_ms: f64,
+    /// Time at which the zone last began, or completed, its return.
     returned_at: f64,
+    /// Number of other nodes that report the zone as lost.
     peer_reports: usize,
+    /// Servers that are up.
     servers: usize,
     /// Servers that are congested by their own failure records.
     congested: usize,
