--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -407,11 +407,14 @@
         restarts: world.releases.restarts().len(),
     });
     lock(&world.checker).record_release(release);
-    let (mut met, mut knew) = (0, 0);
+    let (mut keyed_requests, mut known_key_requests) = (0, 0);
     for host in &world.hosts {
-        host.model(|m| (met, knew) = (met + m.met, knew + m.knew));
+        host.model(|m| {
+            (keyed_requests, known_key_requests) =
+                (keyed_requests + m.keyed_requests, known_key_requests + m.known_key_requests)
+        });
     }
-    lock(&world.checker).record_keys(met, knew);
+    lock(&world.checker).record_keys(keyed_requests, known_key_requests);
     let figures = lock(&world.checker).figures();
     let cpu: u64 = world.nodes.iter().map(|n| n.cpu_ns()).sum();
     let tries = figures.tries * figures.asked as f64;
@@ -594,8 +597,8 @@
                 && (0..world.hosts.len()).filter(|s| world.releases.on_new(*s)).count() >= release.bad_from;
             let (slower, errors) = if bad { (release.slower, release.errors) } else { (1.0, 0.0) };
             host.model(|m| {
-                m.pace = 1.0 / max_size(FaultKind::ServerSlow).max(1.0).max(slower);
-                m.taken = max_size(FaultKind::ServerNeighbour).clamp(0.0, 0.99);
+                m.speed_factor = 1.0 / max_size(FaultKind::ServerSlow).max(1.0).max(slower);
+                m.neighbour_share = max_size(FaultKind::ServerNeighbour).clamp(0.0, 0.99);
                 m.pause_ms = max_size(FaultKind::ServerPauses).clamp(0.0, 990.0);
             });
             host.set_faults(|f| {
--- a/crates/lab/src/real/servers.rs
+++ b/crates/lab/src/real/servers.rs
@@ -4,7 +4,7 @@
 use super::World;
 use super::links::{AcceptMode, FaultyListener, Link, LinkStream, StreamEnd, lock, loopback_ip};
 use crate::checker::Rule;
-use crate::server::{Admit, Server, spec};
+use crate::server::{Admission, Server, server_spec};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -97,7 +97,7 @@
 impl ServerHost {
     /// Creates a server without addresses that is warm when the run begins.
     pub fn new(world: &World, number: usize) -> ServerHost {
-        let spec = spec(&world.plan, number);
+        let spec = server_spec(&world.plan, number);
         ServerHost {
             number,
             model: Mutex::new(Server::new(spec, -1e12)),
@@ -208,7 +208,7 @@
             let next = {
                 let mut model = lock(&self.model);
                 model.advance(world.now(), &mut done);
-                model.next()
+                model.next_event_ms()
             };
             for id in done {
                 if let Some(waiter) = lock(&self.waiting).remove(&id) {
@@ -352,7 +352,7 @@
             let mut model = lock(&self.model);
             model.advance(now, &mut completed);
             let admitted = model.arrive(now, request_id, work_ms, Some(arrival.key));
-            if admitted == Admit::Taken {
+            if admitted == Admission::Accepted {
                 lock(&self.waiting).insert(request_id, notify);
             }
             admitted
@@ -360,15 +360,15 @@
         self.complete(completed);
         self.wake.notify_one();
         match admitted {
-            Admit::Taken => {}
-            Admit::Full => {
+            Admission::Accepted => {}
+            Admission::Rejected => {
                 world.network_delay(node, self.number, &self.links).await;
                 guard.never_ran = true;
                 let mut full = text_response(StatusCode::SERVICE_UNAVAILABLE, "full".to_owned());
                 full.headers_mut().insert("x-never-ran", HeaderValue::from_static("1"));
                 return Ok(full);
             }
-            Admit::Fell => {
+            Admission::FellOver => {
                 let what = format!("server {} was cold and received too much work", self.number);
                 lock(&world.checker).record_violation(Rule::PushedOver, now, what);
                 self.down(false);
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -1,229 +1,246 @@
-//! A config server as a model: cores shared by what is in work, a waiting room, keys that it remembers, and a cold
-//! start. No I/O and no clock: whoever drives it says when it is.
+//! A model of a config server: cores shared by the requests in progress, a queue, a cache of keys, and a
+//! slow start. It does no I/O and reads no clock: its caller passes the time.
 
 use crate::plan::Plan;
 use std::collections::{HashMap, VecDeque};
 
-/// What kind of machine it is.
+/// Parameters of a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
-    /// Cores.
+pub struct ServerSpec {
+    /// Number of cores.
     pub cores: f64,
-    /// Speed of a core.
+    /// Speed of a core; 1 is the reference speed in which work is measured.
     pub speed: f64,
-    /// Requests in work at once.
+    /// Maximum number of requests in progress.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Maximum number of requests in the queue.
     pub queue: usize,
-    /// Requests held from which it loses capacity, and what part of it for each.
+    /// Requests held per core above which the server loses capacity.
     pub thrash_at: f64,
-    /// See above.
+    /// Loss of capacity by overload: with n requests held beyond `thrash_at` per core, the capacity is
+    /// divided by 1 + n * `thrash`.
     pub thrash: f64,
-    /// Part of its capacity that it starts with.
+    /// Share of its capacity that the server has when it starts.
     pub cold_from: f64,
-    /// Until it is warm, in milliseconds.
+    /// Time until it has its full capacity, in milliseconds.
     pub cold_ms: f64,
-    /// Part of the work that is saved for a known key.
+    /// Share of the work that is saved for a known key.
     pub key_saving: f64,
-    /// A key is known for so long, in milliseconds.
+    /// Time for which a key is known, in milliseconds.
     pub key_ms: f64,
-    /// Keys that are known at once.
+    /// Maximum number of known keys.
     pub keys: usize,
-    /// A cancel stops what is in work, too.
+    /// True if cancelling a request also stops it while it is in progress.
     pub cancel_stops: bool,
-    /// While it is cold, work of more than this multiple of what it can do pushes it over ...
+    /// Work received while cold, as a multiple of the server's capacity, above which it falls over ...
     pub fall_multiple: f64,
-    /// ... when sent within so long, in milliseconds.
+    /// ... if received within this time, in milliseconds.
     pub fall_ms: f64,
 }
 
-/// The machine of a server of a day.
-pub fn spec(plan: &Plan, number: usize) -> Spec {
-    let f = &plan.scenario.fleet;
-    Spec {
-        cores: f.cores,
+/// Returns the parameters of a server of the plan.
+pub fn server_spec(plan: &Plan, number: usize) -> ServerSpec {
+    let fleet = &plan.scenario.fleet;
+    ServerSpec {
+        cores: fleet.cores,
         speed: plan.machines[number].speed,
-        slots: (f.slots_per_core * f.cores).round() as usize,
-        queue: (f.queue_per_core * f.cores).round() as usize,
-        thrash_at: f.thrash_at,
-        thrash: f.thrash,
-        cold_from: f.cold_from,
-        cold_ms: f.cold_s * 1000.0,
-        key_saving: f.key_saving,
-        key_ms: f.key_s * 1000.0,
-        keys: f.keys,
-        cancel_stops: f.cancel_stops,
+        slots: (fleet.slots_per_core * fleet.cores).round() as usize,
+        queue: (fleet.queue_per_core * fleet.cores).round() as usize,
+        thrash_at: fleet.thrash_at,
+        thrash: fleet.thrash,
+        cold_from: fleet.cold_from,
+        cold_ms: fleet.cold_s * 1000.0,
+        key_saving: fleet.key_saving,
+        key_ms: fleet.key_s * 1000.0,
+        keys: fleet.keys,
+        cancel_stops: fleet.cancel_stops,
         fall_multiple: plan.scenario.rules.fall_multiple,
         fall_ms: plan.scenario.rules.fall_s * 1000.0,
     }
 }
 
+/// A request that the server holds, with the work left.
 #[derive(Clone, Copy, Debug)]
 struct Job {
     id: u64,
-    left: f64,
+    left_ms: f64,
     key: Option<u64>,
 }
 
-/// What becomes of a request that arrives.
+/// What the server does with a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admit {
-    /// It is worked on, or waits.
-    Taken,
-    /// Turned away, unseen.
-    Full,
-    /// The server fell over by it: too much for one that is cold.
-    Fell,
+pub enum Admission {
+    /// The request is in progress or queued.
+    Accepted,
+    /// The request is rejected without running.
+    Rejected,
+    /// The server falls over: it is cold and received too much work.
+    FellOver,
 }
 
-/// One server.
+/// The model of one server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    spec: Spec,
-    /// When it came up; long ago for one that is warm.
-    since: f64,
-    work: Vec<Job>,
-    waiting: VecDeque<Job>,
-    now: f64,
-    /// Multiplies its speed.
-    pub pace: f64,
-    /// Part of its cores that another program takes.
-    pub taken: f64,
-    /// It stands still for so long, in milliseconds, each second.
+    spec: ServerSpec,
+    /// Start time, in milliseconds; far in the past for a warm server.
+    started_ms: f64,
+    in_progress: Vec<Job>,
+    queue: VecDeque<Job>,
+    now_ms: f64,
+    /// Factor on the speed.
+    pub speed_factor: f64,
+    /// Share of the cores that another program takes.
+    pub neighbour_share: f64,
+    /// Time for which the server pauses in each second, in milliseconds.
     pub pause_ms: f64,
+    /// Known keys with the time at which each was last used, in milliseconds.
     known: HashMap<u64, f64>,
-    /// What was sent to it while cold: when, and how much.
+    /// Work received while cold: time and amount, both in milliseconds.
     sent: VecDeque<(f64, f64)>,
     fallen: bool,
-    /// Requests with a key so far, over all its starts, and those whose key it knew.
-    pub met: u64,
-    /// See above.
-    pub knew: u64,
-    /// Work done since it came up, in milliseconds of a core of speed 1.
+    /// Requests with a key received over all starts.
+    pub keyed_requests: u64,
+    /// Those of them whose key was known.
+    pub known_key_requests: u64,
+    /// Work done since the start, in milliseconds of a core of speed 1.
     pub done_ms: f64,
 }
 
-/// While it is cold or pauses, its speed is taken for the same for so long.
+/// Step in which the speed is treated as constant while the server is cold or has pauses, in milliseconds.
 const STEP_MS: f64 = 20.0;
-/// Chance may exceed the cold budget by this.
-const SLACK: f64 = 1.1;
+/// Tolerance for random variation of the load on a cold server, as a factor.
+const COLD_TOLERANCE: f64 = 1.1;
 
 impl Server {
-    /// One that came up at `since`.
-    pub fn new(spec: Spec, since: f64) -> Server {
+    /// Creates a server that started at `started_ms`.
+    pub fn new(spec: ServerSpec, started_ms: f64) -> Server {
         Server {
             spec,
-            since,
-            work: Vec::new(),
-            waiting: VecDeque::new(),
-            now: since.max(0.0),
-            pace: 1.0,
-            taken: 0.0,
+            started_ms,
+            in_progress: Vec::new(),
+            queue: VecDeque::new(),
+            now_ms: started_ms.max(0.0),
+            speed_factor: 1.0,
+            neighbour_share: 0.0,
             pause_ms: 0.0,
             known: HashMap::new(),
             sent: VecDeque::new(),
             fallen: false,
-            met: 0,
-            knew: 0,
+            keyed_requests: 0,
+            known_key_requests: 0,
             done_ms: 0.0,
         }
     }
 
-    /// Starts again, cold, at `now`; what it had is gone, and its ids are handed back.
-    pub fn restart(&mut self, now: f64) -> Vec<u64> {
-        let lost = self.work.iter().chain(&self.waiting).map(|j| j.id).collect();
-        let (pace, taken, pause_ms) = (self.pace, self.taken, self.pause_ms);
-        let (met, knew) = (self.met, self.knew);
-        *self = Server { pace, taken, pause_ms, met, knew, now, ..Server::new(self.spec.clone(), now) };
+    /// Restarts the server, cold, at `now_ms`. Returns the ids of the requests lost.
+    pub fn restart(&mut self, now_ms: f64) -> Vec<u64> {
+        let lost = self.in_progress.iter().chain(&self.queue).map(|j| j.id).collect();
+        let (speed_factor, neighbour_share, pause_ms) =
+            (self.speed_factor, self.neighbour_share, self.pause_ms);
+        let (keyed_requests, known_key_requests) = (self.keyed_requests, self.known_key_requests);
+        *self = Server {
+            speed_factor,
+            neighbour_share,
+            pause_ms,
+            keyed_requests,
+            known_key_requests,
+            now_ms,
+            ..Server::new(self.spec.clone(), now_ms)
+        };
         lost
     }
 
-    /// Requests that it holds.
+    /// Returns the number of requests in progress and queued.
     pub fn held(&self) -> usize {
-        self.work.len() + self.waiting.len()
+        self.in_progress.len() + self.queue.len()
     }
 
-    /// Pushed over, and down since.
-    pub fn fallen(&self) -> bool {
+    /// Returns true if the server fell over and has not been restarted.
+    pub fn has_fallen(&self) -> bool {
         self.fallen
     }
 
-    /// Its part of its capacity at a moment, by how long it is up.
-    pub fn ramp(&self, now: f64) -> f64 {
-        let age = now - self.since;
+    /// Returns the share of its capacity that the server has at `now`, from its time since the start.
+    pub fn capacity_share(&self, now: f64) -> f64 {
+        let age = now - self.started_ms;
         if age >= self.spec.cold_ms {
             return 1.0;
         }
         self.spec.cold_from + (1.0 - self.spec.cold_from) * (age / self.spec.cold_ms).max(0.0)
     }
 
-    /// It is cold at that moment.
-    pub fn cold(&self, now: f64) -> bool {
-        now - self.since < self.spec.cold_ms
+    /// Returns true if the server is cold at `now`.
+    pub fn is_cold(&self, now: f64) -> bool {
+        now - self.started_ms < self.spec.cold_ms
     }
 
-    fn paused(&self, now: f64) -> bool {
+    /// Returns true if the server is in a pause at `now`.
+    fn is_paused(&self, now: f64) -> bool {
         self.pause_ms > 0.0 && now.rem_euclid(1000.0) < self.pause_ms
     }
 
-    /// Work that each request in work has done in a millisecond.
+    /// Returns the work done on each request in progress per millisecond.
     fn rate(&self, now: f64) -> f64 {
-        if self.work.is_empty() || self.paused(now) || self.fallen {
+        if self.in_progress.is_empty() || self.is_paused(now) || self.fallen {
             return 0.0;
         }
-        let cores = self.spec.cores * (1.0 - self.taken).max(0.01);
+        let cores = self.spec.cores * (1.0 - self.neighbour_share).max(0.01);
         let over = (self.held() as f64 - self.spec.thrash_at * self.spec.cores).max(0.0);
         let thrash = 1.0 / (1.0 + self.spec.thrash * over);
-        let share = (cores / self.work.len() as f64).min(1.0);
-        self.spec.speed * self.pace * self.ramp(now) * share * thrash
+        let share = (cores / self.in_progress.len() as f64).min(1.0);
+        self.spec.speed * self.speed_factor * self.capacity_share(now) * share * thrash
     }
 
-    fn steady(&self, now: f64) -> bool {
-        !self.cold(now) && self.pause_ms <= 0.0
+    /// Returns true if the speed changes only with the requests held: the server is warm and has no pauses.
+    fn is_steady(&self, now: f64) -> bool {
+        !self.is_cold(now) && self.pause_ms <= 0.0
     }
 
-    /// Works up to `now`; ids of what was completed meanwhile go to `done`, in their order.
+    /// Advances the model to `now` and appends the ids of completed requests to `done`, in order of
+    /// completion.
     pub fn advance(&mut self, now: f64, done: &mut Vec<u64>) {
-        while self.now < now {
-            let rate = self.rate(self.now);
-            let least = self.work.iter().map(|j| j.left).fold(f64::INFINITY, f64::min);
-            let ends = if rate > 0.0 { self.now + least / rate } else { f64::INFINITY };
-            let mut to = now.min(ends);
-            if !self.steady(self.now) {
-                to = to.min(self.now + STEP_MS);
+        while self.now_ms < now {
+            let rate = self.rate(self.now_ms);
+            let least_left_ms = self.in_progress.iter().map(|j| j.left_ms).fold(f64::INFINITY, f64::min);
+            let completes_ms = if rate > 0.0 { self.now_ms + least_left_ms / rate } else { f64::INFINITY };
+            let mut to = now.min(completes_ms);
+            if !self.is_steady(self.now_ms) {
+                to = to.min(self.now_ms + STEP_MS);
             }
-            // Rounding must not keep it where it is.
-            let to = to.max(self.now + 1e-6).min(now);
-            let worked = rate * (to - self.now);
-            self.done_ms += worked * self.work.len() as f64;
-            self.work.iter_mut().for_each(|j| j.left -= worked);
-            self.now = to;
+            // Guarantees progress in spite of rounding errors.
+            let to = to.max(self.now_ms + 1e-6).min(now);
+            let worked = rate * (to - self.now_ms);
+            self.done_ms += worked * self.in_progress.len() as f64;
+            self.in_progress.iter_mut().for_each(|j| j.left_ms -= worked);
+            self.now_ms = to;
             self.finish(done);
-            if self.work.is_empty() && self.waiting.is_empty() {
-                self.now = now;
+            if self.in_progress.is_empty() && self.queue.is_empty() {
+                self.now_ms = now;
             }
         }
     }
 
+    /// Removes completed requests and starts queued ones.
     fn finish(&mut self, done: &mut Vec<u64>) {
         let mut n = 0;
-        while let Some(job) = self.work.get(n).copied() {
-            if job.left > 1e-6 {
+        while let Some(job) = self.in_progress.get(n).copied() {
+            if job.left_ms > 1e-6 {
                 n += 1;
                 continue;
             }
-            self.work.remove(n);
+            self.in_progress.remove(n);
             done.push(job.id);
             if let Some(key) = job.key {
                 self.learn(key);
             }
         }
-        while self.work.len() < self.spec.slots.max(1) {
-            let Some(job) = self.waiting.pop_front() else { break };
-            self.work.push(job);
+        while self.in_progress.len() < self.spec.slots.max(1) {
+            let Some(job) = self.queue.pop_front() else { break };
+            self.in_progress.push(job);
         }
     }
 
+    /// Adds a key to the known ones, in place of the oldest one if there are too many.
     fn learn(&mut self, key: u64) {
         if self.known.len() >= self.spec.keys.max(1) && !self.known.contains_key(&key) {
             let oldest = self.known.iter().min_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0)));
@@ -231,64 +248,71 @@
                 self.known.remove(&oldest);
             }
         }
-        self.known.insert(key, self.now);
+        self.known.insert(key, self.now_ms);
     }
 
-    /// When something will be completed, if nothing comes up before; at the latest when to look again.
-    pub fn next(&self) -> Option<f64> {
-        if self.work.is_empty() || self.fallen {
+    /// Returns the time at which the next request completes if none arrives before, or an earlier time at
+    /// which to advance the model again.
+    pub fn next_event_ms(&self) -> Option<f64> {
+        if self.in_progress.is_empty() || self.fallen {
             return None;
         }
-        let rate = self.rate(self.now);
-        let least = self.work.iter().map(|j| j.left).fold(f64::INFINITY, f64::min);
-        let ends = if rate > 0.0 { self.now + (least / rate).max(1e-3) } else { f64::INFINITY };
-        Some(if self.steady(self.now) { ends } else { ends.min(self.now + STEP_MS) })
+        let rate = self.rate(self.now_ms);
+        let least_left_ms = self.in_progress.iter().map(|j| j.left_ms).fold(f64::INFINITY, f64::min);
+        let completes_ms =
+            if rate > 0.0 { self.now_ms + (least_left_ms / rate).max(1e-3) } else { f64::INFINITY };
+        Some(if self.is_steady(self.now_ms) {
+            completes_ms
+        } else {
+            completes_ms.min(self.now_ms + STEP_MS)
+        })
     }
 
-    /// Takes a request of `work_ms` in at `now`, to which it must have been advanced.
-    pub fn arrive(&mut self, now: f64, id: u64, work_ms: f64, key: Option<u64>) -> Admit {
-        self.now = self.now.max(now);
+    /// Accepts or rejects a request with `work_ms` of work. The model must have been advanced to `now`.
+    pub fn arrive(&mut self, now: f64, id: u64, work_ms: f64, key: Option<u64>) -> Admission {
+        self.now_ms = self.now_ms.max(now);
         if self.fallen {
-            return Admit::Full;
+            return Admission::Rejected;
         }
-        let warm = key.and_then(|k| self.known.get(&k)).is_some_and(|at| now - at < self.spec.key_ms);
-        self.met += u64::from(key.is_some());
-        self.knew += u64::from(warm);
-        let left = if warm { work_ms * (1.0 - self.spec.key_saving) } else { work_ms };
-        if self.cold(now) {
-            self.sent.push_back((now, left));
+        let is_known = key.and_then(|k| self.known.get(&k)).is_some_and(|at| now - at < self.spec.key_ms);
+        self.keyed_requests += u64::from(key.is_some());
+        self.known_key_requests += u64::from(is_known);
+        let left_ms = if is_known { work_ms * (1.0 - self.spec.key_saving) } else { work_ms };
+        if self.is_cold(now) {
+            self.sent.push_back((now, left_ms));
             while self.sent.front().is_some_and(|(at, _)| now - at > self.spec.fall_ms) {
                 self.sent.pop_front();
             }
-            let sent: f64 = self.sent.iter().map(|s| s.1).sum();
-            let able = self.spec.cores * self.spec.speed * self.ramp(now) * self.spec.fall_ms;
-            if sent > SLACK * self.spec.fall_multiple * able {
+            let sent_ms: f64 = self.sent.iter().map(|s| s.1).sum();
+            let capacity_ms =
+                self.spec.cores * self.spec.speed * self.capacity_share(now) * self.spec.fall_ms;
+            if sent_ms > COLD_TOLERANCE * self.spec.fall_multiple * capacity_ms {
                 self.fallen = true;
-                return Admit::Fell;
+                return Admission::FellOver;
             }
         }
-        let job = Job { id, left: left.max(1e-6), key };
-        if self.work.len() < self.spec.slots.max(1) {
-            self.work.push(job);
-        } else if self.waiting.len() < self.spec.queue {
-            self.waiting.push_back(job);
+        let job = Job { id, left_ms: left_ms.max(1e-6), key };
+        if self.in_progress.len() < self.spec.slots.max(1) {
+            self.in_progress.push(job);
+        } else if self.queue.len() < self.spec.queue {
+            self.queue.push_back(job);
         } else {
-            return Admit::Full;
+            return Admission::Rejected;
         }
-        Admit::Taken
+        Admission::Accepted
     }
 
-    /// Whoever sent it has gone. False: it goes on, or is not there.
+    /// Cancels a request. Returns false if it continues or is unknown.
     pub fn cancel(&mut self, id: u64) -> bool {
-        if let Some(n) = self.waiting.iter().position(|j| j.id == id) {
-            self.waiting.remove(n);
+        if let Some(n) = self.queue.iter().position(|j| j.id == id) {
+            self.queue.remove(n);
             return true;
         }
-        let n = self.work.iter().position(|j| j.id == id).filter(|_| self.spec.cancel_stops);
+        let n = self.in_progress.iter().position(|j| j.id == id).filter(|_| self.spec.cancel_stops);
         if let Some(n) = n {
-            self.work.remove(n);
-            if let Some(job) = self.waiting.pop_front() {
-                self.work.push(job);
+            self.in_progress.remove(n);
+            if let Some(job) = self.queue.pop_front() {
+                self.in_progress.push(job);
             }
         }
         n.is_some()
@@ -299,8 +323,8 @@
 mod tests {
     use super::*;
 
-    fn spec() -> Spec {
-        Spec {
+    fn spec() -> ServerSpec {
+        ServerSpec {
             cores: 2.0,
             speed: 1.0,
             slots: 4,
@@ -329,35 +353,35 @@
     }
 
     #[test]
-    fn cores_are_shared_by_what_is_in_work() {
+    fn requests_in_progress_share_the_cores() {
         let mut s = warm();
-        assert_eq!(s.arrive(0.0, 1, 100.0, None), Admit::Taken);
-        assert_eq!(s.next(), Some(100.0));
+        assert_eq!(s.arrive(0.0, 1, 100.0, None), Admission::Accepted);
+        assert_eq!(s.next_event_ms(), Some(100.0));
         for id in 2..=4 {
             s.arrive(0.0, id, 100.0, None);
         }
-        // Four on two cores take twice as long.
-        assert_eq!(s.next(), Some(200.0));
+        // Four requests on two cores take twice as long.
+        assert_eq!(s.next_event_ms(), Some(200.0));
         assert!(run(&mut s, 199.0).is_empty());
         assert_eq!(run(&mut s, 200.1), [1, 2, 3, 4]);
     }
 
     #[test]
-    fn beyond_its_slots_requests_wait_and_beyond_its_room_they_are_turned_away() {
+    fn requests_beyond_the_slots_are_queued_and_beyond_the_queue_rejected() {
         let mut s = warm();
-        let admitted: Vec<Admit> = (0..7).map(|id| s.arrive(0.0, id, 100.0, None)).collect();
-        assert_eq!(admitted.iter().filter(|a| **a == Admit::Taken).count(), 6);
-        assert_eq!(admitted[6], Admit::Full);
-        assert!(s.cancel(5) && !s.cancel(5), "one that waits");
-        assert!(s.cancel(0), "one in work, whose slot the next one gets");
+        let admitted: Vec<Admission> = (0..7).map(|id| s.arrive(0.0, id, 100.0, None)).collect();
+        assert_eq!(admitted.iter().filter(|a| **a == Admission::Accepted).count(), 6);
+        assert_eq!(admitted[6], Admission::Rejected);
+        assert!(s.cancel(5) && !s.cancel(5), "a queued request");
+        assert!(s.cancel(0), "one in progress, whose slot the next one gets");
         assert_eq!(s.held(), 4);
-        let mut stubborn = Server::new(Spec { cancel_stops: false, ..spec() }, -1e9);
-        stubborn.arrive(0.0, 1, 10.0, None);
-        assert!(!stubborn.cancel(1));
+        let mut uncancellable = Server::new(ServerSpec { cancel_stops: false, ..spec() }, -1e9);
+        uncancellable.arrive(0.0, 1, 10.0, None);
+        assert!(!uncancellable.cancel(1));
     }
 
     #[test]
-    fn a_key_that_it_met_lately_is_less_work_and_only_so_many_are_known() {
+    fn a_known_key_saves_work_and_the_number_of_known_keys_is_limited() {
         let mut s = warm();
         s.arrive(0.0, 1, 100.0, Some(7));
         assert_eq!(run(&mut s, 100.1), [1]);
@@ -368,39 +392,41 @@
         }
         run(&mut s, 260.0);
         s.arrive(260.0, 5, 100.0, Some(7));
-        assert!(run(&mut s, 350.0).is_empty(), "forgotten for two newer ones");
+        assert!(run(&mut s, 350.0).is_empty(), "displaced by two newer keys");
     }
 
     #[test]
-    fn a_cold_one_is_slow_and_falls_over_when_pushed() {
+    fn a_cold_server_is_slow_and_falls_over_under_too_much_work() {
         let mut s = Server::new(spec(), 0.0);
         s.arrive(0.0, 1, 100.0, None);
         assert!(run(&mut s, 300.0).is_empty());
-        assert_eq!(run(&mut s, 400.0), [1], "a quarter of the speed, and a little more by and by");
-        // Three times a quarter of two cores for two seconds are 3000 ms, and it rises.
-        let mut pushed = Server::new(Spec { queue: 1000, ..spec() }, 0.0);
-        let fell = (0..60).position(|n| pushed.arrive(f64::from(n), n as u64, 100.0, None) == Admit::Fell);
-        assert!(fell.is_some_and(|n| (32..=36).contains(&n)), "{fell:?}");
-        assert!(pushed.fallen() && pushed.arrive(70.0, 99, 1.0, None) == Admit::Full);
+        assert_eq!(run(&mut s, 400.0), [1], "a quarter of the speed, which rises slowly");
+        // The limit is three times a quarter of two cores for two seconds, which is 3000 ms, and rises with
+        // the capacity.
+        let mut pushed = Server::new(ServerSpec { queue: 1000, ..spec() }, 0.0);
+        let fell_at =
+            (0..60).position(|n| pushed.arrive(f64::from(n), n as u64, 100.0, None) == Admission::FellOver);
+        assert!(fell_at.is_some_and(|n| (32..=36).contains(&n)), "{fell_at:?}");
+        assert!(pushed.has_fallen() && pushed.arrive(70.0, 99, 1.0, None) == Admission::Rejected);
         let lost = pushed.restart(1000.0);
-        assert!(lost.len() > 30 && !pushed.fallen() && pushed.cold(1001.0) && pushed.held() == 0);
+        assert!(lost.len() > 30 && !pushed.has_fallen() && pushed.is_cold(1001.0) && pushed.held() == 0);
     }
 
     #[test]
-    fn pauses_neighbours_and_thrash_take_time() {
+    fn pauses_neighbours_and_overload_slow_a_server_down() {
         let mut s = warm();
         s.pause_ms = 300.0;
         s.arrive(0.0, 1, 100.0, None);
         assert!(run(&mut s, 399.0).is_empty());
         assert_eq!(run(&mut s, 420.0), [1]);
         let mut s = warm();
-        s.taken = 0.5;
+        s.neighbour_share = 0.5;
         s.arrive(0.0, 1, 100.0, None);
         s.arrive(0.0, 2, 100.0, None);
-        assert_eq!(s.next(), Some(200.0));
-        let mut s = Server::new(Spec { thrash_at: 0.5, thrash: 1.0, ..spec() }, -1e9);
+        assert_eq!(s.next_event_ms(), Some(200.0));
+        let mut s = Server::new(ServerSpec { thrash_at: 0.5, thrash: 1.0, ..spec() }, -1e9);
         s.arrive(0.0, 1, 100.0, None);
         s.arrive(0.0, 2, 100.0, None);
-        assert_eq!(s.next(), Some(200.0), "one over what it holds easily");
+        assert_eq!(s.next_event_ms(), Some(200.0), "one request beyond the threshold");
     }
 }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -6,7 +6,7 @@
 use crate::checker::{ANSWER_SLACK_MS, Answer, Checker, Figures, Rule, Verdict};
 use crate::plan::{Arrival, Parties, Plan, PlannedFault, link_state, mix_bits, unit_interval};
 use crate::scenario::{Backoff, FaultKind, Repeat, Scenario};
-use crate::server::{Admit, Server, spec};
+use crate::server::{Admission, Server, server_spec};
 use crate::settings::settings;
 use daleturn::Balancer;
 use daleturn::control::gossip::{self, Gossip, MaxAges};
@@ -332,7 +332,7 @@
     fn new(plan: Plan, options: Options) -> Sim {
         let machines: Vec<SimServer> = (0..plan.machines.len())
             .map(|n| SimServer {
-                model: Server::new(spec(&plan, n), -1e12),
+                model: Server::new(server_spec(&plan, n), -1e12),
                 up: true,
                 vanished: false,
                 silent: false,
@@ -629,13 +629,13 @@
         } else {
             Some(machine.model.arrive(now, request_id, work_ms, Some(arrival.key)))
         };
-        if admitted == Some(Admit::Taken) {
+        if admitted == Some(Admission::Accepted) {
             machine.waiting.insert(request_id, (node, epoch, id, attempt));
         }
         let silent = machine.silent;
         if let Some(a) = self.attempt(node, id, attempt) {
             a.checker_attempt = Some(checker_attempt);
-            a.request_id = (admitted == Some(Admit::Taken)).then_some(request_id);
+            a.request_id = (admitted == Some(Admission::Accepted)).then_some(request_id);
         }
         self.completed(server, done);
         let reply = |outcome| SimEvent::AttemptEnd { node, epoch, id, attempt, outcome };
@@ -648,15 +648,15 @@
                     self.push(now + ms, reply(Outcome::Error));
                 }
             }
-            Some(Admit::Taken) => self.schedule(server),
-            Some(Admit::Full) => {
+            Some(Admission::Accepted) => self.schedule(server),
+            Some(Admission::Rejected) => {
                 self.checker.attempt_ended(now, trace, checker_attempt, true);
                 self.checker.attempt_wasted();
                 if answer_passes {
                     self.push(now + ms, reply(Outcome::Full));
                 }
             }
-            Some(Admit::Fell) => {
+            Some(Admission::FellOver) => {
                 let what = format!("server {server} was cold and received too much work");
                 self.checker.record_violation(Rule::PushedOver, now, what);
                 self.checker.attempt_ended(now, trace, checker_attempt, false);
@@ -675,7 +675,7 @@
         let machine = &mut self.machines[server];
         machine.generation += 1;
         let generation = machine.generation;
-        if let Some(at) = machine.model.next() {
+        if let Some(at) = machine.model.next_event_ms() {
             self.push(at, SimEvent::ServerWork { server, generation });
         }
     }
@@ -1215,8 +1215,8 @@
             let max_size = |kind: FaultKind| {
                 faults_here().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max)
             };
-            m.model.pace = 1.0 / max_size(FaultKind::ServerSlow).max(1.0);
-            m.model.taken = max_size(FaultKind::ServerNeighbour).clamp(0.0, 0.99);
+            m.model.speed_factor = 1.0 / max_size(FaultKind::ServerSlow).max(1.0);
+            m.model.neighbour_share = max_size(FaultKind::ServerNeighbour).clamp(0.0, 0.99);
             m.model.pause_ms = max_size(FaultKind::ServerPauses).clamp(0.0, 990.0);
             m.silent = faults_here().any(|f| f.kind == FaultKind::ServerSilent);
             m.errors = max_size(FaultKind::ServerErrors);
@@ -1454,8 +1454,11 @@
                 _ => {}
             }
         }
-        let (met, knew) = self.machines.iter().fold((0, 0), |s, m| (s.0 + m.model.met, s.1 + m.model.knew));
-        self.checker.record_keys(met, knew);
+        let (keyed_requests, known_key_requests) = self
+            .machines
+            .iter()
+            .fold((0, 0), |s, m| (s.0 + m.model.keyed_requests, s.1 + m.model.known_key_requests));
+        self.checker.record_keys(keyed_requests, known_key_requests);
         Ok(())
     }
 }
