--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -1,5 +1,5 @@
-//! Plain balancers that speak the node's protocol and decide next to nothing, so that every figure of the node stands
-//! beside something. They follow discovery and pass on; they judge nobody, repeat nothing and refuse nothing.
+//! Baselines to compare the node with: simple balancers that speak the same protocols. They follow
+//! discovery and forward requests, without failure detection, retries or load shedding.
 
 use bytes::Bytes;
 use daleturn::platform::Config;
@@ -20,28 +20,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Pause after a call of discovery that failed.
-const PAUSE: Duration = Duration::from_millis(200);
-/// A connection that does not come up by then does not.
-const CONNECT: Duration = Duration::from_millis(150);
+/// Delay after a failed call to discovery.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Connect timeout.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How a server is picked.
+/// How a server is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// The same one for all that a node gets: no decision at all.
+    /// Always the same server.
     Pass,
-    /// By chance.
+    /// A random server.
     Random,
-    /// One after the other.
+    /// The servers in turn.
     RoundRobin,
-    /// Of two by chance, the one with fewer of this node's requests in flight.
+    /// Of two random servers, the one with fewer requests of this process in flight.
     Least,
-    /// None: clients know all servers and what each holds, and go there themselves. The process only says yes.
+    /// None: clients know the load of all servers and connect to them directly. The process only answers
+    /// health checks.
     Direct,
 }
 
 impl Pick {
-    /// All of them, by name.
+    /// All choices with their names.
     pub const ALL: [(&'static str, Pick); 5] = [
         ("direct", Pick::Direct),
         ("pass", Pick::Pass),
@@ -50,26 +51,28 @@
         ("least", Pick::Least),
     ];
 
-    /// One by its name.
+    /// Returns the choice with a given name.
     pub fn named(name: &str) -> Option<Pick> {
         Pick::ALL.into_iter().find(|(n, _)| *n == name).map(|(_, pick)| pick)
     }
 }
 
-type Conn = SendRequest<Full<Bytes>>;
+type Connection = SendRequest<Full<Bytes>>;
 
+/// A baseline: the servers from discovery, idle connections, and the state of the choice.
 struct Proxy {
     pick: Pick,
     servers: RefCell<BTreeMap<String, SocketAddr>>,
-    idle: RefCell<HashMap<SocketAddr, Vec<Conn>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     in_flight: RefCell<HashMap<SocketAddr, u32>>,
     turn: Cell<usize>,
     draws: Cell<u64>,
 }
 
 impl Proxy {
-    fn draw(&self, of: usize) -> usize {
-        // A small generator is plenty for picking by chance.
+    /// Returns a random index below `of`.
+    fn random_index(&self, of: usize) -> usize {
+        // The xorshift generator is good enough for choosing a random server.
         let mut x = self.draws.get();
         x ^= x << 13;
         x ^= x >> 7;
@@ -78,26 +81,28 @@
         (x % of.max(1) as u64) as usize
     }
 
-    fn server(&self) -> Option<SocketAddr> {
+    /// Chooses a server for a request, if any is known.
+    fn choose_server(&self) -> Option<SocketAddr> {
         let all: Vec<SocketAddr> = self.servers.borrow().values().copied().collect();
-        let flying = |at: &SocketAddr| self.in_flight.borrow().get(at).copied().unwrap_or(0);
+        let in_flight_to = |at: &SocketAddr| self.in_flight.borrow().get(at).copied().unwrap_or(0);
         match self.pick {
             Pick::Pass | Pick::Direct => all.first().copied(),
-            Pick::Random => all.get(self.draw(all.len())).copied(),
+            Pick::Random => all.get(self.random_index(all.len())).copied(),
             Pick::RoundRobin => {
                 let turn = self.turn.get();
                 self.turn.set(turn.wrapping_add(1));
                 all.get(turn % all.len().max(1)).copied()
             }
             Pick::Least => {
-                let (a, b) = (all.get(self.draw(all.len()))?, all.get(self.draw(all.len()))?);
-                Some(if flying(b) < flying(a) { *b } else { *a })
+                let (a, b) =
+                    (all.get(self.random_index(all.len()))?, all.get(self.random_index(all.len()))?);
+                Some(if in_flight_to(b) < in_flight_to(a) { *b } else { *a })
             }
         }
     }
 
-    /// Takes in an answer of discovery; its version comes back.
-    fn listed(&self, answer: &Value) -> Option<u64> {
+    /// Applies an answer of discovery and returns its version.
+    fn apply_list(&self, answer: &Value) -> Option<u64> {
         let mut servers = self.servers.borrow_mut();
         if answer.get("all")?.as_bool()? {
             servers.clear();
@@ -113,18 +118,20 @@
         answer.get("rev")?.as_u64()
     }
 
-    async fn open(at: SocketAddr) -> Option<Conn> {
-        let stream = tokio::time::timeout(CONNECT, TcpStream::connect(at)).await.ok()?.ok()?;
+    /// Opens a connection.
+    async fn open(at: SocketAddr) -> Option<Connection> {
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         spawn_local(async move {
-            // Its end is seen by whoever sends.
+            // The sender sees the end of the connection.
             let _ = connection.await;
         });
         Some(sender)
     }
 
-    async fn watch(&self, discovery: SocketAddr) {
+    /// Follows discovery's list.
+    async fn watch_discovery(&self, discovery: SocketAddr) {
         let mut version: Option<u64> = None;
         loop {
             let call = async {
@@ -139,24 +146,25 @@
                     return None;
                 }
                 let body = answer.into_body().collect().await.ok()?.to_bytes();
-                self.listed(&serde_json::from_slice(&body).ok()?)
+                self.apply_list(&serde_json::from_slice(&body).ok()?)
             };
             match call.await {
                 Some(now) => version = Some(now),
-                None => tokio::time::sleep(PAUSE).await,
+                None => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    async fn pass(&self, request: Request<Incoming>) -> Option<Response<Full<Bytes>>> {
-        let at = self.server()?;
+    /// Forwards a request to a server, within the time that the client gives.
+    async fn forward(&self, request: Request<Incoming>) -> Option<Response<Full<Bytes>>> {
+        let at = self.choose_server()?;
         let wait = request.headers().get("x-expires-in-ms").and_then(|v| v.to_str().ok()?.parse().ok());
         let (head, body) = request.into_parts();
         let body = Full::new(body.collect().await.ok()?.to_bytes());
         *self.in_flight.borrow_mut().entry(at).or_default() += 1;
         let exchange = async {
-            let kept = self.idle.borrow_mut().get_mut(&at).and_then(Vec::pop);
-            let mut conn = match kept.filter(|c| c.is_ready()) {
+            let idle = self.idle.borrow_mut().get_mut(&at).and_then(Vec::pop);
+            let mut conn = match idle.filter(|c| c.is_ready()) {
                 Some(conn) => conn,
                 None => Proxy::open(at).await?,
             };
@@ -177,6 +185,7 @@
         Some(response)
     }
 
+    /// Answers health checks, and forwards other requests.
     async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let plain = |status| {
             let mut response = Response::new(Full::default());
@@ -187,14 +196,14 @@
             let ready = !self.servers.borrow().is_empty();
             return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
         }
-        self.pass(request).await.unwrap_or_else(|| plain(StatusCode::BAD_GATEWAY))
+        self.forward(request).await.unwrap_or_else(|| plain(StatusCode::BAD_GATEWAY))
     }
 }
 
-/// Serves as one, with the node's configuration, until SIGTERM.
+/// Serves as a baseline with the node's configuration, until SIGTERM.
 ///
 /// # Errors
-/// The configuration cannot be read, or its address not be bound.
+/// Returns an error if the configuration cannot be read or the listening address cannot be bound.
 pub fn serve(pick: Pick) -> Result<(), String> {
     let config = Config::load().map_err(|e| e.to_string())?;
     let runtime =
@@ -208,14 +217,14 @@
         turn: Cell::new(config.settings.slot as usize),
         draws: Cell::new(seed),
     });
-    // What the configuration knows serves meanwhile.
-    proxy.listed(&config.known);
+    // Until discovery answers, the list in the configuration is used.
+    proxy.apply_list(&config.known);
     LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind(config.listen).await.map_err(|e| e.to_string())?;
         let mut end = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
             .map_err(|e| e.to_string())?;
         let watching = proxy.clone();
-        spawn_local(async move { watching.watch(config.discovery).await });
+        spawn_local(async move { watching.watch_discovery(config.discovery).await });
         loop {
             let stream = tokio::select! {
                 accepted = listener.accept() => match accepted {
@@ -231,7 +240,7 @@
                     let proxy = proxy.clone();
                     async move { Ok::<_, Infallible>(proxy.respond(request).await) }
                 });
-                // Errors are the client's.
+                // Errors affect only this client's connection.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,5 +1,6 @@
-//! The hunt: draws schedules of faults over a scenario, plays them in virtual time, and looks for a broken rule or a
-//! collapse. What it finds is shrunk to the few troubles that matter.
+//! Search for failures: draws random faults for a scenario, runs it in virtual time, and looks for broken
+//! rules and for service that does not recover. A schedule that fails is reduced to the faults that are
+//! needed for the failure.
 
 use crate::scenario::{Fault, FaultKind, MIN_RESTART_S, Scenario};
 use crate::sim::{SimError, Simulated, simulate};
@@ -8,41 +9,43 @@
 use rand_chacha::ChaCha8Rng;
 use toml::Spanned;
 
-/// Service must be back within this after the last fault, in milliseconds.
-const BACK_MS: f64 = 10_000.0;
-/// Time at a day's beginning and end without faults, in seconds.
+/// Maximum time from the end of a fault until service recovers, in milliseconds.
+const MAX_RECOVERY_MS: f64 = 10_000.0;
+/// Time without random faults at the beginning and at the end of a run, in seconds.
 const QUIET_S: [f64; 2] = [4.0, 16.0];
 
-/// What was found.
+/// A failure that was found.
 #[derive(Clone, Debug)]
-pub struct Found {
-    /// The scenario, shrunk, with its seed.
+pub struct Failure {
+    /// The reduced scenario, with its seed.
     pub scenario: Scenario,
-    /// What is wrong on that day.
+    /// The failure of this run.
     pub reason: String,
-    /// Troubles before and after shrinking.
+    /// Number of faults before and after the reduction.
     pub fault_counts: (usize, usize),
 }
 
-/// What is wrong with a day, if anything.
-pub fn wrong(outcome: &Simulated) -> Option<String> {
+/// Returns the failure of a run, if there is one.
+pub fn find_failure(outcome: &Simulated) -> Option<String> {
     if let Some((rule, count)) = outcome.figures.broken.iter().next() {
         let first = outcome.figures.breaches.iter().find(|b| b.rule == *rule);
         return Some(format!("{rule:?} {count} times: {}", first.map_or("", |b| &b.what)));
     }
-    let late = outcome.figures.recover_ms.iter().find(|(_, back)| back.is_none_or(|ms| ms > BACK_MS));
-    late.map(|(name, back)| match back {
+    let slow_recovery =
+        outcome.figures.recover_ms.iter().find(|(_, back)| back.is_none_or(|ms| ms > MAX_RECOVERY_MS));
+    slow_recovery.map(|(name, back)| match back {
         Some(ms) => format!("service was back only {:.1} s after {name}", ms / 1000.0),
         None => format!("service was not back after {name}"),
     })
 }
 
-fn word(text: String) -> Spanned<String> {
+/// Returns a word of a scenario that was not read from a file.
+fn spanned(text: String) -> Spanned<String> {
     Spanned::new(0..0, text)
 }
 
-/// A trouble drawn for a scenario.
-fn trouble(rng: &mut ChaCha8Rng, s: &Scenario) -> Fault {
+/// Draws a fault for a scenario.
+fn draw_fault(rng: &mut ChaCha8Rng, s: &Scenario) -> Fault {
     const KINDS: [FaultKind; 15] = [
         FaultKind::ServerSlow,
         FaultKind::ServerSilent,
@@ -61,10 +64,10 @@
         FaultKind::Burst,
     ];
     let kind = KINDS.choose(rng).copied().unwrap_or_default();
-    let end = (s.seconds - QUIET_S[1]).max(QUIET_S[0] + 1.0);
-    let at_s = rng.random_range(QUIET_S[0]..end);
-    let least = if kind == FaultKind::ServerRestart { MIN_RESTART_S } else { 0.5 };
-    let for_s = rng.random_range(0.5..6.0_f64).min(end - at_s + 0.5).max(least);
+    let end_s = (s.seconds - QUIET_S[1]).max(QUIET_S[0] + 1.0);
+    let at_s = rng.random_range(QUIET_S[0]..end_s);
+    let min_for_s = if kind == FaultKind::ServerRestart { MIN_RESTART_S } else { 0.5 };
+    let for_s = rng.random_range(0.5..6.0_f64).min(end_s - at_s + 0.5).max(min_for_s);
     let zone =
         |rng: &mut ChaCha8Rng| format!("zone:{}", s.fleet.zones[rng.random_range(0..s.fleet.zones.len())]);
     let part = |rng: &mut ChaCha8Rng| format!("part:{:.2}", rng.random_range(0.05..0.5));
@@ -88,7 +91,7 @@
             };
         }
     }
-    let words = |all: Vec<String>| all.into_iter().map(word).collect();
+    let words = |all: Vec<String>| all.into_iter().map(spanned).collect();
     let round = |v: f64| (v * 100.0).round() / 100.0;
     Fault {
         at_s: round(at_s),
@@ -101,40 +104,40 @@
     }
 }
 
-/// The `n`th schedule that a seed draws over a scenario.
+/// Returns a scenario with the `n`th schedule of faults for a seed.
 pub fn draw(base: &Scenario, seed: u64, n: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(n);
     let mut scenario = base.clone();
     scenario.seed = rng.random_range(0..1_000_000);
     let count = rng.random_range(1..=5);
-    scenario.trouble.extend((0..count).map(|_| trouble(&mut rng, base)));
+    scenario.trouble.extend((0..count).map(|_| draw_fault(&mut rng, base)));
     scenario
 }
 
-/// Plays the `n`th schedule; where something is wrong with it, it is shrunk.
+/// Runs the `n`th schedule of faults and reduces it if the run fails.
 ///
 /// # Errors
-/// The scenario asks for what is not modelled.
-pub fn hunt(base: &Scenario, seed: u64, n: u64) -> Result<Option<Found>, SimError> {
+/// Returns an error if the scenario needs something that is not modelled.
+pub fn hunt(base: &Scenario, seed: u64, n: u64) -> Result<Option<Failure>, SimError> {
     let scenario = draw(base, seed, n);
     let outcome = simulate(&scenario, scenario.seed)?;
-    let Some(reason) = wrong(&outcome) else { return Ok(None) };
+    let Some(reason) = find_failure(&outcome) else { return Ok(None) };
     let before = scenario.trouble.len();
-    let mut least = scenario;
+    let mut reduced = scenario;
     let mut reason = reason;
-    // One trouble less at a time, for as long as something is wrong without it.
+    // Removes one fault at a time while the run still fails without it.
     let mut at = 0;
-    while at < least.trouble.len() && least.trouble.len() > 1 {
-        let mut less = least.clone();
-        less.trouble.remove(at);
-        match wrong(&simulate(&less, less.seed)?) {
-            Some(still) => (least, reason) = (less, still),
+    while at < reduced.trouble.len() && reduced.trouble.len() > 1 {
+        let mut candidate = reduced.clone();
+        candidate.trouble.remove(at);
+        match find_failure(&simulate(&candidate, candidate.seed)?) {
+            Some(failure) => (reduced, reason) = (candidate, failure),
             None => at += 1,
         }
     }
-    least.name = format!("{}-found-{n}", base.name);
-    least.about = format!("Found by the hunt: {reason}");
-    let after = least.trouble.len();
-    Ok(Some(Found { scenario: least, reason, fault_counts: (before, after) }))
+    reduced.name = format!("{}-found-{n}", base.name);
+    reduced.about = format!("Found by the hunt: {reason}");
+    let after = reduced.trouble.len();
+    Ok(Some(Failure { scenario: reduced, reason, fault_counts: (before, after) }))
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,12 +1,16 @@
-//! The lab: an emulated fleet in which real processes of the node live through failures, and a judge that believes
-//! clients, servers and links alone.
+//! The lab runs real node processes in an emulated fleet, injects faults, and checks the results by what
+//! clients, servers and links observed.
 //!
-//! - [`scenario`] reads days as TOML, [`plan`] draws what a seed decides of them.
-//! - [`server`] models a config server, [`checker`] keeps the operators' rules and figures; neither has I/O or a
-//!   clock, so real and simulated days share them.
-//! - [`sim`] plays a day in virtual time, hosting the real decisions; [`hunt`] draws schedules of faults for it.
-//! - [`capacity`] measures what each role costs at size.
-//! - [`real`] plays a day on loopback with real processes, [`report`] shows what came of it; [`load`] is load alone.
+//! - [`scenario`] reads scenario files, and [`plan`] draws the random parts of a run from a seed.
+//! - [`server`] models a config server, and [`checker`] checks the operators' rules and computes the
+//!   figures. Neither does I/O or reads a clock; real and simulated runs share both.
+//! - [`sim`] runs a scenario in virtual time with the real decision logic, and [`hunt`] searches for faults
+//!   that break a rule.
+//! - [`capacity`] measures what each role costs at increasing sizes.
+//! - [`real`] runs a scenario with real processes on loopback, and [`report`] writes its results. [`load`]
+//!   generates load alone.
+//! - [`baseline`] has simple balancers to compare the node with, [`settings`] generates a node's settings,
+//!   and [`stats`] the statistics.
 
 pub mod baseline;
 pub mod capacity;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,6 @@
-//! Load alone, against any address of this machine: open loop, each time counted from the moment at which the request
-//! was due, so that a server that stands still cannot hide the requests that it kept from being sent.
+//! A load generator for an address of this machine. It is an open loop: times count from the moment at
+//! which a request was due. If the server stalls, the delay of the requests that could not be sent
+//! meanwhile is included.
 
 use bytes::Bytes;
 use hdrhistogram::Histogram;
@@ -20,75 +21,77 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What is asked, and how often.
+/// The requests to send, and their rate.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Whom.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Path of the request.
+    /// Path of the requests.
     pub path: String,
-    /// Header fields of it.
+    /// Header fields of the requests.
     pub headers: Vec<(String, String)>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long.
+    /// Duration of the load.
     pub length: Duration,
-    /// A request's time from when it was due; what takes longer has failed.
+    /// Timeout of a request, from the moment at which it was due.
     pub limit: Duration,
-    /// Connections that are open at most; a request that finds none free waits, and that counts.
+    /// Maximum number of open connections. A request that finds none free waits, and the wait is included
+    /// in its time.
     pub connections: usize,
-    /// Draws the moments.
+    /// Seed for the arrival times.
     pub seed: u64,
 }
 
-/// Why nothing was asked.
+/// Reasons why no load was generated.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// This lab stays on its machine.
+    /// The address is not on this machine.
     #[error("{0} is not on this machine: the lab's load goes to 127.0.0.0/8 alone")]
-    NotHere(SocketAddr),
-    /// A figure is out of its range.
+    NotLoopback(SocketAddr),
+    /// A parameter is out of its range.
     #[error("{what} is {value}, which is not above 0 and at most {most}")]
     Range {
-        /// Which.
+        /// Name of the parameter.
         what: &'static str,
-        /// What it is.
+        /// Its value.
         value: f64,
-        /// And may be.
+        /// Its maximum.
         most: f64,
     },
-    /// A header field or the path cannot be sent.
+    /// A header field or the path is invalid.
     #[error("the request cannot be written: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
-/// What came of it.
+/// The results.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadResult {
     /// Requests that were due.
     pub due: u64,
-    /// Answers by status.
+    /// Number of answers by status.
     pub status: BTreeMap<u16, u64>,
-    /// Requests with no answer, by why.
+    /// Number of requests without an answer, by reason.
     pub failed: BTreeMap<&'static str, u64>,
-    /// From when a request was due to its whole answer, in milliseconds: p50, p90, p99, p99.9, worst. Answers of
-    /// status 200 alone.
+    /// Time from when a request was due to its complete answer, in milliseconds: p50, p90, p99, p99.9,
+    /// maximum. Only answers with status 200.
     pub answer_ms: [f64; 5],
-    /// The same from when it was sent: what a closed loop would have told.
+    /// The same from when the request was sent, as a closed loop would measure it.
     pub sent_ms: [f64; 5],
-    /// How late this load itself was, p99, in milliseconds.
+    /// Lateness of the load generator itself, p99, in milliseconds.
     pub late_ms: f64,
 }
 
-struct Times {
+/// Times in microseconds, and the counts.
+struct Measurements {
     answer: Histogram<u64>,
     sent: Histogram<u64>,
     late: Histogram<u64>,
-    told: LoadResult,
+    result: LoadResult,
 }
 
 fn histogram() -> Histogram<u64> {
-    // The bounds are constants that it takes: one microsecond to ten minutes.
+    // Cannot fail: the bounds, one microsecond to ten minutes, are valid constants.
     Histogram::new_with_bounds(1, 600_000_000, 3).unwrap_or_else(|_| unreachable!("bounds"))
 }
 
@@ -96,25 +99,27 @@
     u64::try_from(d.as_micros()).unwrap_or(u64::MAX).max(1)
 }
 
-type Conn = SendRequest<Empty<Bytes>>;
+type Connection = SendRequest<Empty<Bytes>>;
 
-async fn open(at: SocketAddr) -> Option<Conn> {
+async fn open(at: SocketAddr) -> Option<Connection> {
     let stream = TcpStream::connect(at).await.ok()?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(async move {
-        // Its end is seen by whoever sends.
+        // The sender sees the end of the connection.
         let _ = connection.await;
     });
     Some(sender)
 }
 
+/// Idle connections, and permits that limit the number of open ones.
 struct Pool {
-    idle: Mutex<Vec<Conn>>,
-    places: tokio::sync::Semaphore,
+    idle: Mutex<Vec<Connection>>,
+    permits: tokio::sync::Semaphore,
 }
 
 impl Load {
+    /// Builds the request.
     fn request(&self) -> Result<Request<Empty<Bytes>>, hyper::http::Error> {
         let mut head = Request::builder().uri(&self.path).header("host", self.address.to_string());
         for (name, value) in &self.headers {
@@ -123,12 +128,13 @@
         head.body(Empty::new())
     }
 
-    async fn ask(&self, pool: &Pool) -> Result<(StatusCode, Instant), &'static str> {
-        let _place = pool.places.acquire().await.map_err(|_| "ended")?;
+    /// Sends one request. Returns the status of its answer and the time at which the request was sent.
+    async fn send_one(&self, pool: &Pool) -> Result<(StatusCode, Instant), &'static str> {
+        let _permit = pool.permits.acquire().await.map_err(|_| "ended")?;
         loop {
-            let kept = pool.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
-            let fresh = kept.is_none();
-            let mut conn = match kept.filter(|c| c.is_ready()) {
+            let idle = pool.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
+            let fresh = idle.is_none();
+            let mut conn = match idle.filter(|c| c.is_ready()) {
                 Some(conn) => conn,
                 None if !fresh => continue,
                 None => open(self.address).await.ok_or("not connected")?,
@@ -136,7 +142,7 @@
             let sent = Instant::now();
             let request = self.request().map_err(|_| "not written")?;
             match conn.send_request(request).await {
-                // It was closed as it lay idle.
+                // The idle connection was closed: try another one.
                 Err(e) if !fresh && (e.is_canceled() || e.is_closed() || e.is_incomplete_message()) => {}
                 Err(_) => return Err("connection ended"),
                 Ok(answer) => {
@@ -149,17 +155,19 @@
         }
     }
 
-    /// Asks for as long as was said, or until it is stopped; `view` is told of each second.
+    /// Sends requests for the configured duration or until `stop` becomes true; `view` is called every
+    /// second.
     ///
     /// # Errors
-    /// The address is not of this machine, a figure is out of range, the request cannot be written.
+    /// Returns an error if the address is not on this machine, a parameter is out of range, or the request
+    /// is invalid.
     pub async fn run(
         self,
         mut stop: watch::Receiver<bool>,
         mut view: impl FnMut(u64, &LoadResult),
     ) -> Result<LoadResult, LoadError> {
         if !self.address.ip().is_loopback() {
-            return Err(LoadError::NotHere(self.address));
+            return Err(LoadError::NotLoopback(self.address));
         }
         let ranges = [
             ("rate", self.rate, 1e6),
@@ -173,20 +181,20 @@
             }
         }
         self.request()?;
-        let times = Arc::new(Mutex::new(Times {
+        let measurements = Arc::new(Mutex::new(Measurements {
             answer: histogram(),
             sent: histogram(),
             late: histogram(),
-            told: LoadResult::default(),
+            result: LoadResult::default(),
         }));
         let pool = Arc::new(Pool {
             idle: Mutex::default(),
-            places: tokio::sync::Semaphore::new(self.connections),
+            permits: tokio::sync::Semaphore::new(self.connections),
         });
         let load = Arc::new(self);
         let mut rng = ChaCha8Rng::seed_from_u64(load.seed);
         let (begun, mut at, mut second) = (Instant::now(), 0.0, 0);
-        let mut out = tokio::task::JoinSet::new();
+        let mut open = tokio::task::JoinSet::new();
         loop {
             let gap: f64 = Exp1.sample(&mut rng);
             at += gap / load.rate;
@@ -198,47 +206,48 @@
                 () = tokio::time::sleep_until(due) => {}
                 _ = stop.wait_for(|stop| *stop) => break,
             }
-            let (load, pool, kept) = (load.clone(), pool.clone(), times.clone());
+            let (load, pool, shared) = (load.clone(), pool.clone(), measurements.clone());
             let late = due.elapsed();
-            out.spawn(async move {
-                let answer = tokio::time::timeout_at(due + load.limit, load.ask(&pool)).await;
+            open.spawn(async move {
+                let answer = tokio::time::timeout_at(due + load.limit, load.send_one(&pool)).await;
                 let now = Instant::now();
-                let mut times = kept.lock().unwrap_or_else(PoisonError::into_inner);
-                times.late.saturating_record(us(late));
-                times.told.due += 1;
+                let mut measurements = shared.lock().unwrap_or_else(PoisonError::into_inner);
+                measurements.late.saturating_record(us(late));
+                measurements.result.due += 1;
                 match answer {
                     Ok(Ok((status, sent))) => {
-                        *times.told.status.entry(status.as_u16()).or_default() += 1;
+                        *measurements.result.status.entry(status.as_u16()).or_default() += 1;
                         if status == StatusCode::OK {
-                            times.answer.saturating_record(us(now - due));
-                            times.sent.saturating_record(us(now - sent));
+                            measurements.answer.saturating_record(us(now - due));
+                            measurements.sent.saturating_record(us(now - sent));
                         }
                     }
-                    Ok(Err(why)) => *times.told.failed.entry(why).or_default() += 1,
-                    Err(_) => *times.told.failed.entry("no answer in time").or_default() += 1,
+                    Ok(Err(why)) => *measurements.result.failed.entry(why).or_default() += 1,
+                    Err(_) => *measurements.result.failed.entry("no answer in time").or_default() += 1,
                 }
             });
-            while out.try_join_next().is_some() {}
+            while open.try_join_next().is_some() {}
             if at as u64 > second {
                 second = at as u64;
-                view(second, &Times::told(&times));
+                view(second, &Measurements::result(&measurements));
             }
         }
-        while out.join_next().await.is_some() {}
-        Ok(Times::told(&times))
+        while open.join_next().await.is_some() {}
+        Ok(Measurements::result(&measurements))
     }
 }
 
-impl Times {
-    fn told(times: &Mutex<Times>) -> LoadResult {
-        let times = times.lock().unwrap_or_else(PoisonError::into_inner);
+impl Measurements {
+    /// Returns the results so far.
+    fn result(measurements: &Mutex<Measurements>) -> LoadResult {
+        let measurements = measurements.lock().unwrap_or_else(PoisonError::into_inner);
         let ms = |h: &Histogram<u64>| {
             [0.5, 0.9, 0.99, 0.999, 1.0].map(|q| h.value_at_quantile(q) as f64 / 1000.0)
         };
-        let mut told = times.told.clone();
-        (told.answer_ms, told.sent_ms) = (ms(&times.answer), ms(&times.sent));
-        told.late_ms = times.late.value_at_quantile(0.99) as f64 / 1000.0;
-        told
+        let mut result = measurements.result.clone();
+        (result.answer_ms, result.sent_ms) = (ms(&measurements.answer), ms(&measurements.sent));
+        result.late_ms = measurements.late.value_at_quantile(0.99) as f64 / 1000.0;
+        result
     }
 }
 
@@ -260,7 +269,10 @@
         }
     }
 
-    fn played(load: impl FnOnce(SocketAddr) -> Load, stall: bool) -> Result<LoadResult, LoadError> {
+    fn run_against_server(
+        load: impl FnOnce(SocketAddr) -> Load,
+        stall: bool,
+    ) -> Result<LoadResult, LoadError> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -285,28 +297,28 @@
     }
 
     #[test]
-    fn a_server_that_stands_still_hides_none_of_the_requests_behind_it() {
-        let told = played(load, true).unwrap();
-        assert_eq!(told.status.get(&503), Some(&1));
-        assert_eq!(told.status.values().sum::<u64>(), told.due);
-        // Most of the requests were due while it stood still: counted from when they were sent, as a closed loop would
-        // count them, that does not show.
-        assert!(told.sent_ms[0] < told.answer_ms[0], "{told:?}");
+    fn answer_times_include_the_wait_behind_a_stalled_server() {
+        let result = run_against_server(load, true).unwrap();
+        assert_eq!(result.status.get(&503), Some(&1));
+        assert_eq!(result.status.values().sum::<u64>(), result.due);
+        // Most of the requests were due during the stall. Times from when a request was sent, as a closed
+        // loop measures them, do not show it.
+        assert!(result.sent_ms[0] < result.answer_ms[0], "{result:?}");
     }
 
     #[test]
-    fn what_cannot_be_asked_is_told() {
-        let wrong = |change: &dyn Fn(&mut Load)| {
+    fn an_invalid_load_is_rejected() {
+        let error = |change: &dyn Fn(&mut Load)| {
             let changed = |at| {
                 let mut load = load(at);
                 change(&mut load);
                 load
             };
-            played(changed, false).unwrap_err().to_string()
+            run_against_server(changed, false).unwrap_err().to_string()
         };
-        assert!(wrong(&|l| l.address = "10.0.0.1:80".parse().unwrap()).contains("not on this machine"));
-        assert!(wrong(&|l| l.rate = f64::NAN).starts_with("rate is NaN"));
-        assert!(wrong(&|l| l.connections = 0).starts_with("connections is 0"));
-        assert!(wrong(&|l| l.headers[0].0 = "a b".to_owned()).starts_with("the request cannot be written"));
+        assert!(error(&|l| l.address = "10.0.0.1:80".parse().unwrap()).contains("not on this machine"));
+        assert!(error(&|l| l.rate = f64::NAN).starts_with("rate is NaN"));
+        assert!(error(&|l| l.connections = 0).starts_with("connections is 0"));
+        assert!(error(&|l| l.headers[0].0 = "a b".to_owned()).starts_with("the request cannot be written"));
     }
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of a day, as JSON and as one static page with plots.
+//! Reports of a run: a JSON file, and a static page with plots.
 
 use crate::checker::Figures;
 use crate::plan::Plan;
@@ -10,18 +10,20 @@
 
 type PlotResult = Result<String, Box<dyn std::error::Error>>;
 
-const SIZE: (u32, u32) = (900, 260);
+/// Width and height of a plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (900, 260);
 
-/// Writes `report.json` and `index.html` into a directory, which is made where it is missing.
+/// Writes `report.json` and `index.html` into a directory, which is created if it does not exist.
 ///
 /// # Errors
-/// They cannot be written.
+/// Returns an error if the directory or a file cannot be written.
 pub fn write(dir: &Path, plan: &Plan, outcome: &Outcome) -> io::Result<()> {
     std::fs::create_dir_all(dir)?;
     std::fs::write(dir.join("report.json"), serde_json::to_vec_pretty(outcome)?)?;
     std::fs::write(dir.join("index.html"), page(plan, outcome))
 }
 
+/// Draws a plot as SVG.
 fn plot(
     draw: impl FnOnce(
         &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
@@ -29,7 +31,7 @@
 ) -> PlotResult {
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
         draw(&area)?;
         area.present()?;
@@ -37,8 +39,9 @@
     Ok(svg)
 }
 
-/// Part of the worth that was served over time, with the troubles as bands, and what was refused and failed.
-fn served(f: &Figures) -> PlotResult {
+/// Plots the share of the worth served over time, with the faults as bands, and the tries refused and
+/// failed.
+fn plot_worth(f: &Figures) -> PlotResult {
     plot(|area| {
         let step = f.bin_ms / 1000.0;
         let end = f.asked_worth.len() as f64 * step;
@@ -71,8 +74,8 @@
     })
 }
 
-/// Attempts at each server.
-fn servers(f: &Figures) -> PlotResult {
+/// Plots the attempts at each server.
+fn plot_attempts(f: &Figures) -> PlotResult {
     plot(|area| {
         let most = f.servers.iter().copied().max().unwrap_or(0).max(1) as f64;
         let mut chart = ChartBuilder::on(area)
@@ -90,11 +93,11 @@
     })
 }
 
-/// Time to an answer against the part of the answers that took no longer, up to the last in a thousand.
-fn percentiles(f: &Figures) -> PlotResult {
+/// Plots the answer time by percentile, on a logarithmic scale of percentiles.
+fn plot_answer_times(f: &Figures) -> PlotResult {
     plot(|area| {
         let most = f.answer_curve.last().map_or(1.0, |p| p.1).max(0.1);
-        // Nines are spread evenly: 1 is nine in ten, 2 is 99 in 100.
+        // Number of nines of a quantile: 1 for 90 %, 2 for 99 %.
         let nines = |q: f64| -(1.0 - q).max(1e-6).log10();
         let end = f.answer_curve.last().map_or(3.0, |p| nines(p.0)).max(0.5);
         let mut chart = ChartBuilder::on(area)
@@ -112,8 +115,8 @@
     })
 }
 
-/// Attempts a second at each server over time.
-fn load(f: &Figures) -> PlotResult {
+/// Plots the attempts per second at each server over time.
+fn plot_load(f: &Figures) -> PlotResult {
     plot(|area| {
         let most = f.server_series.iter().flatten().copied().max().unwrap_or(0).max(1);
         let end = f.server_series.iter().map(Vec::len).max().unwrap_or(0).max(1) as f64;
@@ -132,18 +135,18 @@
     })
 }
 
-/// A figure of an experiment: its mean and interval at each value.
+/// A figure of an experiment: its mean and confidence interval at each value of the parameter.
 pub struct Curve {
-    /// The figure's name.
+    /// Name of the figure.
     pub name: String,
-    /// By value: mean, and half the width of its interval, which may be infinite.
+    /// For each value: the mean, and half the width of its confidence interval, which may be infinite.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Writes an experiment as one page, `index.html`, into a directory: a plot for each figure over the values.
+/// Writes the page `index.html` of an experiment into a directory: a plot of each figure over the values.
 ///
 /// # Errors
-/// It cannot be written.
+/// Returns an error if the directory or the page cannot be written.
 pub fn experiment(dir: &Path, title: &str, values: &[String], curves: &[Curve]) -> io::Result<()> {
     std::fs::create_dir_all(dir)?;
     let mut out =
@@ -182,19 +185,22 @@
     std::fs::write(dir.join("index.html"), out)
 }
 
+/// Escapes text for HTML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-fn rows(out: &mut String, rows: &[(String, String)]) {
+/// Appends a table of names and values.
+fn table(out: &mut String, rows: &[(String, String)]) {
     out.push_str("<table>\n");
     for (name, value) in rows {
-        // Writing to a String cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = writeln!(out, "<tr><td>{}</td><td>{}</td></tr>", escape(name), escape(value));
     }
     out.push_str("</table>\n");
 }
 
+/// Returns the HTML page of a run.
 fn page(plan: &Plan, outcome: &Outcome) -> String {
     let f = &outcome.figures;
     let mut out = format!(
@@ -206,14 +212,16 @@
         escape(&plan.scenario.about),
         escape(&outcome.line())
     );
-    for plot in [served(f), percentiles(f), load(f), servers(f)] {
+    for plot in [plot_worth(f), plot_answer_times(f), plot_load(f), plot_attempts(f)] {
         match plot {
             Ok(svg) => out.push_str(&svg),
             Err(e) => out.push_str(&format!("<p>no plot: {}</p>", escape(&e.to_string()))),
         }
         out.push('\n');
     }
-    out.push_str("<p>Blue: served. Red: refused, grey: failed, both of their most. Bands: troubles.</p>\n");
+    out.push_str(
+        "<p>Blue: served. Red: refused, grey: failed, both relative to their maximum. Bands: faults.</p>\n",
+    );
     let mut figures = vec![
         ("worth served".to_owned(), format!("{:.4}", f.worth)),
         ("less the price of crossings".to_owned(), format!("{:.4}", f.worth_less_crossings)),
@@ -241,7 +249,7 @@
     let back =
         |ms: &Option<f64>| ms.map_or_else(|| "never".to_owned(), |ms| format!("{:.1} s", ms / 1000.0));
     figures.extend(f.recover_ms.iter().map(|(n, ms)| (format!("back after {n}"), back(ms))));
-    rows(&mut out, &figures);
+    table(&mut out, &figures);
     out.push_str("<h2>Attempts from zone to zone</h2>\n<table><tr><td></td>");
     let zones = &plan.scenario.fleet.zones;
     zones.iter().for_each(|z| out.push_str(&format!("<td>{}</td>", escape(z))));
--- a/crates/lab/src/settings.rs
+++ b/crates/lab/src/settings.rs
@@ -1,10 +1,10 @@
-//! What a node of a day is told, in the platform's form.
+//! The settings of a node, in the platform's format.
 
 use crate::plan::Plan;
 use crate::scenario::Repeat;
 use serde_json::{Value, json};
 
-/// The settings that a node is told, in the platform's form.
+/// Returns the settings that a node is configured with, in the platform's format.
 pub fn settings(plan: &Plan, node: usize) -> Value {
     let s = &plan.scenario;
     let classes: Vec<Value> = s
