--- a/crates/lab/examples/wrong-node.rs
+++ b/crates/lab/examples/wrong-node.rs
@@ -1,5 +1,6 @@
-//! A little node that does one thing wrong, for the judge's tests: what it is told as its argument. Else it passes on
-//! what it gets to the servers that its configuration knows, by turns, and knows nothing of what comes later.
+//! A minimal node that misbehaves in one way, given as its argument, for the tests of the checker.
+//! Otherwise it forwards requests in turn to the servers in its configuration, and ignores later changes of
+//! the list.
 
 use bytes::Bytes;
 use daleturn::platform::Config;
@@ -18,6 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
+/// Sends a request to a server on a new connection.
 async fn send(
     at: SocketAddr,
     head: &hyper::http::request::Parts,
@@ -33,20 +35,22 @@
     Some(Response::from_parts(head, Full::new(body.collect().await.ok()?.to_bytes())))
 }
 
+/// Returns an empty response.
 fn plain(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
+/// Answers a request, or misbehaves.
 async fn respond(
-    wrong: &str,
+    misbehaviour: &str,
     servers: &[SocketAddr],
     turn: &Cell<usize>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, std::io::Error> {
     if request.uri().path() == "/up" {
-        let ready = wrong != "never-ready";
+        let ready = misbehaviour != "never-ready";
         return Ok(plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
     }
     let (mut head, body) = request.into_parts();
@@ -55,7 +59,7 @@
         turn.set(turn.get() + 1);
         servers[turn.get() % servers.len()]
     };
-    match wrong {
+    match misbehaviour {
         "lost" if turn.get() % 5 == 4 => {
             next();
             return Err(std::io::ErrorKind::ConnectionReset.into());
@@ -96,14 +100,15 @@
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let wrong: &'static str = std::env::args().nth(1).unwrap_or_default().leak();
+    let misbehaviour: &'static str = std::env::args().nth(1).unwrap_or_default().leak();
     let config = Config::load()?;
     let servers: Vec<SocketAddr> = (config.known["targets"].as_array().into_iter().flatten())
         .filter_map(|t| t["endpoint"].as_str()?.parse().ok())
         .collect();
     let servers: &'static [SocketAddr] = servers.leak();
-    if wrong == "chatters" {
-        // Before it serves: whoever does not read that leaves it standing.
+    if misbehaviour == "chatters" {
+        // The node serves only after it has written all this, which needs a reader at the other end of the
+        // pipe.
         let line = [b'x'; 1000];
         let mut out = std::io::stderr().lock();
         for _ in 0..100_000 {
@@ -124,7 +129,7 @@
             spawn_local(async move {
                 let service = service_fn(|request| {
                     let turn = turn.clone();
-                    async move { respond(wrong, servers, &turn, request).await }
+                    async move { respond(misbehaviour, servers, &turn, request).await }
                 });
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
--- a/crates/lab/tests/addresses.rs
+++ b/crates/lab/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses of nodes: days that are played at once in one process must not meet.
+//! Scenarios that run at the same time in one process must not share addresses.
 
 use daleturn_lab::real::addresses::free_address;
 use std::collections::HashSet;
