--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -11,8 +11,9 @@
 
 /// Width of the bins over which worth is summed, in milliseconds.
 const BIN_MS: f64 = 200.0;
-/// Number of bins in the worst 5 s stretch, and in a stretch that counts as recovered.
+/// Number of bins in the worst 5 s stretch.
 const WORST_STRETCH_BINS: usize = 25;
+/// Number of bins in a stretch that counts as recovered.
 const RECOVERY_BINS: usize = 10;
 /// Share of the level before a fault at which service counts as recovered.
 const RECOVERED_SHARE: f64 = 0.95;
@@ -219,6 +220,7 @@
 struct NodeReturn {
     node: usize,
     restarted_ms: f64,
+    /// Time from the restart to the first correct answer, in milliseconds.
     first_ms: Option<f64>,
     /// Tries sent in the first [`RETURN_WINDOW_MS`] after the restart, and how many of them were served: at
     /// this node, and at the other nodes.
@@ -226,8 +228,9 @@
     others: [u64; 2],
 }
 
-/// Limits of the time series by server: length in seconds, and number of servers.
+/// Maximum length of the time series, in seconds.
 const SERIES_LENGTH_S: f64 = 3600.0;
+/// Maximum number of servers with a time series.
 const SERIES_SERVERS: usize = 64;
 /// Time for which a restarted node is compared with the others, in milliseconds.
 const RETURN_WINDOW_MS: f64 = 2000.0;
@@ -298,6 +301,7 @@
         }
     }
 
+    /// Returns the bin of a time of the run.
     fn bin(&mut self, at: f64) -> Option<&mut Bin> {
         self.bins.get_mut((at / BIN_MS).max(0.0) as usize)
     }
@@ -589,13 +593,13 @@
         } else {
             0.0
         };
-        let got = part * first.worth;
+        let earned = part * first.worth;
         if let Some(bin) = self.bin(first.arrived_ms) {
-            bin.served += got;
+            bin.served += earned;
         }
         if first.within_quota {
             let sums = [self.classes.get_mut(first.class), self.tenants.get_mut(first.tenant)];
-            sums.into_iter().flatten().for_each(|s| s.served += got);
+            sums.into_iter().flatten().for_each(|s| s.served += earned);
         }
     }
 
@@ -609,23 +613,24 @@
         }
     }
 
-    /// Records that a node answered `OK` to an operator who cordoned (`out`) or uncordoned a server. A
+    /// Records that a node answered `OK` to an operator who cordoned or uncordoned a server. A
     /// cordon survives a restart of the node if the node keeps state.
-    pub fn operator_order(&mut self, now: f64, node: usize, server: usize, out: bool) {
-        if out {
+    pub fn operator_order(&mut self, now: f64, node: usize, server: usize, cordoned: bool) {
+        if cordoned {
             self.operator_cordons.insert((node, server));
         } else {
             self.operator_cordons.remove(&(node, server));
         }
-        self.server_state_learned(now, node, server, !out);
+        self.server_state_learned(now, node, server, !cordoned);
     }
 
     /// Records that a node restarted: it knows nothing about the servers, except the operators' cordons if
     /// it keeps state.
     pub fn node_restarted(&mut self, node: usize) {
-        let kept = self.plan.scenario.product.contains_key("state");
+        let keeps_state = self.plan.scenario.product.contains_key("state");
         let operator_cordons = &self.operator_cordons;
-        self.unavailable_since.retain(|at, _| at.0 != node || (kept && operator_cordons.contains(at)));
+        self.unavailable_since
+            .retain(|at, _| at.0 != node || (keeps_state && operator_cordons.contains(at)));
     }
 
     /// Records a fault that is active from `start_ms` until `end_ms`, in milliseconds of the run.
@@ -668,6 +673,7 @@
         (self.refused, self.failed, self.servers.clone())
     }
 
+    /// Counts an event in the current second and updates the maximum; `what` is an index of `second_counts`.
     fn count_in_second(&mut self, now: f64, what: usize) {
         let second = (now / 1000.0).max(0.0) as u64;
         if self.second_counts.0 != second {
@@ -712,6 +718,7 @@
         self.bins.iter().map(|b| (b.asked, b.served)).collect()
     }
 
+    /// Returns the share of the worth asked for that was served, or `None` if none was asked for.
     fn worth_share(bins: &[(f64, f64)]) -> Option<f64> {
         let (asked, served) = bins.iter().fold((0.0, 0.0), |s, b| (s.0 + b.0, s.1 + b.1));
         (asked > 0.0).then(|| served / asked)
@@ -726,8 +733,8 @@
         let from = bin(fault.end_ms);
         (from..series.len()).find_map(|n| {
             let stretch = series.get(n..n + RECOVERY_BINS)?;
-            let good = Checker::worth_share(stretch).is_none_or(|s| s >= level);
-            good.then(|| ((n as f64) * BIN_MS - fault.end_ms).max(0.0))
+            let recovered = Checker::worth_share(stretch).is_none_or(|s| s >= level);
+            recovered.then(|| ((n as f64) * BIN_MS - fault.end_ms).max(0.0))
         })
     }
 
@@ -818,6 +825,7 @@
         }
     }
 
+    /// Returns the figures about restarted nodes, or `None` if no node was restarted.
     fn return_figures(&self) -> Option<Returns> {
         let mut first: Vec<f64> = self.returns.iter().filter_map(|r| r.first_ms).collect();
         first.sort_by(f64::total_cmp);
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -45,7 +45,7 @@
 }
 
 /// Draws a fault for a scenario.
-fn draw_fault(rng: &mut ChaCha8Rng, s: &Scenario) -> Fault {
+fn draw_fault(rng: &mut ChaCha8Rng, scenario: &Scenario) -> Fault {
     const KINDS: [FaultKind; 15] = [
         FaultKind::ServerSlow,
         FaultKind::ServerSilent,
@@ -64,12 +64,13 @@
         FaultKind::Burst,
     ];
     let kind = KINDS.choose(rng).copied().unwrap_or_default();
-    let end_s = (s.seconds - QUIET_S[1]).max(QUIET_S[0] + 1.0);
+    let end_s = (scenario.seconds - QUIET_S[1]).max(QUIET_S[0] + 1.0);
     let at_s = rng.random_range(QUIET_S[0]..end_s);
     let min_for_s = if kind == FaultKind::ServerRestart { MIN_RESTART_S } else { 0.5 };
     let for_s = rng.random_range(0.5..6.0_f64).min(end_s - at_s + 0.5).max(min_for_s);
-    let zone =
-        |rng: &mut ChaCha8Rng| format!("zone:{}", s.fleet.zones[rng.random_range(0..s.fleet.zones.len())]);
+    let zone = |rng: &mut ChaCha8Rng| {
+        format!("zone:{}", scenario.fleet.zones[rng.random_range(0..scenario.fleet.zones.len())])
+    };
     let part = |rng: &mut ChaCha8Rng| format!("part:{:.2}", rng.random_range(0.05..0.5));
     let (mut on, mut to, mut size) = (Vec::new(), Vec::new(), 0.0);
     match kind {
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -25,8 +25,9 @@
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after the first failed health check at which the front end sends no more clients.
 const UNHEALTHY_AFTER: Duration = Duration::from_millis(200);
-/// Size in bytes and interval of the pieces in which a slow client sends.
+/// Size of the pieces in which a slow client sends, in bytes.
 const SLOW_CHUNK_BYTES: usize = 48;
+/// Interval between these pieces.
 const SLOW_CHUNK_INTERVAL: Duration = Duration::from_millis(20);
 /// Approximate size of a request with head and body, in bytes.
 const REQUEST_BYTES: usize = 400;
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -32,10 +32,11 @@
 const WATCH_TIMEOUT_MS: f64 = 20_000.0;
 /// Interval at which a node processes its shared state, in milliseconds.
 const SHARE_TICK_MS: f64 = 20.0;
-/// Interval at which a node saves what it has learned, and maximum age at which a restarted node uses it,
-/// in milliseconds; both as in the node.
+/// Interval at which a node saves what it has learned, in milliseconds, as in the node.
 const SAVE_INTERVAL_MS: f64 = 3000.0;
+/// Maximum age at which a restarted node uses what it saved, in milliseconds, as in the node.
 const MAX_SAVED_AGE_MS: f64 = 600_000.0;
+/// Interval at which a node updates its zones, in milliseconds.
 const ZONES_TICK_MS: f64 = 100.0;
 /// Number of shared-state ticks between updates of the tenants' totals for the decision logic.
 const TENANT_TOTALS_TICKS: u64 = 5;
@@ -198,10 +199,14 @@
     zones: Option<Zones>,
     zone_weights: BTreeMap<u16, f64>,
     open: HashMap<RequestId, OpenRequest>,
-    next: u64,
+    /// Id of the next request.
+    next_request: u64,
+    /// Version of the list that the node has.
     version: u64,
+    /// True while the node waits for changes of the list.
     watching: bool,
-    /// Time of the last answer from each server, whose connection is kept open since.
+    /// Time of the last answer from each server, whose connection is open since then; negative infinity if
+    /// there is none.
     last_answer_ms: Vec<f64>,
     cordoned: BTreeSet<usize>,
 }
@@ -396,6 +401,7 @@
         Ok(())
     }
 
+    /// Returns the settings of a node, as it reads them.
     fn settings(&self, node: usize) -> Result<Settings, SimError> {
         let text = settings(&self.plan, node).to_string();
         daleturn::wire::settings(&text).map(|s| s.0).map_err(|e| SimError::Settings(e.to_string()))
@@ -409,14 +415,14 @@
         let seed = self.plan.seed ^ mix_bits(node as u64 ^ u64::from(epoch) << 32);
         let balancer =
             Balancer::new(settings.clone(), seed).map_err(|e| SimError::Settings(e.to_string()))?;
-        let (own, count) = (node as NodeId, self.nodes.len() as u16);
+        let (own_id, count) = (node as NodeId, self.nodes.len() as u16);
         let share = &self.options.share;
         let max_ages = MaxAges {
             limits_ms: share.limits_ms.into(),
             verdicts_ms: share.verdicts_ms.into(),
             affinity_ms: share.affinity_ms.into(),
         };
-        let gossip = share.on.then(|| Gossip::new(self.now as u64, own, count, epoch, max_ages, seed));
+        let gossip = share.on.then(|| Gossip::new(self.now as u64, own_id, count, epoch, max_ages, seed));
         let zones = self.options.topology.on.then(|| Zones::new(self.now, settings.zone, settings.cold_ms));
         let sim_node = SimNode {
             balancer,
@@ -424,7 +430,7 @@
             zones,
             zone_weights: BTreeMap::new(),
             open: HashMap::new(),
-            next: u64::from(epoch) << 40,
+            next_request: u64::from(epoch) << 40,
             version: 0,
             watching: false,
             last_answer_ms: vec![f64::NEG_INFINITY; self.machines.len()],
@@ -464,10 +470,11 @@
     }
 
     /// Returns the entries of the list that changed after a version, with the node's cordons applied.
-    fn entries(&self, node: usize, after: u64, whole: bool) -> Vec<ListEntry> {
+    /// A full list omits the servers that are gone.
+    fn entries(&self, node: usize, after: u64, full: bool) -> Vec<ListEntry> {
         let cordoned = |s: usize| self.nodes[node].as_ref().is_some_and(|h| h.cordoned.contains(&s));
         let changed = self.machines.iter().enumerate().filter(|(_, m)| m.listed.2 > after);
-        let listed = changed.filter(|(_, m)| !whole || m.listed.0 != Health::Gone);
+        let listed = changed.filter(|(_, m)| !full || m.listed.0 != Health::Gone);
         listed
             .map(|(s, m)| {
                 let health =
@@ -498,6 +505,7 @@
         }
     }
 
+    /// Carries out an action of a node's decision logic.
     fn carry_out(&mut self, node: usize, action: Action) {
         let epoch = self.epochs[node];
         match action {
@@ -861,8 +869,8 @@
         self.checker.try_sent(now, trace, &arrival, node, wait_ms);
         let epoch = self.epochs[node];
         let Some(sim_node) = &mut self.nodes[node] else { return };
-        let id = RequestId(sim_node.next);
-        sim_node.next += 1;
+        let id = RequestId(sim_node.next_request);
+        sim_node.next_request += 1;
         let open =
             OpenRequest { client, trace, class: arrival.class, answered: false, attempts: Vec::new() };
         sim_node.open.insert(id, open);
