--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -1208,7 +1208,7 @@
                     *known =
                         BackendAddress { address, is_up, ready_at_ms: entry.ready_at_ms, uid: uid.clone() };
                 }
-                // No address is needed for a backend that is not is_up.
+                // No address is needed for a backend that is not up.
                 (None, Some(address)) if is_up => {
                     let known = BackendAddress {
                         address: *address,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! The codec between the bench's text wire and [`crate::interface`]. No decisions.
+//! Codec between the simulator's text protocol and [`crate::interface`], and the parser of the settings'
+//! JSON. Contains no balancing decisions.
 
 use crate::interface::{
     Action, AttemptEnded, BackendId, Class, Discovery, Effect, Event, Goal, Group, Health, ListEntry,
@@ -10,30 +11,31 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// What is wrong with a line, and where.
+/// Error in a line or in the settings, with the field concerned.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// A field is not there.
+    /// A required field is missing.
     #[error("field {0}: missing")]
     Missing(&'static str),
-    /// A field cannot be read.
+    /// A field has an invalid value.
     #[error("field {field}: {reason}")]
     Bad {
-        /// The field.
+        /// Path of the field.
         field: String,
-        /// Why.
+        /// Reason.
         reason: String,
     },
-    /// A message of no known kind.
+    /// The message name is unknown.
     #[error("unknown message {0:?}")]
     Unknown(String),
 }
 
-fn bad(field: &str, reason: impl Into<String>) -> WireError {
+fn invalid(field: &str, reason: impl Into<String>) -> WireError {
     WireError::Bad { field: field.to_owned(), reason: reason.into() }
 }
 
-/// A stable hash of a name, the same at every node and in every build (FNV-1a, then mixed).
+/// Hashes a name. The result is the same at every node and in every build (FNV-1a with a final mixing
+/// step).
 pub fn stable_hash(text: &str) -> u64 {
     let mut h = 0xcbf2_9ce4_8422_2325_u64;
     for b in text.bytes() {
@@ -44,21 +46,21 @@
     h ^ (h >> 32)
 }
 
-/// The parts of one line, by name.
+/// A line, split into its message name and fields.
 #[derive(Debug, Default)]
 pub struct Line<'a> {
-    /// The message's name.
+    /// Name of the message.
     pub name: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line. `config` and `text` run to its end.
+    /// Splits a line. The fields `config` and `text` extend to the end of the line.
     pub fn parse(line: &'a str) -> Result<Line<'a>, WireError> {
         let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         let mut fields = Vec::with_capacity(8);
         while !rest.is_empty() {
-            let (field, after) = rest.split_once('=').ok_or_else(|| bad(rest, "no '='"))?;
+            let (field, after) = rest.split_once('=').ok_or_else(|| invalid(rest, "no '='"))?;
             if field == "config" || field == "text" {
                 fields.push((field, after));
                 break;
@@ -74,14 +76,20 @@
         self.fields.iter().find(|(f, _)| *f == field).map(|(_, v)| *v)
     }
 
-    /// A field that must be there.
+    /// Returns a required field.
+    ///
+    /// # Errors
+    /// Returns [`WireError::Missing`] if the line does not have the field.
     pub fn required(&self, field: &'static str) -> Result<&'a str, WireError> {
         self.get(field).ok_or(WireError::Missing(field))
     }
 
-    /// A whole number that must be there.
+    /// Returns a required field as a whole number.
+    ///
+    /// # Errors
+    /// Returns an error if the field is missing or not a whole number.
     pub fn required_u64(&self, field: &'static str) -> Result<u64, WireError> {
-        self.required(field)?.parse().map_err(|_| bad(field, "not a whole number"))
+        self.required(field)?.parse().map_err(|_| invalid(field, "not a whole number"))
     }
 
     fn time(&self, field: &'static str) -> Result<f64, WireError> {
@@ -92,7 +100,7 @@
         let Some(text) = self.get(field) else { return Ok(None) };
         match text.parse::<f64>() {
             Ok(v) if v.is_finite() => Ok(Some(v)),
-            _ => Err(bad(field, "not a number")),
+            _ => Err(invalid(field, "not a number")),
         }
     }
 
@@ -101,17 +109,17 @@
     }
 }
 
-/// Names by their numbers and numbers by their names: settings may hold a hundred thousand tenants, and each request
-/// names one. Without a name: a number that new requests are not given.
+/// Mapping between names and numbers in both directions, because settings may contain a hundred thousand
+/// tenants and every request names one. A number without a name is not assigned to new requests.
 #[derive(Debug, Default)]
-struct Numbered {
+struct NumberedNames {
     names: Vec<Option<Arc<str>>>,
     numbers: HashMap<Arc<str>, usize>,
 }
 
-impl Numbered {
-    /// Of a name that comes twice the first number holds.
-    fn of(names: impl IntoIterator<Item = Option<Arc<str>>>) -> Numbered {
+impl NumberedNames {
+    /// Creates the mapping; a duplicate name gets its first number.
+    fn of(names: impl IntoIterator<Item = Option<Arc<str>>>) -> NumberedNames {
         let names: Vec<_> = names.into_iter().collect();
         let mut numbers = HashMap::with_capacity(names.len());
         for (number, name) in names.iter().enumerate() {
@@ -119,7 +127,7 @@
                 numbers.entry(name.clone()).or_insert(number);
             }
         }
-        Numbered { names, numbers }
+        NumberedNames { names, numbers }
     }
 
     fn number(&self, name: &str) -> Option<usize> {
@@ -131,59 +139,60 @@
     }
 }
 
-/// Names as one instance has heard them: numbers inside, words outside.
+/// Mapping between external names and internal numbers of one instance.
 #[derive(Debug, Default)]
 pub struct Names {
-    classes: Numbered,
-    tenants: Numbered,
+    classes: NumberedNames,
+    tenants: NumberedNames,
     zones: Vec<String>,
     backends: HashMap<BackendId, String>,
 }
 
 impl Names {
-    /// Place of a class in the settings; one that is not there is held to the strictest rules.
+    /// Returns the number of a class. An unknown name gets a number without settings, to which the
+    /// strictest rules apply.
     pub fn class(&self, name: &str) -> usize {
         self.classes.number(name).unwrap_or(usize::MAX)
     }
 
-    /// Name of a class; none for a number that new requests are not given.
+    /// Returns the name of a class; `None` for a number that is not assigned to new requests.
     pub fn class_name(&self, number: usize) -> Option<&str> {
         self.classes.name(number)
     }
 
-    /// The names of zones alone, for whoever reads a list elsewhere.
+    /// Returns a copy with the zone names only, for parsing lists on another thread.
     pub fn of_zones(&self) -> Names {
         Names { zones: self.zones.clone(), ..Names::default() }
     }
 
-    /// How many zones have names.
+    /// Returns the number of named zones.
     pub fn zones(&self) -> usize {
         self.zones.len()
     }
 
-    /// Number of a zone.
+    /// Returns the number of a zone, if it is known.
     pub fn zone_number(&self, name: &str) -> Option<u16> {
         self.zones.iter().position(|n| n == name).and_then(|n| u16::try_from(n).ok())
     }
 
-    /// Name of a tenant; none for a number that new requests are not given.
+    /// Returns the name of a tenant; `None` for a number that is not assigned to new requests.
     pub fn tenant_name(&self, number: usize) -> Option<&str> {
         self.tenants.name(number)
     }
 
-    /// Place of a tenant in the settings.
+    /// Returns the number of a tenant.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.number(name)
     }
 
-    /// Number of a zone; unknown ones are all the same foreign one.
+    /// Returns the number of a zone; all unknown zones share one number.
     pub fn zone(&self, name: Option<&str>) -> u16 {
         name.and_then(|z| self.zones.iter().position(|n| n == z))
             .and_then(|z| u16::try_from(z).ok())
             .unwrap_or(u16::MAX)
     }
 
-    /// Name of a zone; none for the foreign one.
+    /// Returns the name of a zone; `None` for the number of unknown zones.
     pub fn zone_name(&self, number: u16) -> Option<&str> {
         self.zones.get(usize::from(number)).map(String::as_str)
     }
@@ -194,19 +203,22 @@
         id
     }
 
-    /// Reads one `backend` line of a list.
+    /// Parses one `backend` line of a list.
+    ///
+    /// # Errors
+    /// Returns an error if a required field is missing or a value is invalid.
     pub fn entry(&mut self, line: &Line<'_>) -> Result<ListEntry, WireError> {
         let health = match line.required("health")? {
             "U" => Health::Up,
             "L" => Health::Draining,
             "D" => Health::Gone,
-            other => return Err(bad("health", format!("unknown value {other:?}"))),
+            other => return Err(invalid("health", format!("unknown value {other:?}"))),
         };
         Ok(ListEntry {
             backend: self.backend(line.required("backend")?),
             zone: self.zone(line.get("locality")),
             cell: match line.get("pod") {
-                Some(p) => p.parse().map_err(|_| bad("pod", "not a whole number"))?,
+                Some(p) => p.parse().map_err(|_| invalid("pod", "not a whole number"))?,
                 None => 0,
             },
             health,
@@ -215,12 +227,15 @@
         })
     }
 
-    /// Reads an event other than `provision`, `shutdown` and `update`.
+    /// Parses an event other than `provision`, `shutdown` and `update`.
+    ///
+    /// # Errors
+    /// Returns an error if the message is unknown, a required field is missing, or a value is invalid.
     pub fn event(&mut self, line: &Line<'_>) -> Result<Event, WireError> {
         let id = || line.required_u64("requestId").map(RequestId);
         let attempt = || {
             line.required_u64("attempt")
-                .and_then(|a| u32::try_from(a).map_err(|_| bad("attempt", "too large")))
+                .and_then(|a| u32::try_from(a).map_err(|_| invalid("attempt", "too large")))
         };
         Ok(match line.name {
             "demand" => Event::Request(Request {
@@ -236,10 +251,10 @@
                 id: id()?,
                 attempt: attempt()?,
                 backend: self.backend(line.required("backend")?),
-                outcome: outcome(line.required("disposition")?)?,
+                outcome: parse_outcome(line.required("disposition")?)?,
                 last: line.flag("last"),
                 elapsed_ms: line.opt_time("elapsedMs")?.unwrap_or(0.0),
-                load: load(line)?,
+                load: parse_load(line)?,
             }),
             "begun" => Event::ResponseStarted {
                 id: id()?,
@@ -251,90 +266,93 @@
             "alarm" => Event::Timer(line.required_u64("keyBack")?),
             "probed" => Event::ProbeEnded {
                 backend: self.backend(line.required("backend")?),
-                outcome: outcome(line.required("disposition")?)?,
+                outcome: parse_outcome(line.required("disposition")?)?,
                 elapsed_ms: line.opt_time("elapsedMs")?.unwrap_or(0.0),
-                load: load(line)?,
+                load: parse_load(line)?,
             },
             "inbox" => Event::PeerMessage {
                 from: u32::try_from(line.required_u64("sender")?)
-                    .map_err(|_| bad("sender", "too large"))?,
-                bytes: unhex(line.required("msg")?)?,
+                    .map_err(|_| invalid("sender", "too large"))?,
+                bytes: parse_hex(line.required("msg")?)?,
             },
             other => return Err(WireError::Unknown(other.to_owned())),
         })
     }
 
     /// Writes an action as a line.
-    pub fn action(&self, who: u64, action: &Action, out: &mut String) {
+    pub fn action(&self, instance_id: u64, action: &Action, out: &mut String) {
         let word = |b: &BackendId| self.backends.get(b).map_or("unknown", String::as_str);
-        // Writing to a String cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = match action {
             Action::Send { id, backend, timeout_ms } => writeln!(
                 out,
-                "hand_off who={who} requestId={} giveUpAfterMs={timeout_ms:.3} backend={}",
+                "hand_off who={instance_id} requestId={} giveUpAfterMs={timeout_ms:.3} backend={}",
                 id.0,
                 word(backend)
             ),
             Action::Cancel { id, attempt } => {
-                writeln!(out, "recall who={who} requestId={} attempt={attempt}", id.0)
+                writeln!(out, "recall who={instance_id} requestId={} attempt={attempt}", id.0)
             }
             Action::Refuse { id, retry_after_ms } => {
-                writeln!(out, "decline who={who} requestId={} backoffMs={retry_after_ms:.3}", id.0)
+                writeln!(out, "decline who={instance_id} requestId={} backoffMs={retry_after_ms:.3}", id.0)
             }
-            Action::Fail(id) => writeln!(out, "drop_request who={who} requestId={}", id.0),
+            Action::Fail(id) => writeln!(out, "drop_request who={instance_id} requestId={}", id.0),
             Action::Timer { token, at_ms } => {
-                writeln!(out, "wake_me who={who} keyBack={token} instantMs={at_ms:.3}")
+                writeln!(out, "wake_me who={instance_id} keyBack={token} instantMs={at_ms:.3}")
+            }
+            Action::Probe(b) => writeln!(out, "probe who={instance_id} backend={}", word(b)),
+            Action::CloseIdleConnections(b) => {
+                writeln!(out, "release who={instance_id} backend={}", word(b))
             }
-            Action::Probe(b) => writeln!(out, "probe who={who} backend={}", word(b)),
-            Action::CloseIdleConnections(b) => writeln!(out, "release who={who} backend={}", word(b)),
             Action::SendPeerMessage { to, bytes } => {
                 let to = to.map_or_else(|| "all".to_owned(), |n| n.to_string());
-                writeln!(out, "announce who={who} neighbourId={to} msg={}", hex(bytes))
+                writeln!(out, "announce who={instance_id} neighbourId={to} msg={}", hex(bytes))
             }
-            // The simulator's nodes share nothing but messages.
+            // Simulated nodes share peer messages only.
             Action::ShareObservation(_) => Ok(()),
-            Action::Watch(on) => writeln!(out, "watch who={who} want={}", u8::from(*on)),
-            Action::Log(text) => writeln!(out, "say_log who={who} text={text}"),
+            Action::Watch(on) => writeln!(out, "watch who={instance_id} want={}", u8::from(*on)),
+            Action::Log(text) => writeln!(out, "say_log who={instance_id} text={text}"),
         };
     }
 }
 
-/// Gives the classes and tenants of `new` settings numbers that nobody takes for others: what is the same as in
-/// `old` keeps its number, what is new or changed gets one that is not in use, and what is gone stays under its
-/// number, nameless and worth nothing more. Numbers that became nameless before are in use while `held`.
+/// Assigns numbers to the classes and tenants of new settings without reusing numbers that are still held.
+/// An unchanged entry keeps its number from `old`; a new or changed one gets a free number; a removed one
+/// keeps its number, but loses its name and has no worth any more. Numbers that lost their name earlier are
+/// free unless `held` is set.
 pub fn renumber(old: (&Settings, &Names), new: (Settings, Names), held: bool) -> (Settings, Names) {
-    let (mut s, mut names) = new;
+    let (mut settings, mut names) = new;
     let gone = |class: &Class| Class { worth: 0.0, late_worth: 0.0, ..class.clone() };
-    (s.classes, names.classes) = numbered(
+    (settings.classes, names.classes) = assign_numbers(
         (&old.0.classes, &old.1.classes),
-        s.classes.into_iter().zip(names.classes.names),
+        settings.classes.into_iter().zip(names.classes.names),
         |a, b| a == b,
         gone,
         held,
     );
-    (s.tenants, names.tenants) = numbered(
+    (settings.tenants, names.tenants) = assign_numbers(
         (&old.0.tenants, &old.1.tenants),
-        s.tenants.into_iter().zip(names.tenants.names),
+        settings.tenants.into_iter().zip(names.tenants.names),
         |_, _| true,
         Tenant::clone,
         held,
     );
-    (s, names)
+    (settings, names)
 }
 
-fn numbered<T>(
-    (old, old_names): (&[T], &Numbered),
+fn assign_numbers<T>(
+    (old, old_names): (&[T], &NumberedNames),
     new: impl Iterator<Item = (T, Option<Arc<str>>)>,
     same: impl Fn(&T, &T) -> bool,
     gone: impl Fn(&T) -> T,
     held: bool,
-) -> (Vec<T>, Numbered) {
-    let mut places: Vec<Option<(T, Option<Arc<str>>)>> = old.iter().map(|_| None).collect();
+) -> (Vec<T>, NumberedNames) {
+    let mut slots: Vec<Option<(T, Option<Arc<str>>)>> = old.iter().map(|_| None).collect();
     let mut rest = Vec::new();
     for (item, name) in new {
-        let place = name.as_deref().and_then(|name| old_names.number(name));
-        match place.filter(|i| old.get(*i).is_some_and(|o| same(o, &item))) {
-            Some(i) => places[i] = Some((item, name)),
+        let slot = name.as_deref().and_then(|name| old_names.number(name));
+        match slot.filter(|i| old.get(*i).is_some_and(|o| same(o, &item))) {
+            Some(i) => slots[i] = Some((item, name)),
             None => rest.push((item, name)),
         }
     }
@@ -342,28 +360,31 @@
         (0..old.len()).filter(|i| !held && old_names.name(*i).is_none()).collect::<Vec<_>>().into_iter();
     for item in rest {
         match free.next() {
-            Some(i) => places[i] = Some(item),
-            None => places.push(Some(item)),
+            Some(i) => slots[i] = Some(item),
+            None => slots.push(Some(item)),
         }
     }
     let nameless = |i: usize| (gone(&old[i]), None);
-    let places = places.into_iter().enumerate().map(|(i, place)| place.unwrap_or_else(|| nameless(i)));
-    let (items, names): (Vec<T>, Vec<_>) = places.unzip();
-    (items, Numbered::of(names))
+    let slots = slots.into_iter().enumerate().map(|(i, slot)| slot.unwrap_or_else(|| nameless(i)));
+    let (items, names): (Vec<T>, Vec<_>) = slots.unzip();
+    (items, NumberedNames::of(names))
 }
 
-/// Reads the kind of an `update`.
+/// Parses the kind of an `update`.
+///
+/// # Errors
+/// Returns an error for an unknown kind.
 pub fn list_kind(word: &str) -> Result<ListKind, WireError> {
     Ok(match word {
         "diff" => ListKind::Changes,
         "snapshot" => ListKind::Full,
         "disk" => ListKind::Saved,
         "error" => ListKind::Failed,
-        other => return Err(bad("form", format!("unknown value {other:?}"))),
+        other => return Err(invalid("form", format!("unknown value {other:?}"))),
     })
 }
 
-fn outcome(word: &str) -> Result<Outcome, WireError> {
+fn parse_outcome(word: &str) -> Result<Outcome, WireError> {
     Ok(match word {
         "done" => Outcome::Done,
         "err" => Outcome::Error,
@@ -373,25 +394,25 @@
         "econnreset" => Outcome::Reset,
         "ecanceled" => Outcome::Cancelled,
         "skipped" => Outcome::Skipped,
-        other => return Err(bad("disposition", format!("unknown value {other:?}"))),
+        other => return Err(invalid("disposition", format!("unknown value {other:?}"))),
     })
 }
 
-/// Reads a load report: `name:value` pairs. Names that nobody knows are skipped.
-fn load(line: &Line<'_>) -> Result<Load, WireError> {
+/// Parses a load report of `name:value` pairs. Unknown names are skipped.
+fn parse_load(line: &Line<'_>) -> Result<Load, WireError> {
     let mut load = Load::default();
     for pair in line.get("pressure").unwrap_or_default().split(',').filter(|p| !p.is_empty()) {
         let (name, value) =
-            pair.split_once(':').ok_or_else(|| bad("pressure", format!("no ':' in {pair:?}")))?;
-        let Some(place) = load_place(&mut load, name) else { continue };
+            pair.split_once(':').ok_or_else(|| invalid("pressure", format!("no ':' in {pair:?}")))?;
+        let Some(field) = load_field(&mut load, name) else { continue };
         let value = value.parse().ok().filter(|v: &f64| v.is_finite());
-        *place = Some(value.ok_or_else(|| bad("pressure", format!("{name} is not a number")))?);
+        *field = Some(value.ok_or_else(|| invalid("pressure", format!("{name} is not a number")))?);
     }
     Ok(load)
 }
 
-/// Where a figure of a load report goes, by its name on the wire or on sockets.
-fn load_place<'a>(load: &'a mut Load, name: &str) -> Option<&'a mut Option<f64>> {
+/// Returns the field of a load report by its name in the simulator's protocol or in HTTP headers.
+fn load_field<'a>(load: &'a mut Load, name: &str) -> Option<&'a mut Option<f64>> {
     Some(match name {
         "rif" | "inflight" => &mut load.in_hand,
         "q" | "queue" => &mut load.queue,
@@ -403,14 +424,14 @@
     })
 }
 
-/// Reads the load report of an answer, `TEXT inflight=7, queue=2`. What cannot be read is left out: the
-/// report is advice, and the answer that carries it stands.
+/// Parses the load report of a response, such as `TEXT inflight=7, queue=2`. Unreadable values are left
+/// out: the report is advisory, and the response that carries it remains valid.
 pub fn load_report(text: &str) -> Load {
     let mut load = Load::default();
     let text = text.trim().trim_start_matches("TEXT");
     for (name, value) in text.split(',').filter_map(|pair| pair.trim().split_once('=')) {
-        if let Some(place) = load_place(&mut load, name.trim()) {
-            *place = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
+        if let Some(field) = load_field(&mut load, name.trim()) {
+            *field = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
         }
     }
     load
@@ -421,13 +442,13 @@
         return "-".to_owned();
     }
     bytes.iter().fold(String::with_capacity(2 * bytes.len()), |mut text, b| {
-        // Writing to a String cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = write!(text, "{b:02x}");
         text
     })
 }
 
-fn unhex(text: &str) -> Result<Vec<u8>, WireError> {
+fn parse_hex(text: &str) -> Result<Vec<u8>, WireError> {
     if text == "-" {
         return Ok(Vec::new());
     }
@@ -435,68 +456,68 @@
         text.chars().map(|c| c.to_digit(16).and_then(|d| u8::try_from(d).ok())).collect();
     match digits {
         Some(d) if d.len() % 2 == 0 => Ok(d.chunks(2).map(|p| p[0] * 16 + p[1]).collect()),
-        _ => Err(bad("msg", "not hex")),
+        _ => Err(invalid("msg", "not hex")),
     }
 }
 
-/// The value at a dotted path of the settings; null where it is absent.
+/// Returns the value at a dotted path of the settings; null if it is absent.
 fn setting<'a>(at: &'a Value, path: &str) -> &'a Value {
     path.split('.').fold(at, |v, part| v.get(part).unwrap_or(&Value::Null))
 }
 
-fn bad_setting(path: &str, reason: &str) -> WireError {
-    bad(&format!("config.{path}"), reason)
+fn invalid_setting(path: &str, reason: &str) -> WireError {
+    invalid(&format!("config.{path}"), reason)
 }
 
-/// A figure and its default. `None`: it must be there.
-fn figure(at: &Value, path: &str, default: Option<f64>) -> Result<f64, WireError> {
+/// Returns a number, or `default` if it is absent; `None` as the default makes it required.
+fn number(at: &Value, path: &str, default: Option<f64>) -> Result<f64, WireError> {
     match (setting(at, path), default) {
         (Value::Null, Some(d)) => Ok(d),
-        (Value::Null, None) => Err(bad_setting(path, "missing")),
-        (v, _) => v.as_f64().ok_or_else(|| bad_setting(path, "not a number")),
+        (Value::Null, None) => Err(invalid_setting(path, "missing")),
+        (v, _) => v.as_f64().ok_or_else(|| invalid_setting(path, "not a number")),
     }
 }
 
-/// A truth value; absent means no.
-fn truth(at: &Value, path: &str) -> Result<bool, WireError> {
+/// Returns a boolean; false if it is absent.
+fn boolean(at: &Value, path: &str) -> Result<bool, WireError> {
     match setting(at, path) {
         Value::Null => Ok(false),
-        v => v.as_bool().ok_or_else(|| bad_setting(path, "not true or false")),
+        v => v.as_bool().ok_or_else(|| invalid_setting(path, "not true or false")),
     }
 }
 
-/// A word; absent means empty.
-fn word<'a>(at: &'a Value, path: &str) -> Result<&'a str, WireError> {
+/// Returns a string; empty if it is absent.
+fn string<'a>(at: &'a Value, path: &str) -> Result<&'a str, WireError> {
     match setting(at, path) {
         Value::Null => Ok(""),
-        v => v.as_str().ok_or_else(|| bad_setting(path, "not a word")),
+        v => v.as_str().ok_or_else(|| invalid_setting(path, "not a word")),
     }
 }
 
-/// What one of these words means; absent means the first's. A word that nobody knows is a mistake: taken for another, it
-/// would change what the rules allow.
+/// Returns the meaning of one of the `known` words; of the first one if the value is absent. An unknown
+/// word is an error: any default would change what the rules permit.
 fn one_of<T: Copy, const N: usize>(at: &Value, path: &str, known: [(&str, T); N]) -> Result<T, WireError> {
-    let given = word(at, path)?;
+    let given = string(at, path)?;
     match known.iter().find(|(word, _)| given.is_empty() || *word == given) {
         Some((_, meaning)) => Ok(*meaning),
         None => {
             let words = known.map(|(word, _)| word).join(", ");
-            Err(bad_setting(path, &format!("{given:?} is none of {words}")))
+            Err(invalid_setting(path, &format!("{given:?} is none of {words}")))
         }
     }
 }
 
-fn count(at: &Value, path: &str, default: u32) -> Result<u32, WireError> {
-    let v = figure(at, path, Some(f64::from(default)))?;
+fn whole_number(at: &Value, path: &str, default: u32) -> Result<u32, WireError> {
+    let v = number(at, path, Some(f64::from(default)))?;
     let whole = v.is_finite() && v >= 0.0 && v <= f64::from(u32::MAX) && v.fract() == 0.0;
-    if whole { Ok(v as u32) } else { Err(bad_setting(path, "not a whole number")) }
+    if whole { Ok(v as u32) } else { Err(invalid_setting(path, "not a whole number")) }
 }
 
-/// A list; absent means empty.
+/// Returns a list; empty if it is absent.
 fn list<'a>(at: &'a Value, path: &str) -> Result<&'a [Value], WireError> {
     match setting(at, path) {
         Value::Null => Ok(&[]),
-        v => v.as_array().map(Vec::as_slice).ok_or_else(|| bad_setting(path, "not a list")),
+        v => v.as_array().map(Vec::as_slice).ok_or_else(|| invalid_setting(path, "not a list")),
     }
 }
 
@@ -504,15 +525,15 @@
     v.as_str().or_else(|| v.get("name").and_then(Value::as_str)).unwrap_or_default().to_owned()
 }
 
-fn class(v: &Value) -> Result<Class, WireError> {
+fn parse_class(v: &Value) -> Result<Class, WireError> {
     let groups = [("cell", Group::Cell), ("zone", Group::Zone), ("all", Group::All)];
     let group = one_of(v, "group", groups)?;
-    let deadline_ms = figure(v, "hardLimitMs", None)?;
+    let deadline_ms = number(v, "hardLimitMs", None)?;
     Ok(Class {
-        aim_ms: figure(v, "objectiveMs", Some(deadline_ms))?,
+        aim_ms: number(v, "objectiveMs", Some(deadline_ms))?,
         deadline_ms,
-        worth: figure(v, "value", Some(1.0))?,
-        late_worth: figure(v, "lateValue", Some(0.0))?,
+        worth: number(v, "value", Some(1.0))?,
+        late_worth: number(v, "lateValue", Some(0.0))?,
         effect: one_of(
             v,
             "semantics",
@@ -522,46 +543,50 @@
                 ("deduplicated", Effect::Keyed(group)),
             ],
         )?,
-        key_ttl_ms: figure(v, "keyTtlMs", Some(0.0))?,
-        aim_stretch: figure(v, "aimStretch", Some(0.0))?,
+        key_ttl_ms: number(v, "keyTtlMs", Some(0.0))?,
+        aim_stretch: number(v, "aimStretch", Some(0.0))?,
     })
 }
 
-/// Reads the settings object of a `provision`. Unknown keys are skipped; absent optional ones get these defaults.
+/// Parses the settings object of a `provision`. Unknown keys are skipped, and absent optional keys get the
+/// defaults below.
+///
+/// # Errors
+/// Returns an error if the text is not a JSON object, a required key is missing, or a value is invalid.
 pub fn settings(text: &str) -> Result<(Settings, Names), WireError> {
-    let v: Value = serde_json::from_str(text).map_err(|e| bad("config", e.to_string()))?;
+    let v: Value = serde_json::from_str(text).map_err(|e| invalid("config", e.to_string()))?;
     if !v.is_object() {
-        return Err(bad("config", "not an object"));
+        return Err(invalid("config", "not an object"));
     }
-    let f = |path: &str, default: f64| figure(&v, path, Some(default));
+    let number_or = |path: &str, default: f64| number(&v, path, Some(default));
     let zones: Vec<String> = list(&v, "areas")?.iter().map(name_of).collect();
-    let zone = word(&v, "zone")?;
-    let s = Settings {
-        classes: list(&v, "classes")?.iter().map(class).collect::<Result<_, _>>()?,
+    let zone = string(&v, "zone")?;
+    let parsed = Settings {
+        classes: list(&v, "classes")?.iter().map(parse_class).collect::<Result<_, _>>()?,
         tenants: list(&v, "tenants")?
             .iter()
-            .map(|t| Ok(Tenant { quota_rps: figure(t, "quotaRps", Some(0.0))? }))
+            .map(|t| Ok(Tenant { quota_rps: number(t, "quotaRps", Some(0.0))? }))
             .collect::<Result<_, WireError>>()?,
         goal: Goal {
-            whole: f("blend.whole", 1.0)?,
-            worst_window: f("blend.worstWindow", 0.0)?,
-            worst_class: f("blend.worstClass", 0.0)?,
-            worst_tenant: f("blend.worstTenant", 0.0)?,
-            nines: f("blend.ninesPart", 0.0)?,
-            full_at_nines: f("blend.fullAtNines", 3.0)?,
+            whole: number_or("blend.whole", 1.0)?,
+            worst_window: number_or("blend.worstWindow", 0.0)?,
+            worst_class: number_or("blend.worstClass", 0.0)?,
+            worst_tenant: number_or("blend.worstTenant", 0.0)?,
+            nines: number_or("blend.ninesPart", 0.0)?,
+            full_at_nines: number_or("blend.fullAtNines", 3.0)?,
         },
         prices: Prices {
-            cross_zone: f("prices.crossZone", 0.0)?,
-            handshake: f("prices.handshake", 0.0)?,
-            connection: f("prices.connection", 0.0)?,
-            late_fail: f("prices.lateFail", 0.0)?,
-            waste: f("prices.waste", 0.0)?,
-            probe: f("prices.probe", 0.0)?,
-            peer: f("prices.peer", 0.0)?,
+            cross_zone: number_or("prices.crossZone", 0.0)?,
+            handshake: number_or("prices.handshake", 0.0)?,
+            connection: number_or("prices.connection", 0.0)?,
+            late_fail: number_or("prices.lateFail", 0.0)?,
+            waste: number_or("prices.waste", 0.0)?,
+            probe: number_or("prices.probe", 0.0)?,
+            peer: number_or("prices.peer", 0.0)?,
         },
-        instances: count(&v, "instances", 1)?,
+        instances: whole_number(&v, "instances", 1)?,
         held_by: None,
-        slot: count(&v, "slotNo", 0)?,
+        slot: whole_number(&v, "slotNo", 0)?,
         zone: zones.iter().position(|z| z == zone).and_then(|z| u16::try_from(z).ok()),
         weights: one_of(
             &v,
@@ -583,38 +608,38 @@
             "membershipMode",
             [("pushed", Discovery::Pushed), ("on_request", Discovery::OnRequest)],
         )?,
-        max_attempts: count(&v, "limits.attemptsCap", 1)?,
-        may_cancel: truth(&v, "limits.mayCancel")?,
-        second_copies: truth(&v, "limits.secondCopies")?,
-        max_retry_after_ms: f("limits.maxRetryAfterMs", 1000.0)?,
-        probes: truth(&v, "limits.probing")?,
-        peer_messages: truth(&v, "limits.peerMessages")?,
-        open_cap: count(&v, "limits.openCap", u32::MAX)?,
-        max_streams: count(&v, "limits.maxStreams", 1)?,
-        conn_idle_ms: f("limits.connIdleMs", 15_000.0)?,
-        connect_timeout_ms: f("limits.connectTimeoutMs", 250.0)?,
-        cpu_us_per_s: f("limits.cpuUsPerS", 0.0)?,
-        over_share_worth: f("overShareWorth", 1.0)?,
+        max_attempts: whole_number(&v, "limits.attemptsCap", 1)?,
+        may_cancel: boolean(&v, "limits.mayCancel")?,
+        second_copies: boolean(&v, "limits.secondCopies")?,
+        max_retry_after_ms: number_or("limits.maxRetryAfterMs", 1000.0)?,
+        probes: boolean(&v, "limits.probing")?,
+        peer_messages: boolean(&v, "limits.peerMessages")?,
+        open_cap: whole_number(&v, "limits.openCap", u32::MAX)?,
+        max_streams: whole_number(&v, "limits.maxStreams", 1)?,
+        conn_idle_ms: number_or("limits.connIdleMs", 15_000.0)?,
+        connect_timeout_ms: number_or("limits.connectTimeoutMs", 250.0)?,
+        cpu_us_per_s: number_or("limits.cpuUsPerS", 0.0)?,
+        over_share_worth: number_or("overShareWorth", 1.0)?,
         worth_by_work: one_of(&v, "worthBy", [("request", false), ("work", true)])?,
-        warm_keys: truth(&v, "familyInfo.warmKeys")?,
-        cold_ms: figure(&v, "rules.coldMs", None)?,
-        start_capacity: figure(&v, "rules.startCapacity", None)?,
-        fall_multiple: figure(&v, "rules.fallMultiple", None)?,
-        fall_ms: figure(&v, "rules.fallMs", None)?,
-        late_shedding: truth(&v, "rules.lateShedding")?,
-        drain_grace_ms: f("rules.drainGraceMs", 0.0)?,
-        drain_close_ms: match figure(&v, "rules.drainCloseMs", Some(0.0))? {
+        warm_keys: boolean(&v, "familyInfo.warmKeys")?,
+        cold_ms: number(&v, "rules.coldMs", None)?,
+        start_capacity: number(&v, "rules.startCapacity", None)?,
+        fall_multiple: number(&v, "rules.fallMultiple", None)?,
+        fall_ms: number(&v, "rules.fallMs", None)?,
+        late_shedding: boolean(&v, "rules.lateShedding")?,
+        drain_grace_ms: number_or("rules.drainGraceMs", 0.0)?,
+        drain_close_ms: match number(&v, "rules.drainCloseMs", Some(0.0))? {
             ms if ms > 0.0 => Some(ms),
             _ => None,
         },
-        must_ask_in_ms: f("rules.mustAskInMs", 10000.0)?,
-        tick_ms: f("tickMs", 1.0)?,
+        must_ask_in_ms: number_or("rules.mustAskInMs", 10000.0)?,
+        tick_ms: number_or("tickMs", 1.0)?,
     };
     let names = Names {
-        classes: Numbered::of(list(&v, "classes")?.iter().map(|c| Some(name_of(c).into()))),
-        tenants: Numbered::of(list(&v, "tenants")?.iter().map(|t| Some(name_of(t).into()))),
+        classes: NumberedNames::of(list(&v, "classes")?.iter().map(|c| Some(name_of(c).into()))),
+        tenants: NumberedNames::of(list(&v, "tenants")?.iter().map(|t| Some(name_of(t).into()))),
         zones,
         backends: HashMap::new(),
     };
-    Ok((s, names))
+    Ok((parsed, names))
 }
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec: every message, and lines that are cut, reordered or oversized.
+//! Codec of the simulator's protocol: every message, and truncated, reordered or oversized lines.
 use daleturn::interface::*;
 use daleturn::wire::{Line, Names, WireError, list_kind, settings};
 use proptest::prelude::*;
@@ -30,18 +30,18 @@
 }
 
 #[test]
-fn settings_are_read_with_defaults() {
+fn absent_settings_get_defaults() {
     let (s, _) = settings(CONFIG).expect("readable settings");
     assert_eq!((s.instances, s.max_attempts, s.discovery), (3, 4, Discovery::OnRequest));
     assert_eq!(s.classes[1].effect, Effect::Keyed(Group::Zone));
-    assert_eq!(s.classes[1].aim_ms, 400.0, "no aim given: the deadline");
+    assert_eq!(s.classes[1].aim_ms, 400.0, "the objective defaults to the deadline");
     assert!(s.probes && !s.may_cancel);
     assert_eq!((s.zone, s.slot, s.weights, s.reporting), (Some(1), 0, Weights::None, Reporting::None));
-    assert!(!s.late_shedding && s.drain_close_ms.is_none(), "the further rules hold only where stated");
+    assert!(!s.late_shedding && s.drain_close_ms.is_none(), "optional rules are off by default");
 }
 
 #[test]
-fn every_setting_of_the_wire_page_is_carried() {
+fn every_documented_setting_is_parsed() {
     let text = r#"{"areas": ["a"], "zone": "a", "slotNo": 4, "weights": "live", "worthBy": "work",
         "blend": {"whole": 0.4, "ninesPart": 0.2, "fullAtNines": 2.5},
         "classes": [{"name": "x", "hardLimitMs": 900, "aimStretch": 1.5}],
@@ -61,29 +61,31 @@
     assert_eq!((p.cross_zone, p.handshake, p.connection, p.late_fail), (0.1, 0.2, 0.3, 0.4));
     assert_eq!((p.waste, p.probe, p.peer), (0.5, 0.6, 0.7));
     assert_eq!((s.late_shedding, s.drain_close_ms, s.drain_grace_ms), (true, Some(150.0), 50.0));
-    assert_eq!(s.classes[0].effect, Effect::Unsafe, "no semantics given: the strictest");
+    assert_eq!(s.classes[0].effect, Effect::Unsafe, "the semantics default to the strictest");
 }
 
 #[test]
-fn unusable_settings_name_the_field() {
-    let said = |text: &str| settings(text).err().map(|e| e.to_string()).unwrap_or_default();
-    assert!(said("[]").contains("not an object"));
-    assert!(said("{").starts_with("field config"));
-    assert!(said(r#"{"classes": []}"#).contains("config.rules.coldMs: missing"));
-    assert!(said(r#"{"classes": [{"name": "x"}]}"#).contains("config.hardLimitMs"));
-    assert!(said(&CONFIG.replace("\"instances\": 3", "\"instances\": -1")).contains("config.instances"));
+fn errors_in_settings_name_the_field() {
+    let error_text = |text: &str| settings(text).err().map(|e| e.to_string()).unwrap_or_default();
+    assert!(error_text("[]").contains("not an object"));
+    assert!(error_text("{").starts_with("field config"));
+    assert!(error_text(r#"{"classes": []}"#).contains("config.rules.coldMs: missing"));
+    assert!(error_text(r#"{"classes": [{"name": "x"}]}"#).contains("config.hardLimitMs"));
+    assert!(
+        error_text(&CONFIG.replace("\"instances\": 3", "\"instances\": -1")).contains("config.instances")
+    );
     for (field, broken) in [
         ("config.areas", CONFIG.replace(r#"["a", "b"]"#, "7")),
         ("config.zone", CONFIG.replace(r#""zone": "b""#, r#""zone": 5"#)),
         ("config.limits.probing", CONFIG.replace("true", "\"yes\"")),
         ("config.rules.coldMs", CONFIG.replace("20000", "\"long\"")),
     ] {
-        assert!(said(&broken).contains(field), "{field}: {}", said(&broken));
+        assert!(error_text(&broken).contains(field), "{field}: {}", error_text(&broken));
     }
 }
 
 #[test]
-fn every_message_is_read() {
+fn every_message_is_parsed() {
     let mut n = names();
     let Ok(Event::Request(r)) = read(&mut n, LINES[0]) else { panic!("a request") };
     assert_eq!((r.id, r.class, r.tenant, r.deadline_ms, r.retry), (RequestId(41), 0, Some(0), 99.5, true));
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn fields_come_in_any_order() {
+fn fields_may_come_in_any_order() {
     let mut n = names();
     for line in LINES {
         let (name, rest) = line.split_once(' ').expect("fields");
@@ -119,21 +121,23 @@
 }
 
 #[test]
-fn what_is_wrong_is_said() {
+fn errors_in_messages_name_the_field() {
     let mut n = names();
-    let said = |n: &mut Names, l: &str| read(n, l).err().map(|e| e.to_string()).unwrap_or_default();
-    assert_eq!(said(&mut n, "left who=3"), "field requestId: missing");
-    assert_eq!(said(&mut n, "left who=3 requestId=x"), "field requestId: not a whole number");
-    assert!(said(&mut n, "dance who=3").contains("unknown message"));
-    assert!(said(&mut n, "inbox who=3 sender=2 msg=0").contains("not hex"));
+    let error_text = |n: &mut Names, l: &str| read(n, l).err().map(|e| e.to_string()).unwrap_or_default();
+    assert_eq!(error_text(&mut n, "left who=3"), "field requestId: missing");
+    assert_eq!(error_text(&mut n, "left who=3 requestId=x"), "field requestId: not a whole number");
+    assert!(error_text(&mut n, "dance who=3").contains("unknown message"));
+    assert!(error_text(&mut n, "inbox who=3 sender=2 msg=0").contains("not hex"));
     let outcome = "result who=3 requestId=1 attempt=0 backend=b1 disposition=done";
-    assert!(said(&mut n, &format!("{outcome} pressure=busy")).starts_with("field pressure"));
-    assert!(said(&mut n, &format!("{outcome} pressure=busy:x")).starts_with("field pressure"));
-    assert!(said(&mut n, "demand who=3 requestId=1 priority=page deadlineMs=NaN").contains("deadlineMs"));
+    assert!(error_text(&mut n, &format!("{outcome} pressure=busy")).starts_with("field pressure"));
+    assert!(error_text(&mut n, &format!("{outcome} pressure=busy:x")).starts_with("field pressure"));
+    assert!(
+        error_text(&mut n, "demand who=3 requestId=1 priority=page deadlineMs=NaN").contains("deadlineMs")
+    );
 }
 
 #[test]
-fn actions_are_written_with_the_names_that_were_heard() {
+fn actions_are_written_with_the_names_of_the_list() {
     let mut n = names();
     let entry =
         n.entry(&Line::parse("backend locality=a health=U backend=b1").expect("a line")).expect("an entry");
@@ -152,7 +156,7 @@
 }
 
 #[test]
-fn cut_and_garbled_lines_never_panic() {
+fn truncated_and_garbled_lines_never_panic() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
     let input = (0..LINES.len(), any::<prop::sample::Index>(), "\\PC{0,40}", 0_usize..5000);
@@ -170,5 +174,5 @@
             prop_assert!(settings(cut).is_err());
             Ok(())
         })
-        .expect("a line that breaks the codec");
+        .expect("the codec handles any line");
 }
