--- a/src/options.rs
+++ b/src/options.rs
@@ -1,5 +1,5 @@
-//! What the product adds to the platform's configuration: one TOML file, named by `DALETURN_CONFIG`. Without it
-//! all that is new is off and the rest has the defaults that stand here.
+//! Options that the product adds to the platform's configuration: one TOML file, named by `DALETURN_CONFIG`.
+//! Without the file, optional features are off and all other options have the defaults given here.
 //!
 //! ```
 //! use daleturn::options::{Format, Options};
@@ -20,35 +20,35 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The variable that names the file.
+/// Environment variable that names the file.
 pub const VARIABLE: &str = "DALETURN_CONFIG";
-/// A longer file is none of ours.
-const LONGEST: u64 = 1024 * 1024;
+/// Maximum size of the file in bytes.
+const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
-/// All that the file may hold.
+/// Contents of the file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// What is logged, and how.
+    /// Log format and filters.
     pub log: Log,
-    /// The figures of the call `stats`.
+    /// Statistics of the call `stats`.
     pub stats: Stats,
-    /// What survives the machine.
+    /// State that survives the machine.
     pub state: State,
-    /// What the nodes share.
+    /// State shared between nodes.
     pub share: Share,
     /// Zones and regions.
     pub topology: Topology,
-    /// Long lists of backends.
+    /// Long backend lists.
     pub list: List,
 }
 
-/// `[list]`.
+/// Section `[list]`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct List {
-    /// Of a list with more backends than this a node works with so many; 0 for all of any list.
-    #[serde(deserialize_with = "within::<_, 0, 100_000>")]
+    /// Number of backends that a node uses of a longer list; 0 for all.
+    #[serde(deserialize_with = "integer_within::<_, 0, 100_000>")]
     pub subset: u32,
 }
 
@@ -58,16 +58,16 @@
     }
 }
 
-/// `[topology]`.
+/// Section `[topology]`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Topology {
-    /// Zones are judged as a whole, left and returned to.
+    /// Enables zone health checks: a lost zone is left as a whole and returned to later.
     pub on: bool,
-    /// Weight of zones of other regions beside those of the own one, in percent.
-    #[serde(deserialize_with = "within::<_, 1, 100>")]
+    /// Weight of zones in other regions relative to the own region, in percent.
+    #[serde(deserialize_with = "integer_within::<_, 1, 100>")]
     pub other_region_percent: u32,
-    /// Region of each zone; a zone that is not named is of no region, and far.
+    /// Region of each zone. A zone without an entry belongs to no region and counts as remote.
     pub regions: BTreeMap<String, String>,
 }
 
@@ -77,20 +77,20 @@
     }
 }
 
-/// `[share]`.
+/// Section `[share]`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Share {
-    /// Nodes share what they know; needs the platform's peers.
+    /// Enables state shared between nodes; requires configured peers.
     pub on: bool,
-    /// What tenants ask of the whole fleet is not believed when it is older, in milliseconds.
-    #[serde(deserialize_with = "within::<_, 4000, 60_000>")]
+    /// Maximum age of the fleet's tenant totals, in milliseconds; older ones are not used.
+    #[serde(deserialize_with = "integer_within::<_, 4000, 60_000>")]
     pub limits_ms: u32,
-    /// The same of verdicts on servers.
-    #[serde(deserialize_with = "within::<_, 500, 60_000>")]
+    /// Maximum age of verdicts on servers, in milliseconds.
+    #[serde(deserialize_with = "integer_within::<_, 500, 60_000>")]
     pub verdicts_ms: u32,
-    /// The same of places of keys.
-    #[serde(deserialize_with = "within::<_, 500, 60_000>")]
+    /// Maximum age of key locations, in milliseconds.
+    #[serde(deserialize_with = "integer_within::<_, 500, 60_000>")]
     pub affinity_ms: u32,
 }
 
@@ -100,31 +100,33 @@
     }
 }
 
-/// `[state]`.
+/// Section `[state]`.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct State {
-    /// A directory that survives the machine, for this node alone; without it nothing does.
+    /// Directory of this node that survives the machine; if empty, nothing is kept.
     pub dir: String,
-    /// For drills: a directory from which the disk takes orders to fail, and where it tells what was done to it.
+    /// For exercises: directory from which scripted disk faults are read, and where the resulting disk
+    /// operations are recorded.
     pub rehearse: String,
 }
 
-/// `[log]`.
+/// Section `[log]`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
-    /// How a line is written.
+    /// Format of a line.
     pub format: Format,
-    /// What is written at all.
+    /// Minimum level of the events that are written.
     pub level: Level,
-    /// The same for single targets: the word before the point of an event's name.
+    /// Levels of single targets. The target is the part of an event's name before the dot.
     pub targets: BTreeMap<String, Level>,
-    /// Lines in one second, but for those of the target `request`.
-    #[serde(deserialize_with = "within::<_, 1, 1000>")]
+    /// Maximum number of lines per second, without those of target `request`.
+    #[serde(deserialize_with = "integer_within::<_, 1, 1000>")]
     pub lines_per_second: u32,
-    /// Lines of the target `request` in one second: samples, which must not crowd out the rest.
-    #[serde(deserialize_with = "within::<_, 0, 1000>")]
+    /// Maximum number of lines per second of target `request`. These are samples and must not displace
+    /// other lines.
+    #[serde(deserialize_with = "integer_within::<_, 0, 1000>")]
     pub requests_per_second: u32,
 }
 
@@ -140,40 +142,40 @@
     }
 }
 
-/// How a line of the log is written.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// Time, level, name and `field=value`.
+    /// Time, level, event name and `field=value` pairs.
     Text,
     /// One JSON object.
     Json,
 }
 
-/// From which level on an event is written.
+/// Minimum level of the events that are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Nothing.
+    /// No events.
     Off,
-    /// What keeps the node from its work.
+    /// Conditions that keep the node from working.
     Error,
-    /// What somebody should look at.
+    /// Conditions that an operator should look at.
     Warn,
-    /// What changes.
+    /// State changes.
     Info,
-    /// More.
+    /// Details.
     Debug,
-    /// All.
+    /// All events.
     Trace,
 }
 
-/// `[stats]`.
+/// Section `[stats]`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Stats {
-    /// Times are those of the last window or two of this many seconds.
-    #[serde(deserialize_with = "within::<_, 1, 3600>")]
+    /// Window length in seconds; latencies cover the last one or two windows.
+    #[serde(deserialize_with = "integer_within::<_, 1, 3600>")]
     pub window_s: u32,
 }
 
@@ -183,17 +185,19 @@
     }
 }
 
-fn within<'de, D: Deserializer<'de>, const LEAST: u32, const MOST: u32>(from: D) -> Result<u32, D::Error> {
+fn integer_within<'de, D: Deserializer<'de>, const MIN: u32, const MAX: u32>(
+    from: D,
+) -> Result<u32, D::Error> {
     let value = i64::deserialize(from)?;
-    let fits = u32::try_from(value).ok().filter(|v| (LEAST..=MOST).contains(v));
-    fits.ok_or_else(|| serde::de::Error::custom(format!("{value} is not within {LEAST} to {MOST}")))
+    let fits = u32::try_from(value).ok().filter(|v| (MIN..=MAX).contains(v));
+    fits.ok_or_else(|| serde::de::Error::custom(format!("{value} is not within {MIN} to {MAX}")))
 }
 
 impl Options {
-    /// Reads the file that `DALETURN_CONFIG` names; the defaults where it names none.
+    /// Reads the file that `DALETURN_CONFIG` names, or returns the defaults if the variable is not set.
     ///
     /// # Errors
-    /// The file's, with its name.
+    /// Returns the error of [`Options::read`], with the name of the file.
     pub fn load() -> Result<Options, String> {
         match std::env::var_os(VARIABLE).filter(|p| !p.is_empty()) {
             None => Ok(Options::default()),
@@ -205,32 +209,34 @@
     /// Reads a file.
     ///
     /// # Errors
-    /// It cannot be read, is no TOML, has a key that nobody knows or one of another type or range.
+    /// Returns an error if the file cannot be read, is not valid TOML, or has an unknown key or a value of
+    /// the wrong type or range.
     pub fn read(path: &Path) -> Result<Options, TomlError> {
-        Options::parse(&read_text(path, LONGEST)?)
+        Options::parse(&read_text(path, MAX_FILE_BYTES)?)
     }
 
-    /// Reads a file's text.
+    /// Parses the text of a file.
     ///
     /// # Errors
-    /// As above.
+    /// Returns an error if the text is not valid TOML, or has an unknown key or a value of the wrong type
+    /// or range.
     pub fn parse(text: &str) -> Result<Options, TomlError> {
         tomlfile::parse(text)
     }
 }
 
-/// A key of the file, for people.
+/// Documentation of a key of the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Key {
-    /// Its path.
+    /// Dotted path of the key.
     pub key: &'static str,
-    /// What it counts in, or what it may be.
+    /// Unit or permitted values.
     pub unit: &'static str,
-    /// What it is for.
+    /// Purpose of the key.
     pub about: &'static str,
 }
 
-/// Every key that the file may hold.
+/// All keys of the file.
 pub const KEYS: [Key; 16] = [
     Key { key: "log.format", unit: "text | json", about: "how a line of the log is written" },
     Key {
@@ -314,12 +320,12 @@
 mod tests {
     use super::*;
 
-    fn why(text: &str) -> String {
+    fn error(text: &str) -> String {
         Options::parse(text).unwrap_err().to_string()
     }
 
     #[test]
-    fn an_empty_file_is_the_defaults() {
+    fn an_empty_file_gives_the_defaults() {
         for text in ["", "\n", "# nothing\n", "[log]\n", "[log]\n[log.targets]\n"] {
             assert_eq!(Options::parse(text).unwrap(), Options::default(), "{text:?}");
         }
@@ -328,32 +334,35 @@
     #[test]
     fn an_error_names_the_line_and_the_key() {
         assert_eq!(
-            why("[log]\nlevle = \"info\"\n"),
+            error("[log]\nlevle = \"info\"\n"),
             "line 2: log.levle: unknown field `levle`, expected one of `format`, `level`, `targets`, \
              `lines_per_second`, `requests_per_second`"
         );
-        assert!(why("[lgo]\n").starts_with("line 1: lgo: unknown field"), "{}", why("[lgo]\n"));
+        assert!(error("[lgo]\n").starts_with("line 1: lgo: unknown field"), "{}", error("[lgo]\n"));
         assert!(
-            why("[log]\nlevel = 5\n").starts_with("line 2: log.level: "),
+            error("[log]\nlevel = 5\n").starts_with("line 2: log.level: "),
             "{}",
-            why("[log]\nlevel = 5\n")
+            error("[log]\nlevel = 5\n")
         );
         assert!(
-            why("\n[log.targets]\na = \"lod\"\n").starts_with("line 3: log.targets.a: unknown variant")
+            error("\n[log.targets]\na = \"lod\"\n").starts_with("line 3: log.targets.a: unknown variant")
         );
-        assert_eq!(why("[stats]\nwindow_s = 0"), "line 2: stats.window_s: 0 is not within 1 to 3600");
-        assert_eq!(why("[stats]\nwindow_s = -9"), "line 2: stats.window_s: -9 is not within 1 to 3600");
-        assert!(why("[log]\nlevel = \"info\"\nlevel = \"warn\"\n").starts_with("line 3: "), "a key twice");
-        assert!(why("[log]\nlevel = \"in").starts_with("line 2: "), "cut short");
-        assert!(why("x\0y").starts_with("line 1: "));
+        assert_eq!(error("[stats]\nwindow_s = 0"), "line 2: stats.window_s: 0 is not within 1 to 3600");
+        assert_eq!(error("[stats]\nwindow_s = -9"), "line 2: stats.window_s: -9 is not within 1 to 3600");
+        assert!(
+            error("[log]\nlevel = \"info\"\nlevel = \"warn\"\n").starts_with("line 3: "),
+            "duplicate key"
+        );
+        assert!(error("[log]\nlevel = \"in").starts_with("line 2: "), "truncated");
+        assert!(error("x\0y").starts_with("line 1: "));
         for text in ["[log", "log", "log = 5", "[[log]]", "stats = []"] {
-            let why = why(text);
-            assert!(why.starts_with("line 1: ") && !why.contains('\n'), "{text}: {why}");
+            let error = error(text);
+            assert!(error.starts_with("line 1: ") && !error.contains('\n'), "{text}: {error}");
         }
     }
 
     #[test]
-    fn every_key_is_told_to_people_and_no_other() {
+    fn documented_keys_are_exactly_the_keys_of_the_file() {
         fn walk(at: &str, value: &toml::Value, keys: &mut Vec<String>) {
             match value.as_table().filter(|_| !["log.targets", "topology.regions"].contains(&at)) {
                 None => keys.push(at.to_owned()),
@@ -366,9 +375,9 @@
         }
         let mut keys = Vec::new();
         walk("", &toml::Value::try_from(Options::default()).unwrap(), &mut keys);
-        let mut told: Vec<&str> = KEYS.iter().map(|k| k.key).collect();
-        told.sort_unstable();
+        let mut documented: Vec<&str> = KEYS.iter().map(|k| k.key).collect();
+        documented.sort_unstable();
         keys.sort_unstable();
-        assert_eq!(told, keys);
+        assert_eq!(documented, keys);
     }
 }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's configuration, JSON, and the environment, read into typed settings; and the file read again
-//! while the node serves.
+//! The platform's configuration: reads the JSON file and the environment into typed settings, at startup
+//! and again while the node serves.
 
 use crate::files::{FileError, read_text};
 use crate::interface::Settings;
@@ -13,78 +13,78 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// A longer file is no configuration.
-const LONGEST: u64 = 64 * 1024 * 1024;
-/// Lists whose entries have names, and may come and go.
-const NAMED: [&str; 2] = ["classes", "tenants"];
+/// Maximum size of the configuration file in bytes.
+const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
+/// Lists whose entries have names and may be added or removed at run time.
+const NAMED_LISTS: [&str; 2] = ["classes", "tenants"];
 
-/// All that a node is told at its start.
+/// Configuration of a node at startup.
 pub struct Config {
-    /// This node's name.
+    /// Name of this node.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// Address for operators.
     pub operator: Option<SocketAddr>,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of the decisions.
+    /// Seed of the balancer's random numbers.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Bytes of memory that the process may use.
+    /// Memory limit of the process in bytes.
     pub memory: usize,
-    /// Where datagrams of other nodes arrive.
+    /// Address for datagrams from other nodes.
     pub peer_listen: Option<SocketAddr>,
-    /// The nodes of the tier, by number.
+    /// Addresses of all nodes of the tier, by node number.
     pub peers: Vec<SocketAddr>,
-    /// Reaches every node of the tier.
+    /// Address that reaches every node of the tier.
     pub peers_all: Option<SocketAddr>,
-    /// The list of backends as last had, in discovery's form.
+    /// Last known backend list, as discovery's JSON.
     pub known: Value,
-    /// What the decisions need.
+    /// Settings of the balancer.
     pub settings: Settings,
     /// Names of classes, tenants and zones.
     pub names: Names,
-    /// Tells whether two files have the same settings.
+    /// Digest for comparing the settings of two files.
     pub digest: u64,
-    /// The file, less the list.
+    /// The file's contents without the backend list.
     pub file: Value,
 }
 
-/// Why no node can be started from this configuration.
+/// Error of reading a configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// There is no configuration.
+    /// `LB_CONFIG` is not set.
     #[error("LB_CONFIG is not set")]
     Unset,
-    /// The file cannot be read.
+    /// The file cannot be read or is invalid.
     #[error("LB_CONFIG: {path}: {reason}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Reason.
         reason: String,
     },
-    /// A field is absent or wrong.
+    /// A field is missing or invalid.
     #[error("{field}: {reason}")]
     Field {
-        /// The field.
+        /// Path of the field.
         field: String,
-        /// Why.
+        /// Reason.
         reason: String,
     },
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] WireError),
-    /// The product's own file cannot be taken.
+    /// The options file is invalid.
     #[error("{0}")]
     Options(String),
 }
 
 impl ConfigError {
-    /// The same, with the name of the platform's file where it is of that.
-    fn of_file(self) -> ConfigError {
+    /// Adds the path of the configuration file to errors in its contents.
+    fn with_file_name(self) -> ConfigError {
         match (self, std::env::var("LB_CONFIG")) {
             (e @ (ConfigError::Field { .. } | ConfigError::Settings(_)), Ok(path)) => {
                 ConfigError::File { path, reason: e.to_string() }
@@ -94,15 +94,15 @@
     }
 }
 
-fn wrong(field: &str, reason: impl Into<String>) -> ConfigError {
+fn field_error(field: &str, reason: impl Into<String>) -> ConfigError {
     ConfigError::Field { field: field.to_owned(), reason: reason.into() }
 }
 
 fn address(field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| wrong(field, format!("{text:?} is not an address and port")))
+    text.parse().map_err(|_| field_error(field, format!("{text:?} is not an address and port")))
 }
 
-/// A text of the file, or of the environment where that names it too.
+/// Returns a text field from the environment variable, if given and set, or else from the file.
 fn text(file: &Value, field: &str, variable: Option<&str>) -> Result<Option<String>, ConfigError> {
     if let Some(value) = variable.and_then(|v| std::env::var(v).ok()).filter(|v| !v.is_empty()) {
         return Ok(Some(value));
@@ -110,7 +110,7 @@
     match file.get(field) {
         None | Some(Value::Null) => Ok(None),
         Some(Value::String(s)) => Ok(Some(s.clone())),
-        Some(_) => Err(wrong(field, "not a text")),
+        Some(_) => Err(field_error(field, "not a text")),
     }
 }
 
@@ -128,42 +128,44 @@
         Some(v) => v
             .as_u64()
             .and_then(|n| usize::try_from(n).ok())
-            .ok_or_else(|| wrong(&format!("limits.{name}"), "not a whole number")),
+            .ok_or_else(|| field_error(&format!("limits.{name}"), "not a whole number")),
     }
 }
 
-fn file() -> Result<Value, ConfigError> {
+fn read_file() -> Result<Value, ConfigError> {
     let path = std::env::var("LB_CONFIG").map_err(|_| ConfigError::Unset)?;
-    let bad = |reason: String| ConfigError::File { path: path.clone(), reason };
-    let text = read_text(Path::new(&path), LONGEST).map_err(|e: FileError| bad(e.to_string()))?;
-    serde_json::from_str(&text).map_err(|e| bad(e.to_string()))
+    let file_error = |reason: String| ConfigError::File { path: path.clone(), reason };
+    let text =
+        read_text(Path::new(&path), MAX_FILE_BYTES).map_err(|e: FileError| file_error(e.to_string()))?;
+    serde_json::from_str(&text).map_err(|e| file_error(e.to_string()))
 }
 
-/// What of a new file has to be as in the running one: the keys that it had, and under `settings` their types.
-/// Entries of named lists may come and go; a new one needs the keys that all running ones had.
-fn kept(path: &str, old: &Value, new: &Value) -> Result<(), ConfigError> {
+/// Checks a new file against the running one: it must have the same keys and, under `settings`, values of
+/// the same types. Entries of named lists may be added or removed; a new entry needs the keys that all
+/// running entries have.
+fn check_kept_keys(path: &str, old: &Value, new: &Value) -> Result<(), ConfigError> {
     if new.is_null() && !old.is_null() {
-        return Err(wrong(path, "missing"));
+        return Err(field_error(path, "missing"));
     }
     if path.starts_with("settings") && !old.is_null() && discriminant(old) != discriminant(new) {
-        return Err(wrong(path, "of another type than in the running file"));
+        return Err(field_error(path, "of another type than in the running file"));
     }
     let at = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     let Value::Object(fields) = old else { return Ok(()) };
     for (key, old) in fields {
         let new = new.get(key).unwrap_or(&Value::Null);
-        kept(&at(key), old, new)?;
+        check_kept_keys(&at(key), old, new)?;
         if let (true, Some(old), Some(new)) =
-            (NAMED.contains(&key.as_str()), old.as_array(), new.as_array())
+            (NAMED_LISTS.contains(&key.as_str()), old.as_array(), new.as_array())
         {
-            entries_kept(&at(key), old, new)?;
+            check_kept_entries(&at(key), old, new)?;
         }
     }
     Ok(())
 }
 
-fn entries_kept(path: &str, old: &[Value], new: &[Value]) -> Result<(), ConfigError> {
-    // A hundred thousand tenants may be here: each is looked for once.
+fn check_kept_entries(path: &str, old: &[Value], new: &[Value]) -> Result<(), ConfigError> {
+    // There may be a hundred thousand tenants, so each is looked up once in a map.
     let label = |entry: &Value| entry.get("name").map(Value::to_string);
     let mut running = HashMap::with_capacity(old.len());
     for entry in old {
@@ -179,13 +181,13 @@
         let name = label(entry);
         match running.get(&name) {
             _ if !seen.insert(name.clone()) => {
-                return Err(wrong(path, format!("the name of entry {n} is given twice")));
+                return Err(field_error(path, format!("the name of entry {n} is given twice")));
             }
-            Some(old) => kept(&format!("{path}.{n}"), old, entry)?,
+            Some(old) => check_kept_keys(&format!("{path}.{n}"), old, entry)?,
             None => {
                 for (key, of_first) in common.iter() {
                     let own = entry.get(key.as_str()).unwrap_or(&Value::Null);
-                    kept(&format!("{path}.{n}.{key}"), of_first, own)?;
+                    check_kept_keys(&format!("{path}.{n}.{key}"), of_first, own)?;
                 }
             }
         }
@@ -193,46 +195,48 @@
     Ok(())
 }
 
-/// A file that was taken.
+/// A reloaded configuration that passed all checks.
 pub struct Reload {
-    /// The file, to hold the next one against.
+    /// The file's contents, against which the next file is checked.
     pub file: Value,
-    /// Where discovery answers now.
+    /// New address of discovery.
     pub discovery: SocketAddr,
-    /// The settings, numbered by themselves.
+    /// New settings, with their own class and tenant numbers.
     pub settings: Settings,
-    /// Their names.
+    /// Names of classes, tenants and zones.
     pub names: Names,
-    /// Tells whether two files have the same settings.
+    /// Digest for comparing the settings of two files.
     pub digest: u64,
-    /// The product's own options, which are taken together with the rest.
+    /// Options, applied together with the settings.
     pub options: Options,
 }
 
 impl Reload {
-    /// Reads the file again and holds it against the running one: all of it can be taken, or none is.
+    /// Reads the file again and checks it against the running one.
     ///
     /// # Errors
-    /// It cannot be read, lacks a key that the running one has, or holds what cannot be.
+    /// Returns an error if the file cannot be read, lacks a key of the running one, or has an invalid
+    /// value.
     pub fn read(running: &Value) -> Result<Reload, ConfigError> {
-        Reload::check(running, file()?, Options::load).map_err(ConfigError::of_file)
+        Reload::check(running, read_file()?, Options::load).map_err(ConfigError::with_file_name)
     }
 
-    /// The same of a content.
+    /// Checks the contents of a new file against the running one.
     ///
     /// # Errors
-    /// As above.
+    /// Returns an error if the contents lack a key of the running ones or have an invalid value.
     pub fn check(
         running: &Value,
         file: Value,
         options: impl FnOnce() -> Result<Options, String>,
     ) -> Result<Reload, ConfigError> {
-        kept("", running, &file)?;
-        // The environment is as old as the process: it has no say in this.
+        check_kept_keys("", running, &file)?;
+        // The environment does not change during the life of a process, so the file alone decides on a
+        // reload.
         let discovery =
-            address_of(&file, "discovery", None)?.ok_or_else(|| wrong("discovery", "missing"))?;
+            address_of(&file, "discovery", None)?.ok_or_else(|| field_error("discovery", "missing"))?;
         let Config { settings, names, digest, file, .. } = Config::read(file)?;
-        settings.check().map_err(|e| wrong("settings", e.to_string()))?;
+        settings.check().map_err(|e| field_error("settings", e.to_string()))?;
         let options = options().map_err(ConfigError::Options)?;
         Ok(Reload { file, discovery, settings, names, digest, options })
     }
@@ -242,27 +246,29 @@
     /// Reads the file that `LB_CONFIG` names.
     ///
     /// # Errors
-    /// It cannot be read, lacks what a start needs, or holds what cannot be.
+    /// Returns an error if the file cannot be read, lacks a required field, or has an invalid value.
     pub fn load() -> Result<Config, ConfigError> {
-        let config = Config::read(file()?).map_err(ConfigError::of_file)?;
-        config.settings.check().map_err(|e| wrong("settings", e.to_string()).of_file())?;
+        let config = Config::read(read_file()?).map_err(ConfigError::with_file_name)?;
+        config.settings.check().map_err(|e| field_error("settings", e.to_string()).with_file_name())?;
         Ok(config)
     }
 
-    /// Reads a file's content and the environment.
+    /// Parses the contents of a file and reads the environment.
     ///
     /// # Errors
-    /// As above.
+    /// Returns an error if a required field is missing or a value is invalid.
     pub fn read(mut file: Value) -> Result<Config, ConfigError> {
         let json = &file;
-        let missing = |field: &'static str| move || wrong(field, "missing");
+        let missing = |field: &'static str| move || field_error(field, "missing");
         let listen = address_of(json, "listen", Some("LB_LISTEN"))?.ok_or_else(missing("listen"))?;
         let discovery =
             address_of(json, "discovery", Some("LB_DISCOVERY"))?.ok_or_else(missing("discovery"))?;
         let seed = match json.get("seed") {
-            Some(Value::Number(n)) => n.as_u64().ok_or_else(|| wrong("seed", "not a whole number"))?,
+            Some(Value::Number(n)) => {
+                n.as_u64().ok_or_else(|| field_error("seed", "not a whole number"))?
+            }
             Some(Value::String(s)) => u64::from_str_radix(s, 16).unwrap_or_else(|_| wire::stable_hash(s)),
-            _ => return Err(wrong("seed", "missing or not a text")),
+            _ => return Err(field_error("seed", "missing or not a text")),
         };
         let sockets = limit(json, "sockets", 1024)?;
         let memory = limit(json, "memory_mb", 192)?.saturating_mul(1024 * 1024);
@@ -273,7 +279,7 @@
                 .enumerate()
                 .map(|(n, v)| address(&format!("peers[{n}]"), v.as_str().unwrap_or_default()))
                 .collect::<Result<_, _>>()?,
-            Some(_) => return Err(wrong("peers", "not a list")),
+            Some(_) => return Err(field_error("peers", "not a list")),
         };
         let settings = json.get("settings").ok_or_else(missing("settings"))?;
         let content = settings.to_string();
@@ -283,7 +289,7 @@
         let operator = address_of(json, "operator", Some("LB_OPERATOR"))?;
         let (peer_listen, peers_all) =
             (address_of(json, "peer_listen", None)?, address_of(json, "peers_all", None)?);
-        // It may be long, and is of no use once it was read.
+        // The list may be long and is not needed after parsing.
         let empty = Value::Object(serde_json::Map::new());
         let known = file.get_mut("known").map(|known| std::mem::replace(known, empty)).unwrap_or_default();
         Ok(Config {
@@ -335,7 +341,7 @@
     }
 
     #[test]
-    fn a_file_that_can_be_taken_is_taken_whole() {
+    fn a_valid_file_is_applied_completely() {
         let new = taken(|f| {
             f["discovery"] = "127.0.0.1:9".into();
             f["known"] = json!({"rev": 7});
@@ -352,7 +358,7 @@
     }
 
     #[test]
-    fn a_file_that_lacks_a_key_or_a_number_is_turned_down() {
+    fn a_file_with_missing_or_invalid_values_is_rejected() {
         let classes = |f: &mut Value, v: Value| f["settings"]["classes"][0]["hardLimitMs"] = v;
         let attempts = |f: &mut Value, v: Value| f["settings"]["limits"]["attemptsCap"] = v;
         for v in [json!(null), json!(0), json!(-1), json!("900"), json!([]), json!({})] {
@@ -390,12 +396,12 @@
         );
         assert!(
             taken(|f| f["settings"]["classes"][1]["name"] = "page".into()).is_err(),
-            "a name given twice"
+            "a duplicate name"
         );
         assert!(taken(|f| f["settings"]["classes"] = json!([])).is_err(), "no class at all");
         assert!(taken(|f| f["discovery"] = "nowhere".into()).is_err());
-        for not_even in [json!(null), json!([]), json!("x"), json!(5)] {
-            assert!(taken(|f| *f = not_even.clone()).is_err(), "{not_even}");
+        for not_an_object in [json!(null), json!([]), json!("x"), json!(5)] {
+            assert!(taken(|f| *f = not_an_object.clone()).is_err(), "{not_an_object}");
         }
     }
 }
