--- a/src/bin/daleturn-sim.rs
+++ b/src/bin/daleturn-sim.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the balancer on the bench's wire: standard input to standard output. Instances share nothing.
+//! Runs balancer instances for the simulator, which sends events on standard input and reads actions from
+//! standard output. Instances share nothing.
 
 use daleturn::Balancer;
 use daleturn::interface::{Action, Event, ListKind};
@@ -14,22 +15,22 @@
 }
 
 #[derive(Default)]
-struct Host {
+struct Simulation {
     instances: BTreeMap<u64, Instance>,
     actions: Vec<Action>,
     reply: String,
 }
 
-impl Host {
-    fn feed(&mut self, who: u64, now: f64, event: Event) {
-        let Some(instance) = self.instances.get_mut(&who) else { return };
+impl Simulation {
+    fn feed(&mut self, instance_id: u64, now: f64, event: Event) {
+        let Some(instance) = self.instances.get_mut(&instance_id) else { return };
         instance.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            instance.names.action(who, &action, &mut self.reply);
+            instance.names.action(instance_id, &action, &mut self.reply);
         }
     }
 
-    /// Takes one line of a batch; `entry` reads the next line, for lists.
+    /// Handles one line of a batch. `entry` reads the next line, for the entries of a list.
     fn line(
         &mut self,
         now: f64,
@@ -37,16 +38,16 @@
         entry: &mut dyn FnMut() -> Result<String, Box<dyn Error>>,
     ) -> Result<(), Box<dyn Error>> {
         let line = Line::parse(text)?;
-        let who = line.required_u64("who")?;
+        let instance_id = line.required_u64("who")?;
         match line.name {
             "provision" => {
                 let (settings, names) = settings(line.required("config")?)?;
                 let balancer = Balancer::new(settings, line.required_u64("prng")?)?;
-                self.instances.insert(who, Instance { names, balancer });
-                self.feed(who, now, Event::Start);
+                self.instances.insert(instance_id, Instance { names, balancer });
+                self.feed(instance_id, now, Event::Start);
             }
             "shutdown" => {
-                self.instances.remove(&who);
+                self.instances.remove(&instance_id);
             }
             "update" => {
                 let kind = list_kind(line.required("form")?)?;
@@ -60,16 +61,16 @@
                             format!("field elements: {count} announced, then {:?}", parsed.name).into()
                         );
                     }
-                    if let Some(instance) = self.instances.get_mut(&who) {
+                    if let Some(instance) = self.instances.get_mut(&instance_id) {
                         entries.push(instance.names.entry(&parsed)?);
                     }
                 }
-                self.feed(who, now, Event::List { kind, entries });
+                self.feed(instance_id, now, Event::List { kind, entries });
             }
             _ => {
-                if let Some(instance) = self.instances.get_mut(&who) {
+                if let Some(instance) = self.instances.get_mut(&instance_id) {
                     let event = instance.names.event(&line)?;
-                    self.feed(who, now, event);
+                    self.feed(instance_id, now, event);
                 }
             }
         }
@@ -80,7 +81,7 @@
 fn run() -> Result<(), Box<dyn Error>> {
     let mut input = std::io::stdin().lock();
     let mut output = std::io::stdout().lock();
-    let mut host = Host::default();
+    let mut simulation = Simulation::default();
     let mut now = 0.0;
     let mut line = String::new();
     let mut number = 0_u64;
@@ -104,13 +105,13 @@
                 None => Err("field wallMs: missing or not a number".into()),
             }
         } else if text == "eof_batch" {
-            host.reply.push_str("end\n");
-            output.write_all(host.reply.as_bytes())?;
+            simulation.reply.push_str("end\n");
+            output.write_all(simulation.reply.as_bytes())?;
             output.flush()?;
-            host.reply.clear();
+            simulation.reply.clear();
             Ok(())
         } else {
-            host.line(now, text, &mut || {
+            simulation.line(now, text, &mut || {
                 let mut next = String::new();
                 taken += 1;
                 if input.read_line(&mut next)? == 0 {
--- a/src/files.rs
+++ b/src/files.rs
@@ -1,33 +1,34 @@
-//! Reading a configuration file: a regular one, of bounded length, in UTF-8; anything else is told apart.
+//! Reads configuration files: regular files of limited size in UTF-8.
 
 use std::fs::File;
 use std::io::Read;
 use std::path::Path;
 use thiserror::Error;
 
-/// Why a file cannot be read as text.
+/// Error of reading a text file.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// The system says why.
+    /// Error of the operating system.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// A directory, a pipe, a device: one that somebody has to write first would be waited for.
+    /// Not a regular file. Reading a pipe, for example, would wait for its writer.
     #[error("not a file")]
     Kind,
-    /// It is over the limit, in bytes.
+    /// The file exceeds this limit, in bytes.
     #[error("longer than {0} bytes")]
     Long(u64),
-    /// It holds no text.
+    /// This line is not valid UTF-8.
     #[error("line {0}: not UTF-8")]
     Text(usize),
 }
 
-/// Reads a whole file of at most `limit` bytes.
+/// Reads a text file of at most `limit` bytes.
 ///
 /// # Errors
-/// It is absent, no regular file, longer, or not UTF-8.
+/// Returns an error if the file is missing, is not a regular file, exceeds the limit, or is not valid
+/// UTF-8.
 pub fn read_text(path: &Path, limit: u64) -> Result<String, FileError> {
-    // Before it is opened: opening a pipe waits for its writer.
+    // Checked before opening, because opening a pipe waits for its writer.
     if !std::fs::metadata(path)?.is_file() {
         return Err(FileError::Kind);
     }
@@ -47,7 +48,7 @@
     use super::*;
 
     #[test]
-    fn only_a_regular_file_of_bounded_length_in_utf_8_is_read() {
+    fn only_regular_utf_8_files_within_the_limit_are_read() {
         let dir = std::env::temp_dir().join(format!("daleturn-files-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let path = dir.join("file");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of an HTTP load balancer that runs as a small bank of proxies.
+//! Decision logic of an HTTP load balancer that runs as a small group of proxies.
 //!
-//! [`Balancer`] is a state machine without I/O, clock, threads or globals: a host tells it what happened
-//! ([`interface::Event`]) and when, and carries out the [`interface::Action`]s it gets back. Nodes share nothing;
-//! the same seed and events give the same actions. How it decides is told in `docs/design.md`.
+//! [`Balancer`] is a state machine without I/O, clock, threads or globals: the host program passes it events
+//! ([`interface::Event`]) with their times, and performs the [`interface::Action`]s that it returns. Instances share
+//! nothing; the same seed and events give the same actions. `docs/design.md` describes the algorithms.
 //!
 //! ```
 //! use daleturn::Balancer;
@@ -10,7 +10,7 @@
 //!     Action, BackendId, AttemptEnded, ListEntry, Event, Health, ListKind, Outcome, Request, RequestId,
 //! };
 //!
-//! // Settings can be built by hand; the codec reads them from JSON and fills in defaults.
+//! // The codec parses settings from JSON and fills in defaults.
 //! let text = r#"{"classes": [{"name": "page", "semantics": "idempotent", "objectiveMs": 300, "hardLimitMs": 900}],
 //!                "rules": {"coldMs": 20000, "startCapacity": 0.2, "fallMultiple": 3, "fallMs": 2000}}"#;
 //! let (settings, _names) = daleturn::wire::settings(text)?;
@@ -18,7 +18,7 @@
 //! let mut actions = Vec::new();
 //! balancer.handle(0.0, Event::Start, &mut actions);
 //!
-//! // The list names one backend, up for a long time.
+//! // The list contains one backend, which has been up for a long time.
 //! let backend = BackendId(42);
 //! let entry = ListEntry { backend, zone: 0, cell: 0, health: Health::Up, units: 1.0, ready_at_ms: 0.0 };
 //! balancer.handle(0.0, Event::List { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
@@ -32,7 +32,7 @@
 //! balancer.handle(10.0, Event::Request(request), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { id: RequestId(1), backend: BackendId(42), .. }));
 //!
-//! // The answer reaches the client by itself: nothing is left to do.
+//! // The host forwards the response to the client; the balancer has nothing left to do.
 //! actions.clear();
 //! balancer.handle(60.0, Event::AttemptEnded(AttemptEnded {
 //!     id, attempt: 0, backend, outcome: Outcome::Done, last: true, elapsed_ms: 50.0, load: Default::default(),
@@ -58,7 +58,7 @@
 
 pub use policy::Balancer;
 
-/// The README's example is a test too.
+/// Compiles and runs the example of the README as a test.
 #[doc = include_str!("../README.md")]
 #[cfg(doctest)]
 pub struct Readme;
--- a/src/tomlfile.rs
+++ b/src/tomlfile.rs
@@ -1,4 +1,4 @@
-//! TOML read into a type, with errors that name the line and the key.
+//! Reads TOML files into types, with errors that name the line and the key.
 
 use crate::files::FileError;
 use serde::Serialize;
@@ -7,50 +7,53 @@
 use thiserror::Error;
 use toml::de::{DeTable, DeValue};
 
-/// Why a file is not taken.
+/// Error of reading a TOML file.
 #[derive(Debug, Error)]
 pub enum TomlError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     File(#[from] FileError),
-    /// It is no TOML, or says what cannot be.
+    /// The contents are not valid TOML, or a key or value is invalid.
     #[error("line {line}: {}{reason}", if .key.is_empty() { String::new() } else { format!("{key}: ") })]
     Content {
-        /// Where.
+        /// Line number, starting at 1.
         line: usize,
-        /// At which key, as far as that was reached.
+        /// Dotted path of the key, as far as it is known.
         key: String,
-        /// Why.
+        /// Reason.
         reason: String,
     },
 }
 
-/// The line, from 1, of the byte at `at`.
+/// Returns the line number, starting at 1, of the byte at offset `at`.
 pub fn line(text: &str, at: usize) -> usize {
     text.get(..at).unwrap_or_default().matches('\n').count() + 1
 }
 
-/// Reads a text. The type refuses unknown keys by itself; its default shows where tables belong.
+/// Parses a text. The type must reject unknown keys itself; its default value determines which keys are
+/// tables.
 ///
 /// # Errors
-/// It is no TOML, has a key that nobody knows or one of another type or range.
+/// Returns an error if the text is not valid TOML, or has an unknown key or a value of the wrong type or
+/// range.
 pub fn parse<T: DeserializeOwned + Serialize + Default>(text: &str) -> Result<T, TomlError> {
-    let wrong = |key: String, e: &toml::de::Error| {
+    let content_error = |key: String, e: &toml::de::Error| {
         let reason = e.message().split_whitespace().collect::<Vec<_>>().join(" ");
         let key = if key == "." { String::new() } else { key };
         TomlError::Content { line: line(text, e.span().map_or(0, |s| s.start)), key, reason }
     };
-    let parsed = DeTable::parse(text).map_err(|e| wrong(String::new(), &e))?;
+    let parsed = DeTable::parse(text).map_err(|e| content_error(String::new(), &e))?;
     let known = toml::Table::try_from(T::default()).unwrap_or_default();
     if let Some((span, key)) = not_a_table("", parsed.get_ref(), &known) {
         let line = line(text, span.start);
         return Err(TomlError::Content { line, key, reason: "not a table".to_owned() });
     }
     let content = toml::Deserializer::from(parsed);
-    serde_path_to_error::deserialize(content).map_err(|e| wrong(e.path().to_string(), e.inner()))
+    serde_path_to_error::deserialize(content).map_err(|e| content_error(e.path().to_string(), e.inner()))
 }
 
-/// The first key that holds something else where a table belongs: an array would be read as its values in turn.
+/// Returns the first key that should hold a table and does not. Without this check an array would be
+/// deserialized as the fields of a struct, in order.
 fn not_a_table(at: &str, content: &DeTable<'_>, known: &toml::Table) -> Option<(Range<usize>, String)> {
     content.iter().find_map(|(key, value)| {
         let known = known.get(key.get_ref().as_ref())?.as_table()?;
