--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -61,6 +61,7 @@
         self.start_ms + at.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
+    /// Converts milliseconds since 1970 to an instant.
     fn instant(&self, at_ms: f64) -> Instant {
         self.start + Duration::from_secs_f64(((at_ms - self.start_ms) / 1000.0).clamp(0.0, 1e9))
     }
@@ -191,10 +192,12 @@
     Duration::from_secs(options.stats.window_s.into())
 }
 
+/// Returns the path of probes: a load report where backends provide one, otherwise a liveness check.
 fn probe_path(settings: &Settings) -> &'static str {
     if settings.reporting == Reporting::None { "/alive" } else { "/metrics/load" }
 }
 
+/// Request without an answer, or with attempts that are still in flight.
 struct OpenRequest {
     /// Settings by which the request's class number was assigned.
     active: Rc<ActiveSettings>,
@@ -307,6 +310,7 @@
     Unstored(#[from] std::io::Error),
 }
 
+/// Address of a backend that is or was up, with the state for which it was listed.
 struct BackendAddress {
     address: SocketAddr,
     is_up: bool,
@@ -317,6 +321,7 @@
 /// Maximum number of backends named in one log event; the event also carries the total count.
 const MAX_NAMES_PER_EVENT: usize = 8;
 
+/// State that is borrowed while an input is handled.
 struct Core {
     balancer: Balancer,
     stats: Stats,
@@ -465,9 +470,9 @@
 
     /// Returns the entries of a response that remove backends. With `omissions`, a full list also removes
     /// the backends that it does not contain.
-    pub fn departures(&self, lines: &ListContent, omissions: bool) -> Vec<Target> {
+    pub fn departures(&self, content: &ListContent, omissions: bool) -> Vec<Target> {
         let core = self.core.borrow();
-        match lines {
+        match content {
             ListContent::Entries(lines) => core.subset.departures(lines, omissions),
             ListContent::Catalog(catalog, _) => core.subset.departures(catalog.lines(), omissions),
             ListContent::Unchanged => Vec::new(),
@@ -650,8 +655,8 @@
         self.core.borrow_mut().zones = Some(Zones::new(self.clock.now_ms(), home_zone, cold_ms));
     }
 
-    /// Updates the zone health checks and returns the zones that changed. `words` returns how many other
-    /// nodes report a zone as lost; `others` is true if any other node is reachable.
+    /// Updates the zone health checks and returns the zones that changed. `peer_reports` returns how
+    /// many other nodes report a zone as lost; `others` is true if any other node is reachable.
     pub fn update_zones(&self, others: bool, peer_reports: impl Fn(u16) -> usize) -> Vec<ZoneChange> {
         let core = &mut *self.core.borrow_mut();
         let Some(zones) = &mut core.zones else { return Vec::new() };
@@ -701,14 +706,14 @@
         let left =
             snapshot.backends.iter().filter(|b| b.up && b.trial_at_ms.is_none() && !left_out(b)).count();
         let asked = core.request_counts.1.iter().copied().max().unwrap_or(0);
-        let each = snapshot.warm_rate * WARM_HEADROOM;
-        if left > 0 && f64::from(asked) <= each * left as f64 {
+        let per_backend = snapshot.warm_rate * WARM_HEADROOM;
+        if left > 0 && f64::from(asked) <= per_backend * left as f64 {
             return Ok(());
         }
         Err(format!(
             "nothing changed: {left} backends would be left, known to serve {:.0} a second for this node, and {asked} are \
              asked; --force does it all the same",
-            each * left as f64
+            per_backend * left as f64
         ))
     }
 
@@ -788,6 +793,7 @@
         Ok(format!("{uid} {}", if was_out { "is back" } else { "was not out" }))
     }
 
+    /// Returns the ID of a backend that is listed or cordoned.
     fn find_known(&self, uid: &str) -> Result<BackendId, CordonError> {
         let id = BackendId(stable_hash(uid));
         let core = self.core.borrow();
@@ -828,10 +834,12 @@
         }
     }
 
+    /// Queues an input that arises while an action is performed.
     fn enqueue(&self, input: Input) {
         self.pending_inputs.borrow_mut().push_back(input);
     }
 
+    /// Performs an action of the balancer.
     fn perform(self: &Rc<Self>, core: &mut Core, action: Action) {
         match action {
             Action::Send { id, backend, timeout_ms } => self.send(core, id, backend, timeout_ms),
@@ -870,11 +878,13 @@
                     sink(found, start);
                 }
             }
+            // The receiver is gone while the node is stopping.
             Action::Watch(on) => drop(self.watch_requests.send(on)),
             Action::Log(note) => log_note(core, &note),
         }
     }
 
+    /// Starts an attempt; the end of its task reports the result.
     fn send(self: &Rc<Self>, core: &mut Core, id: RequestId, backend: BackendId, timeout_ms: f64) {
         let Some(open) = core.open_requests.get_mut(&id) else { return };
         let attempt = u32::try_from(open.attempts.len()).unwrap_or(u32::MAX);
@@ -905,7 +915,7 @@
             AttemptSpec { backend, address: known.address, forwarded: open.forwarded.clone(), timeout };
         let driver = self.clone();
         spawn_local(async move {
-            let bars = || driver.bars(&spec, id, attempt);
+            let before_send = || driver.check_attempt(&spec, id, attempt);
             let started = |response, took: Duration| {
                 let elapsed_ms = took.as_secs_f64() * 1000.0;
                 driver.handle(Input::ResponseStarted {
@@ -919,7 +929,7 @@
             let (result, conn) = tokio::select! {
                 biased;
                 _ = &mut cancelled => (Outcome::Cancelled.into(), None),
-                end = driver.upstream.attempt(&spec, bars, started) => end,
+                end = driver.upstream.attempt(&spec, before_send, started) => end,
             };
             if let (Some(took), Some(_)) = (result.took, &result.response) {
                 let elapsed_ms = took.as_secs_f64() * 1000.0;
@@ -939,7 +949,7 @@
     }
 
     /// Final check before an attempt is sent. Returns the outcome if it must not be sent.
-    fn bars(&self, spec: &AttemptSpec, id: RequestId, attempt: u32) -> Option<Outcome> {
+    fn check_attempt(&self, spec: &AttemptSpec, id: RequestId, attempt: u32) -> Option<Outcome> {
         self.check_address(spec.backend, spec.address)
             .or_else(|| self.core.borrow().balancer.check_before_send(self.clock.now_ms(), id, attempt))
     }
@@ -951,6 +961,7 @@
         (!is_current).then_some(Outcome::NotConnected)
     }
 
+    /// Starts a probe of a backend.
     fn probe(self: &Rc<Self>, core: &Core, backend: BackendId) {
         let Some(address) = core.addresses.get(&backend).map(|p| p.address) else {
             self.enqueue(Input::ProbeEnded(backend, Outcome::NotConnected.into(), 0.0));
@@ -959,9 +970,9 @@
         let driver = self.clone();
         let started_at = Instant::now();
         spawn_local(async move {
-            let bars = || driver.check_address(backend, address);
+            let before_send = || driver.check_address(backend, address);
             let (result, conn) =
-                driver.upstream.probe(backend, address, driver.probe_path.get(), bars).await;
+                driver.upstream.probe(backend, address, driver.probe_path.get(), before_send).await;
             driver.handle(Input::ProbeEnded(backend, result, started_at.elapsed().as_secs_f64() * 1000.0));
             driver.keep_connection(backend, address, conn);
         });
@@ -1014,15 +1025,15 @@
             }
             Input::Cordons(cordoned) => {
                 let before = std::mem::replace(&mut self.cordoned, cordoned);
-                let moved = self.listed.values().filter(|t| {
+                let changed = self.listed.values().filter(|t| {
                     let id = &t.entry.backend;
                     before.contains_key(id) != self.cordoned.contains_key(id)
                 });
-                let moved: Vec<Target> = moved.cloned().collect();
-                if moved.is_empty() {
+                let changed: Vec<Target> = changed.cloned().collect();
+                if changed.is_empty() {
                     return None;
                 }
-                self.list_event(now, ListKind::Changes, moved, upstream)
+                self.list_event(now, ListKind::Changes, changed, upstream)
             }
             Input::RequestArrived(request, active, forwarded, response_sender) => {
                 let (attempts, finished_attempts) = (Vec::new(), Vec::new());
@@ -1100,8 +1111,8 @@
         })
     }
 
-    /// Sends the answer to a request and records the result. `left` is true if the client left, rather than
-    /// the balancer having failed the request.
+    /// Sends the answer to a request and records the result. `client_left` is true if the client left, rather
+    /// than the balancer having failed the request.
     fn send_answer(&mut self, id: RequestId, answer: Answer, client_left: bool) {
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         if let Some(response_sender) = open.response_sender.take() {
@@ -1150,6 +1161,7 @@
         }
     }
 
+    /// Updates the listed backends and drops the statistics of those that are no longer listed.
     fn update_listed(&mut self, kind: ListKind, targets: &[Target]) {
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             self.listed.clear();
@@ -1189,6 +1201,7 @@
         Event::List { kind, entries: entries.collect() }
     }
 
+    /// Updates the addresses of backends and closes idle connections that became useless.
     fn update_addresses(&mut self, kind: ListKind, targets: &[Target], upstream: &Upstream) {
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             // Backends that a full list omits have left.
--- a/src/node/upstream.rs
+++ b/src/node/upstream.rs
@@ -42,7 +42,9 @@
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Header that tells a backend how long this node will wait, in milliseconds.
 pub const EXPIRES_HEADER: &str = "x-expires-in-ms";
+/// Header by which a backend states that it did not process the request.
 const NEVER_RAN_HEADER: &str = "x-never-ran";
+/// Header with a load report.
 const LOAD_HEADER: &str = "endpoint-load-metrics";
 /// Fraction of the backend's idle timeout after which this node closes an idle connection. A request that
 /// crosses the backend's close may have been processed, so a non-idempotent request would be lost.
@@ -216,6 +218,7 @@
     }
 }
 
+/// Connection without a request.
 struct Idle {
     conn: HttpConnection,
     since: Instant,
@@ -253,8 +256,8 @@
 pub struct Upstream {
     idle: RefCell<HashMap<BackendId, Vec<Idle>>>,
     descriptors: Rc<Descriptors>,
-    connect_limit: Cell<Duration>,
-    idle_limit: Cell<Duration>,
+    connect_timeout: Cell<Duration>,
+    idle_timeout: Cell<Duration>,
     /// Slots for streamed transfers.
     pub transfer_slots: Rc<TransferSlots>,
 }
@@ -279,8 +282,8 @@
         let upstream = Rc::new(Upstream {
             idle: RefCell::default(),
             descriptors: descriptors.clone(),
-            connect_limit: Cell::new(duration_from_ms(connect_timeout_ms)),
-            idle_limit: Cell::new(duration_from_ms(conn_idle_ms * IDLE_FRACTION)),
+            connect_timeout: Cell::new(duration_from_ms(connect_timeout_ms)),
+            idle_timeout: Cell::new(duration_from_ms(conn_idle_ms * IDLE_FRACTION)),
             transfer_slots: TransferSlots::new(memory),
         });
         let weak = Rc::downgrade(&upstream);
@@ -290,8 +293,8 @@
 
     /// Applies the timeouts of new settings.
     pub fn apply_timeouts(&self, connect_timeout_ms: f64, conn_idle_ms: f64) {
-        self.connect_limit.set(duration_from_ms(connect_timeout_ms));
-        self.idle_limit.set(duration_from_ms(conn_idle_ms * IDLE_FRACTION));
+        self.connect_timeout.set(duration_from_ms(connect_timeout_ms));
+        self.idle_timeout.set(duration_from_ms(conn_idle_ms * IDLE_FRACTION));
     }
 
     /// Closes the idle connections to a backend.
@@ -309,6 +312,7 @@
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
+    /// Closes the connection that has been idle longest. Returns false if there is none.
     fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.values_mut().filter(|v| !v.is_empty()).min_by_key(|v| v.first().map(|i| i.since));
@@ -319,24 +323,25 @@
     /// Closes connections that have been idle for too long or that the backend has closed.
     pub fn close_expired(&self) {
         for list in self.idle.borrow_mut().values_mut() {
-            list.retain(|i| i.since.elapsed() < self.idle_limit.get() && i.conn.is_reusable());
+            list.retain(|i| i.since.elapsed() < self.idle_timeout.get() && i.conn.is_reusable());
         }
     }
 
+    /// Takes an idle connection to a backend that can be reused, if there is one.
     fn take_idle(&self, backend: BackendId) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&backend)?;
         loop {
             // Take the most recent connection that was idle for long enough, so that the others age and are
             // closed; otherwise the one that has been idle longest.
-            let rested = list.iter().rposition(|i| i.since.elapsed() >= MIN_IDLE_BEFORE_REUSE).unwrap_or(0);
+            let index = list.iter().rposition(|i| i.since.elapsed() >= MIN_IDLE_BEFORE_REUSE).unwrap_or(0);
             if list.is_empty() {
                 return None;
             }
-            let Idle { conn, since } = list.remove(rested);
+            let Idle { conn, since } = list.remove(index);
             // Check again: the periodic check may be late, and the backend may have closed the connection
             // since.
-            if since.elapsed() < self.idle_limit.get() && conn.is_reusable() {
+            if since.elapsed() < self.idle_timeout.get() && conn.is_reusable() {
                 return Some(conn);
             }
         }
@@ -370,8 +375,9 @@
         before_send().map_or(Ok(conn), Err)
     }
 
+    /// Opens a connection within the connect timeout, and by `until` at the latest.
     async fn connect(&self, address: SocketAddr, until: Instant) -> Result<HttpConnection, Outcome> {
-        let limit = || self.connect_limit.get().min(until.saturating_duration_since(Instant::now()));
+        let limit = || self.connect_timeout.get().min(until.saturating_duration_since(Instant::now()));
         let slot = tokio::time::timeout(limit(), self.descriptors.take()).await;
         let slot = slot.map_err(|_| Outcome::Skipped)?;
         match tokio::time::timeout(limit(), HttpConnection::open(address, slot)).await {
@@ -597,6 +603,7 @@
 }
 
 impl ForwardedRequest {
+    /// Builds the HTTP request, with the remaining time in its headers.
     fn to_http(&self, address: SocketAddr, remaining: Duration) -> Request<RequestBody> {
         let mut request = Request::new(match &self.upload {
             None => RequestBody::whole(self.body.clone()),
@@ -617,6 +624,7 @@
     }
 }
 
+/// Parses the load report in the headers of a response.
 fn load_of(head: &Parts) -> Load {
     let report = head.headers.get(LOAD_HEADER).and_then(|v| v.to_str().ok());
     report.map(wire::load_report).unwrap_or_default()
