--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -54,7 +54,7 @@
         let context = Rc::new(CallContext {
             current_settings: self.current_settings.clone(),
             descriptors: self.descriptors.clone(),
-            seen: None.into(),
+            known_list: None.into(),
         });
         let mut list = DiscoveryList {
             list_sync: self.list_sync,
@@ -62,7 +62,7 @@
             context,
             failures: Failures::default(),
             departures: Departures::default(),
-            next_try: None,
+            next_parallel: None,
             driver,
         };
         loop {
@@ -97,7 +97,7 @@
     departures: Departures,
     /// Time at which the current call is repeated in parallel, and the interval of further repeats, in
     /// milliseconds.
-    next_try: Option<(f64, f64)>,
+    next_parallel: Option<(f64, f64)>,
     driver: Rc<Driver>,
 }
 
@@ -115,7 +115,8 @@
             NextStep::Pause(ms) => Some(ms),
             NextStep::Call(call) => {
                 self.calls.begin(call);
-                self.next_try = call.parallel_interval_ms.map(|try_ms| (now + try_ms, try_ms));
+                self.next_parallel =
+                    call.parallel_interval_ms.map(|interval_ms| (now + interval_ms, interval_ms));
                 call.parallel_interval_ms
             }
         }
@@ -124,15 +125,15 @@
     /// Repeats the current call in parallel if that is due. A parallel call that fails early is not
     /// repeated earlier.
     fn retry_in_parallel(&mut self, current: &ListCall) -> Option<f64> {
-        let (at, try_ms) = self.next_try?;
+        let (at, interval_ms) = self.next_parallel?;
         let now = self.driver.clock.now_ms();
         if now < at {
             return Some(at - now);
         }
         let call = self.list_sync.parallel_call(now, current);
         self.calls.begin_parallel(call);
-        self.next_try = Some((now + try_ms, try_ms));
-        Some(try_ms)
+        self.next_parallel = Some((now + interval_ms, interval_ms));
+        Some(interval_ms)
     }
 
     /// Switches to another discovery address. A response from the old address may still be in transit.
@@ -142,6 +143,7 @@
         log_event!(INFO, "discovery", %at, ?how, replaced_calls = self.calls.count(), "discovery.moved");
     }
 
+    /// Handles the progress of a call.
     async fn handle(&mut self, progress: Progress) {
         match progress {
             Progress::TimedOut(call) => {
@@ -151,14 +153,14 @@
             }
             Progress::Ended(mut ended) => {
                 let is_parallel = self.calls.is_parallel_call(&ended.call);
-                let current = self.calls.ended(&mut ended);
-                let CallEnded { call, compared, answer, .. } = *ended;
-                let answer = answer.and_then(|listing| self.check_unchanged(listing, compared));
-                match answer {
-                    Ok(listing) if current => self.handle_response(&call, listing).await,
-                    Ok(listing) => self.handle_late_response(&call, is_parallel, listing).await,
-                    Err(e) if current && e.is::<ListTooLong>() => self.record_too_long(),
-                    Err(e) if current => self.record_failure(&call, &e.to_string()),
+                let is_current = self.calls.ended(&mut ended);
+                let CallEnded { call, compared, result, .. } = *ended;
+                let result = result.and_then(|parsed| self.check_unchanged(parsed, compared));
+                match result {
+                    Ok(parsed) if is_current => self.handle_response(&call, parsed).await,
+                    Ok(parsed) => self.handle_late_response(&call, is_parallel, parsed).await,
+                    Err(e) if is_current && e.is::<ListTooLong>() => self.record_too_long(),
+                    Err(e) if is_current => self.record_failure(&call, &e.to_string()),
                     // This call is already counted as failed, or another call will be.
                     Err(_) => {}
                 }
@@ -169,38 +171,39 @@
     /// "Unchanged" refers to the list at the time of the call, so it is an error once the list has changed.
     fn check_unchanged(
         &self,
-        listing: ParsedList,
+        parsed: ParsedList,
         compared: Option<KnownList>,
     ) -> Result<ParsedList, Box<dyn std::error::Error>> {
-        match listing.content {
-            ListContent::Unchanged if compared != self.context.seen.get() => {
+        match parsed.content {
+            ListContent::Unchanged if compared != self.context.known_list.get() => {
                 Err("the list has changed while its answer was read".into())
             }
-            _ => Ok(listing),
+            _ => Ok(parsed),
         }
     }
 
-    async fn handle_response(&mut self, call: &ListCall, listing: ParsedList) {
+    /// Handles the response to the current call.
+    async fn handle_response(&mut self, call: &ListCall, parsed: ParsedList) {
         let now = self.driver.clock.now_ms();
-        self.record_response(now, call, &listing);
+        self.record_response(now, call, &parsed);
         // In on-request mode a response without changes counts too: the call did not fail.
-        if self.list_sync.answered(now, call, list_response(&listing)) {
-            self.apply(call, listing).await;
+        if self.list_sync.answered(now, call, list_response(&parsed)) {
+            self.apply(call, parsed).await;
         } else {
-            self.apply_departures(listing, false).await;
+            self.apply_departures(parsed, false).await;
         }
     }
 
     /// Handles a late response. `is_parallel`: the call was made in parallel to another one, so being replaced
     /// does not make it late.
-    async fn handle_late_response(&mut self, call: &ListCall, is_parallel: bool, listing: ParsedList) {
+    async fn handle_late_response(&mut self, call: &ListCall, is_parallel: bool, parsed: ParsedList) {
         let now = self.driver.clock.now_ms();
-        let late = self.list_sync.answered_late(now, call, list_response(&listing));
+        let late = self.list_sync.answered_late(now, call, list_response(&parsed));
         if late == LateAnswer::Outdated {
             return;
         }
         if !is_parallel {
-            let ParsedList { rev: version, all, entries, .. } = listing;
+            let ParsedList { rev: version, all, entries, .. } = parsed;
             let (number, after_ms) = (call.number(), call.elapsed_ms(now));
             log_event!(
                 INFO,
@@ -223,19 +226,19 @@
                     self.failures.record(now, &current, self.calls.tries(), false, reason);
                 }
                 self.calls.replace();
-                self.record_response(now, call, &listing);
-                self.apply(call, listing).await;
+                self.record_response(now, call, &parsed);
+                self.apply(call, parsed).await;
             }
-            LateAnswer::Departures { omissions } => self.apply_departures(listing, omissions).await,
+            LateAnswer::Departures { omissions } => self.apply_departures(parsed, omissions).await,
         }
     }
 
     /// Records a response that is not older than the known list.
-    fn record_response(&mut self, now: f64, call: &ListCall, listing: &ParsedList) {
+    fn record_response(&mut self, now: f64, call: &ListCall, parsed: &ParsedList) {
         self.failures.reset();
-        listing.log_skipped();
-        if listing.entries > 0 {
-            let ParsedList { rev: version, all, entries, .. } = *listing;
+        parsed.log_skipped();
+        if parsed.entries > 0 {
+            let ParsedList { rev: version, all, entries, .. } = *parsed;
             let (number, after_ms) = (call.number(), call.elapsed_ms(now));
             log_event!(
                 INFO,
@@ -251,47 +254,47 @@
     }
 
     /// Applies a complete response.
-    async fn apply(&mut self, call: &ListCall, listing: ParsedList) {
+    async fn apply(&mut self, call: &ListCall, parsed: ParsedList) {
         self.driver.set_list_version(self.list_sync.version());
-        let ParsedList { all, entries, skipped, mut content, .. } = listing;
-        let kept_out = match &mut content {
+        let ParsedList { all, entries, skipped, mut content, .. } = parsed;
+        let has_excluded = match &mut content {
             ListContent::Entries(content) => self.departures.exclude_departed(call.number(), content),
             ListContent::Catalog(catalog, _) => {
                 self.departures.exclude_departed_from(call.number(), catalog)
             }
             ListContent::Unchanged => false,
         };
-        if kept_out {
+        if has_excluded {
             self.confirm_departures();
         }
         let generation = self.context.current_settings.get().generation;
-        let seen = match content {
+        let known_list = match content {
             ListContent::Catalog(_, digest) if skipped == 0 => {
                 Some(KnownList { digest, entries, generation })
             }
-            ListContent::Unchanged => self.context.seen.get(),
+            ListContent::Unchanged => self.context.known_list.get(),
             // A response without changes leaves the list as it is.
-            ListContent::Entries(_) if entries == 0 && !all => self.context.seen.get(),
+            ListContent::Entries(_) if entries == 0 && !all => self.context.known_list.get(),
             _ => None,
         };
-        self.context.seen.set(seen);
+        self.context.known_list.set(known_list);
         let kind = if all { ListKind::Full } else { ListKind::Changes };
-        apply_lines(&self.driver, kind, content).await;
+        apply_content(&self.driver, kind, content).await;
         self.driver.list_received();
     }
 
     /// Applies only the departures of an outdated response: a backend counts as reported gone from the
     /// moment the response was written, whatever has been asked since. With `omissions`, backends that a
     /// full list omits have left too.
-    async fn apply_departures(&mut self, listing: ParsedList, omissions: bool) {
-        let departures = self.driver.departures(&listing.content, omissions && listing.all);
+    async fn apply_departures(&mut self, parsed: ParsedList, omissions: bool) {
+        let departures = self.driver.departures(&parsed.content, omissions && parsed.all);
         self.departures.record(&departures, self.list_sync.last_call());
         if !self.driver.any_may_be_up(&departures) {
             return;
         }
         self.confirm_departures();
-        self.context.seen.set(None);
-        apply_lines(&self.driver, ListKind::Changes, ListContent::Entries(departures)).await;
+        self.context.known_list.set(None);
+        apply_content(&self.driver, ListKind::Changes, ListContent::Entries(departures)).await;
     }
 
     /// Asks for the list again, because backends are excluded on the word of a response that is otherwise
@@ -302,30 +305,32 @@
         self.driver.set_list_version(self.list_sync.version());
     }
 
+    /// Records that the current call's response exceeded the size limit.
     fn record_too_long(&mut self) {
         self.list_sync.response_too_long(self.driver.clock.now_ms());
         self.driver.count_oversized_list();
         log_event!(ERROR, "discovery", limit = MAX_LIST_BYTES, "discovery.list_too_long");
     }
 
+    /// Records that the current call failed or timed out.
     fn record_failure(&mut self, call: &ListCall, reason: &str) {
         let tries = self.calls.tries();
         let now = self.driver.clock.now_ms();
-        let paced = self.list_sync.failed(now, call);
+        let is_on_request = self.list_sync.failed(now, call);
         // In on-request mode calls are few, so every failure is logged.
-        self.failures.record(now, call, tries, paced, reason);
-        if paced {
+        self.failures.record(now, call, tries, is_on_request, reason);
+        if is_on_request {
             self.driver.handle(Input::List(ListKind::Failed, Vec::new()));
         }
     }
 }
 
-fn list_response(listing: &ParsedList) -> ListResponse {
-    ListResponse { version: listing.rev, full: listing.all, skipped: listing.skipped }
+fn list_response(parsed: &ParsedList) -> ListResponse {
+    ListResponse { version: parsed.rev, full: parsed.all, skipped: parsed.skipped }
 }
 
 /// Passes the entries of a response to the driver, many changes in slices.
-pub async fn apply_lines(driver: &Rc<Driver>, kind: ListKind, content: ListContent) {
+pub async fn apply_content(driver: &Rc<Driver>, kind: ListKind, content: ListContent) {
     match content {
         ListContent::Catalog(catalog, _) => driver.handle(Input::FullList(kind, *catalog)),
         ListContent::Unchanged => driver.handle(Input::List(ListKind::Changes, Vec::new())),
--- a/src/node/discovery_calls.rs
+++ b/src/node/discovery_calls.rs
@@ -59,7 +59,7 @@
     /// Known list that the response was compared with.
     pub compared: Option<KnownList>,
     /// Parsed response, or why there is none.
-    pub answer: Result<ParsedList, Box<dyn Error>>,
+    pub result: Result<ParsedList, Box<dyn Error>>,
     at: SocketAddr,
     conn: Option<HttpConnection>,
 }
@@ -88,7 +88,7 @@
     /// Limit of open sockets.
     pub descriptors: Rc<Descriptors>,
     /// The known long list.
-    pub seen: Cell<Option<KnownList>>,
+    pub known_list: Cell<Option<KnownList>>,
 }
 
 /// All open calls.
@@ -134,11 +134,12 @@
         if self.parallel.len() >= MAX_PARALLEL {
             self.parallel.pop_front();
         }
-        let made = self.start(call, None);
-        self.parallel.push_back(made);
+        let open_call = self.start(call, None);
+        self.parallel.push_back(open_call);
         self.tries += 1;
     }
 
+    /// Starts the task of a call.
     fn start(&self, call: ListCall, conn: Option<HttpConnection>) -> OpenCall {
         let (stage, stage_receiver) = watch::channel(Stage::Wanted);
         let task =
@@ -186,27 +187,27 @@
 
     /// Handles a timed-out call. Returns true if it was the current one.
     pub fn timed_out(&mut self, call: &ListCall) -> bool {
-        let current = self.is_current(call);
-        if current {
+        let is_current = self.is_current(call);
+        if is_current {
             self.replace();
         }
-        current
+        is_current
     }
 
     /// Removes a call that has ended and keeps its connection for the next one. Returns true if it was the
     /// current call.
     pub fn ended(&mut self, ended: &mut CallEnded) -> bool {
-        let current = self.is_current(&ended.call);
-        if current {
+        let is_current = self.is_current(&ended.call);
+        if is_current {
             self.current = None;
         }
         for calls in [&mut self.parallel, &mut self.replaced] {
-            calls.retain(|out| out.call.number() != ended.call.number());
+            calls.retain(|open| open.call.number() != ended.call.number());
         }
         if ended.at == self.at && self.conn.is_none() {
             self.conn = ended.conn.take();
         }
-        current
+        is_current
     }
 
     fn is_current(&self, call: &ListCall) -> bool {
@@ -227,19 +228,19 @@
         // The receiver is gone while the node is stopping.
         let _ = progress.send(Progress::TimedOut(call));
     };
-    let (answer, sending_ended) =
+    let (response, sending_ended) =
         exchange_in_stages(at, &call, &context, &mut conn, stage, timed_out).await;
     if sending_ended {
         // The connection cannot carry another call.
         conn = None;
     }
-    // Parsing a long response is not part of discovery's response time.
-    let compared = context.seen.get();
-    let answer = match answer {
+    // Parsed after the time limits, so that parsing a long response does not count as a delay of discovery.
+    let compared = context.known_list.get();
+    let result = match response {
         Ok(text) => parse_response(text, &context.current_settings, compared).await,
         Err(e) => Err(e),
     };
-    let ended = CallEnded { call, compared, answer, at, conn };
+    let ended = CallEnded { call, compared, result, at, conn };
     let _ = progress.send(Progress::Ended(Box::new(ended)));
 }
 
@@ -285,11 +286,13 @@
     Duration::from_secs_f64(ms / 1000.0)
 }
 
+/// Makes a call on the pooled connection or a new one, and returns the response body. The connection returns to `pooled`
+/// after a complete exchange, and its socket is put into `socket`.
 async fn exchange(
     at: SocketAddr,
     call: &ListCall,
     descriptors: &Rc<Descriptors>,
-    kept: &mut Option<HttpConnection>,
+    pooled: &mut Option<HttpConnection>,
     socket: &RefCell<Option<Socket>>,
 ) -> Result<Bytes, Box<dyn Error>> {
     let path = match call.request {
@@ -299,17 +302,17 @@
         }
     };
     let request = Request::get(path).header(HOST, at.to_string()).body(RequestBody::whole(Bytes::new()))?;
-    let mut conn = match kept.take().filter(HttpConnection::is_reusable) {
+    let mut conn = match pooled.take().filter(HttpConnection::is_reusable) {
         Some(conn) => conn,
         None => HttpConnection::open(at, descriptors.take().await).await?,
     };
     socket.replace(Some(conn.socket()));
-    let answer = conn.exchange(request, MAX_LIST_BYTES).await.map_err(|e| -> Box<dyn Error> {
+    let response = conn.exchange(request, MAX_LIST_BYTES).await.map_err(|e| -> Box<dyn Error> {
         if e.is::<LengthLimitError>() { ListTooLong.into() } else { e.to_string().into() }
     })?;
-    if answer.status() != StatusCode::OK {
-        return Err(format!("status {}", answer.status()).into());
+    if response.status() != StatusCode::OK {
+        return Err(format!("status {}", response.status()).into());
     }
-    *kept = Some(conn);
-    Ok(answer.into_body())
+    *pooled = Some(conn);
+    Ok(response.into_body())
 }
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -227,7 +227,7 @@
     driver.set_list_version(version);
     if let Some(known) = known {
         known.log_skipped();
-        discovery::apply_lines(&driver, ListKind::Saved, known.content).await;
+        discovery::apply_content(&driver, ListKind::Saved, known.content).await;
     }
     if let Some(memory) = restored.learned.as_deref().and_then(|text| memory_from_json(text, names)) {
         log_event!(INFO, "state", backends = memory.backends.len(), "state.remembers");
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -286,6 +286,7 @@
         }
     }
 
+    /// Asks all idle connections to close.
     fn close_idle(&self) {
         for client in self.clients.borrow().values().filter(|c| c.is_idle()) {
             client.close.notify_one();
@@ -382,6 +383,7 @@
         self.driver.fail_all();
     }
 
+    /// Returns when the node began to stop, unless another process has taken over.
     fn stopping(&self) -> Option<Instant> {
         match self.mode.get() {
             Mode::Stopping(since) => Some(since),
@@ -446,6 +448,7 @@
         Ok("serving".to_owned())
     }
 
+    /// Registers an accepted connection and starts its task.
     fn add_client(self: &Rc<Self>, stream: TcpStream, slot: DescriptorSlot) {
         let socket = Socket::for_client(stream, slot);
         let client = Rc::new(ClientConnection {
@@ -467,6 +470,7 @@
         spawn_local(async move { registration.server.serve_connection(&client, socket).await });
     }
 
+    /// Serves a connection until it ends or has to be closed.
     async fn serve_connection(self: &Rc<Self>, client: &Rc<ClientConnection>, socket: Socket) {
         let service = service_fn(|request| {
             let busy = BusyGuard::new(client.clone());
@@ -504,7 +508,7 @@
         }
         // A connection that was idle has no response in transit, and its client will retry elsewhere.
         if !was_idle {
-            let wanted = async {
+            let descriptor_needed = async {
                 client.close.notified().await;
                 while !client.socket.is_quiet() {
                     client.close.notified().await;
@@ -513,11 +517,12 @@
             tokio::select! {
                 _ = tokio::time::timeout(LINGER_TIMEOUT, client.socket.finish_sending()) => {}
                 // Close early: the descriptor is needed and no data is unread.
-                () = wanted => {}
+                () = descriptor_needed => {}
             }
         }
     }
 
+    /// Answers one request, including those to `/up`.
     async fn respond(&self, busy: BusyGuard, request: Request<Incoming>) -> Response<ClientBody> {
         let client = busy.0.clone();
         let arrived = Instant::now();
@@ -548,6 +553,7 @@
         response
     }
 
+    /// Submits a request to the driver and returns the response for the client.
     async fn dispatch(
         &self,
         busy: BusyGuard,
@@ -558,8 +564,8 @@
             Some(_) => busy.0.start_transfer(),
             None => busy.0.is_request_complete.set(true),
         }
-        let full = self.driver.open_requests() >= active.settings.open_cap as usize;
-        let answer = if full || self.mode.get() == Mode::Ended {
+        let is_full = self.driver.open_requests() >= active.settings.open_cap as usize;
+        let answer = if is_full || self.mode.get() == Mode::Ended {
             self.driver.count_early_refusal(active.names.class_name(request.class));
             Answer::Refused { retry_after_ms: FULL_RETRY_AFTER_MS }
         } else {
@@ -639,9 +645,9 @@
         let (body, upload) = match read_body(client, arrived, body).await {
             BodyRead::Complete(body) => (body, None),
             BodyRead::Long(first, rest) => match self.upstream.transfer_slots.take(SLOT_TIMEOUT).await {
-                Some(place) => {
+                Some(slot) => {
                     let length = first.len();
-                    (first, Some(Upload::new(rest, length, place)))
+                    (first, Some(Upload::new(rest, length, slot)))
                 }
                 None => {
                     self.driver.count_early_refusal(active.names.class_name(class));
@@ -688,6 +694,7 @@
     }
 }
 
+/// Valid request of a client, ready to be submitted.
 struct ParsedRequest {
     request: BalancerRequest,
     /// Settings by which the request's class number was assigned.
@@ -713,6 +720,7 @@
     TooSlow,
 }
 
+/// Reads a request body up to the limit of complete bodies, within its time limit.
 async fn read_body(client: &ClientConnection, arrived: Instant, mut body: Incoming) -> BodyRead {
     if body.size_hint().lower() > MAX_BODY_BYTES {
         return BodyRead::TooLong(body);
@@ -762,6 +770,7 @@
     headers
 }
 
+/// Returns a response with a text body.
 fn text_response(status: StatusCode, text: &'static str) -> Response<ClientBody> {
     let mut response = Response::new(Either::Left(Full::new(Bytes::from_static(text.as_bytes()))));
     *response.status_mut() = status;
@@ -776,6 +785,7 @@
     response
 }
 
+/// Adds a `Content-Type` header, if there is one, to a response.
 fn with_content_type(
     mut response: Response<ClientBody>,
     content_type: Option<HeaderValue>,
