--- a/src/bin/daleturn-sim.rs
+++ b/src/bin/daleturn-sim.rs
@@ -9,12 +9,14 @@
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
+/// Balancer instance with the names of its settings and backends.
 struct Instance {
     names: Names,
     balancer: Balancer,
 }
 
 #[derive(Default)]
+/// All instances, and the output of the current batch.
 struct Simulation {
     instances: BTreeMap<u64, Instance>,
     actions: Vec<Action>,
@@ -22,6 +24,7 @@
 }
 
 impl Simulation {
+    /// Passes an event to an instance and appends its actions to the output.
     fn feed(&mut self, instance_id: u64, now: f64, event: Event) {
         let Some(instance) = self.instances.get_mut(&instance_id) else { return };
         instance.balancer.handle(now, event, &mut self.actions);
--- a/src/node/durable.rs
+++ b/src/node/durable.rs
@@ -43,6 +43,7 @@
 /// Maximum number of queued jobs.
 const MAX_QUEUED_JOBS: usize = 64;
 
+/// Returns the wall-clock time in milliseconds since 1970.
 fn wall_ms() -> u64 {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(wall.as_millis()).unwrap_or(u64::MAX)
@@ -111,6 +112,7 @@
     written_ms <= now_ms.saturating_add(CLOCK_SLACK_MS) && now_ms.saturating_sub(written_ms) <= age
 }
 
+/// Selects the stored entries that are still valid.
 fn restore(entries: &BTreeMap<(String, String), Entry>, now_ms: u64, looping: bool) -> RestoredState {
     let get = |kind: &str, key: &str| entries.get(&(kind.to_owned(), key.to_owned()));
     let text = |kind: &str, age| {
@@ -141,6 +143,7 @@
     }
 }
 
+/// Job of the storage thread.
 enum Job {
     /// An operator's order, which has to be on disk before it is answered.
     Order {
@@ -155,7 +158,7 @@
     Cordons(Vec<String>),
 }
 
-/// State of the storage thread.
+/// Status of the storage thread.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreStatus {
     /// Incarnation assigned to the node, once the thread has locked the directory.
@@ -167,6 +170,7 @@
 /// The real disk, or one with scripted faults.
 type AnyDisk = Box<dyn Disk>;
 
+/// Opens the configured disk.
 fn disk(state: &State) -> Result<AnyDisk, StoreError> {
     let real = RealDisk::open(Path::new(&state.dir))?;
     Ok(match state.rehearse.as_str() {
@@ -175,6 +179,7 @@
     })
 }
 
+/// State of the storage thread.
 struct StoreThread<D> {
     store: Store<D>,
 }
@@ -220,6 +225,7 @@
 }
 
 impl<D: Disk> StoreThread<D> {
+    /// Sets or, without a value, removes an entry.
     fn change(&mut self, kind: &str, key: &str, value: Option<Vec<u8>>) -> Result<(), StoreError> {
         match value {
             Some(value) => self.store.put(kind, key, Entry { written_ms: wall_ms(), value }),
@@ -227,6 +233,7 @@
         }
     }
 
+    /// Runs one job. A rejected or unanswered order is reverted.
     fn run_job(&mut self, job: Job) -> Result<(), StoreError> {
         match job {
             Job::Order { kind, key, value, done } => {
@@ -366,6 +373,7 @@
         *self.status.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
+    /// Queues a job, or returns why that is not possible.
     fn enqueue(&self, job: Job) -> Result<(), String> {
         let jobs = self.jobs.borrow();
         let jobs = jobs.as_ref().ok_or("the node is ending")?;
@@ -375,6 +383,7 @@
         })
     }
 
+    /// Stores an operator's order and waits until it is on disk.
     async fn store_order(
         &self,
         kind: &'static str,
--- a/src/node/framing.rs
+++ b/src/node/framing.rs
@@ -8,6 +8,7 @@
 const MAX_LINE_BYTES: usize = 256;
 
 #[derive(Debug)]
+/// What the next byte of a connection belongs to.
 enum Position {
     Head,
     Body(u64),
@@ -77,6 +78,7 @@
         }
     }
 
+    /// Processes the end of a line.
     fn finish_line(&mut self) {
         let line = self.line.trim_ascii();
         match self.at {
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -160,10 +160,12 @@
         self.others.borrow().iter().any(|o| o.started > own.started && o.stage == Stage::Serving)
     }
 
+    /// Returns the number of descriptors that the other processes claim.
     fn claimed_descriptors(&self) -> usize {
         self.others.borrow().iter().map(|o| o.claim).sum()
     }
 
+    /// Returns the role of this process among the running ones.
     fn role(&self) -> Role {
         let own = self.process_files.record(self.stage.get(), 0);
         match self.others.borrow().iter().map(|o| o.started).max() {
@@ -173,6 +175,7 @@
         }
     }
 
+    /// Looks for other processes, then updates the limits, the shared files and the published record.
     fn update(&self) {
         let others = self.process_files.other_processes();
         let before = self.others.replace(others).len();
--- a/src/node/list_parser.rs
+++ b/src/node/list_parser.rs
@@ -63,13 +63,14 @@
         (self.all && self.skipped == 0 && self.entries > 0).then_some(self.rev)
     }
 
+    /// Collects the entries that could be read, and counts the others.
     fn from_entries(
         rev: u64,
         all: bool,
-        content: impl Iterator<Item = Result<Target, (&'static str, String)>>,
+        entries: impl Iterator<Item = Result<Target, (&'static str, String)>>,
     ) -> ParsedList {
         let (mut skipped, mut unreadable) = (0, Vec::new());
-        let read = content.filter_map(|line| match line {
+        let read = entries.filter_map(|entry| match entry {
             Ok(target) => Some(target),
             Err(unreadable_entry) => {
                 skipped += 1;
@@ -102,13 +103,14 @@
 pub fn parse_list(json: &Value, names: &Names) -> Option<ParsedList> {
     let rev = json.get("rev")?.as_u64()?;
     let all = json.get("all").and_then(Value::as_bool).unwrap_or(false);
-    let content = json.get("targets")?.as_array()?;
-    let read = content
+    let entries = json.get("targets")?.as_array()?;
+    let read = entries
         .iter()
-        .map(|line| parse_entry(line, names).map_err(|field| (field, excerpt(&line.to_string()))));
+        .map(|entry| parse_entry(entry, names).map_err(|field| (field, excerpt(&entry.to_string()))));
     Some(ParsedList::from_entries(rev, all, read))
 }
 
+/// Returns the first 200 characters of an entry, for the log.
 fn excerpt(line: &str) -> String {
     format!("{line:.200}")
 }
@@ -167,8 +169,12 @@
     Ok(tokio::task::spawn_blocking(move || parse_long_list(&text, &names, home, known)).await??)
 }
 
-fn parse_entry(line: &Value, names: &Names) -> Result<Target, &'static str> {
-    let text = |field: &str| line.get(field).and_then(Value::as_str);
+/// Parses one entry of a list.
+///
+/// # Errors
+/// Returns the name of the field that is missing or invalid.
+fn parse_entry(json: &Value, names: &Names) -> Result<Target, &'static str> {
+    let text = |field: &str| json.get(field).and_then(Value::as_str);
     let uid = text("uid").filter(|u| !u.is_empty()).ok_or("uid")?;
     let health = match text("state") {
         Some("up") => Health::Up,
@@ -183,7 +189,7 @@
         _ if leaves => None,
         _ => return Err("endpoint"),
     };
-    let number = |field: &'static str, default: f64| match line.get(field) {
+    let number = |field: &'static str, default: f64| match json.get(field) {
         None | Some(Value::Null) => Ok(default),
         Some(v) => v.as_f64().or(leaves.then_some(default)).ok_or(field),
     };
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -116,6 +116,7 @@
     _writer: WorkerGuard,
 }
 
+/// Converts a level of the options.
 fn level(level: options::Level) -> LevelFilter {
     match level {
         options::Level::Off => LevelFilter::OFF,
@@ -127,6 +128,7 @@
     }
 }
 
+/// Returns the level filter of the options.
 fn targets(options: &options::Log) -> Targets {
     let single = options.targets.iter().map(|(target, l)| (target.clone(), level(*l)));
     // Debug and trace events of libraries are useless to operators, so the default level is at most INFO.
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -67,6 +67,7 @@
 /// Time for sending those failure responses.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
 
+/// Creates a TCP socket bound to an address; `shared` if another process of this node binds it too.
 fn bind(at: SocketAddr, shared: bool) -> std::io::Result<TcpSocket> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -105,6 +106,7 @@
         Arc::unwrap_or_clone(running)
     }
 
+    /// Applies new settings everywhere. Returns the configuration in effect.
     fn take(&self, read: Reload) -> Value {
         let Reload { file, discovery, settings, names, digest, options } = read;
         let active = self.current_settings.replace(settings, names, digest);
@@ -157,6 +159,7 @@
     }
 }
 
+/// Runs the node until it has stopped.
 async fn run(config: Config, options: Options, log: Rc<Log>) -> Result<(), Box<dyn Error>> {
     let started = Instant::now();
     let mut terminate = signal(SignalKind::terminate())?;
@@ -389,6 +392,7 @@
     Ok(())
 }
 
+/// Loads the configuration and runs the node. An error has an exit code and a reason.
 fn serve(log: &Rc<Log>, options: Options) -> Result<(), (u8, String)> {
     let config = Config::load().map_err(|e| (2, e.to_string()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -75,6 +75,7 @@
         Lease { holder: holder.to_owned(), number, renewed: None }
     }
 
+    /// Returns the seconds since the lease was last renewed.
     fn age_s(&self) -> Option<u64> {
         self.renewed.map(|at| at.elapsed().as_secs())
     }
@@ -165,6 +166,7 @@
         }
     }
 
+    /// Reads one call, executes it and writes the answer.
     async fn serve_call(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let line = tokio::time::timeout(CALL_TIMEOUT, read_line(&mut stream)).await;
@@ -242,6 +244,7 @@
             || self.sharing.as_ref().is_some_and(|s| s.is_cordoned(id))
     }
 
+    /// Returns the zone health checks, or the error of a call while they are disabled.
     fn zoning(&self) -> Result<&Zoning, String> {
         self.zoning.as_deref().ok_or_else(zoning::disabled_error)
     }
@@ -256,6 +259,7 @@
         Ok(format!("{reply}, and {others} others hear of it"))
     }
 
+    /// Executes a call. Returns the text of the answer, or the reason of the refusal.
     async fn execute(&self, call: &OperatorCall) -> Result<String, String> {
         if let OperatorCall::FleetCordon(id) | OperatorCall::FleetUncordon(id) = call {
             // An order that cannot be shared must not be applied here either.
@@ -384,6 +388,7 @@
         json.to_string()
     }
 
+    /// Returns whether the node serves clients and knows a backend list.
     fn health(&self) -> Result<String, String> {
         let serving = self.server.health()?;
         if !self.driver.has_list() {
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -25,6 +25,7 @@
     received: Cell<u64>,
 }
 
+/// Binds a UDP socket.
 fn bind_socket(listen: SocketAddr) -> std::io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(listen), Type::DGRAM, None)?;
     // The next process of this node binds the same address before this one ends.
--- a/src/node/process_files.rs
+++ b/src/node/process_files.rs
@@ -219,6 +219,7 @@
     read_memory(&serde_json::from_str(text).ok()?, names)
 }
 
+/// Reads learned state from JSON.
 fn read_memory(json: &Value, names: &Names) -> Option<Memory> {
     let non_negative = |v: &Value| v.as_f64().filter(|f| *f >= 0.0);
     let mut backends = Vec::new();
@@ -250,6 +251,7 @@
     BackendId(stable_hash(uid))
 }
 
+/// Returns the name of a backend's cordon file.
 fn cordon_file(uid: &str) -> String {
     format!("{CORDON_PREFIX}{:016x}", stable_hash(uid))
 }
@@ -263,6 +265,7 @@
     Ok(file)
 }
 
+/// Writes a file completely and renames it into place.
 fn write_whole(dir: &Path, name: &str, content: &[u8]) -> io::Result<()> {
     let draft = dir.join(format!("{DRAFT_PREFIX}{}-{name}", std::process::id()));
     let written = fs::write(&draft, content).and_then(|()| fs::rename(&draft, dir.join(name)));
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -72,6 +72,7 @@
     zoning: RefCell<Weak<Zoning>>,
 }
 
+/// Returns the configured maximum ages in milliseconds.
 fn max_ages(share: &Share) -> MaxAges {
     let ms = Ms::from;
     MaxAges {
@@ -81,6 +82,7 @@
     }
 }
 
+/// Returns the 32-bit hash under which a name is shared.
 fn short_hash(name: &str) -> u32 {
     (stable_hash(name) >> 32) as u32
 }
@@ -187,6 +189,7 @@
         });
     }
 
+    /// Handles a datagram: gossip here, any other message in the balancer.
     fn handle_datagram(&self, from: u32, bytes: Vec<u8>) {
         match NodeId::try_from(from) {
             Ok(from) if Sharing::is_gossip(&bytes) => self.handle_event(Event::Datagram(from, &bytes)),
@@ -194,6 +197,7 @@
         }
     }
 
+    /// Shares an observation of the balancer.
     fn report(&self, found: Observation, start: u32) {
         match found {
             Observation::Backend { backend, failing: is_failing } => {
@@ -205,6 +209,7 @@
         }
     }
 
+    /// Passes an event to the gossip state machine and performs the resulting actions.
     fn handle_event(&self, event: Event) {
         let mut actions = Vec::new();
         let now = self.now();
@@ -240,6 +245,7 @@
         }
     }
 
+    /// Applies an order on a zone or a backend that another node has shared.
     fn apply_order(&self, name: &str, out: bool, for_s: u32, age: Ms) {
         let Some(zone) = name.strip_prefix(ZONE_PREFIX) else {
             return self.driver.apply_shared_cordon(name, out);
--- a/src/node/socket.rs
+++ b/src/node/socket.rs
@@ -89,6 +89,7 @@
         self.take_below(|limit| limit - limit / 8).await
     }
 
+    /// Waits until fewer descriptors are in use than `part` of the limit.
     async fn take_below(self: &Rc<Self>, part: impl Fn(usize) -> usize) -> DescriptorSlot {
         loop {
             if self.used.get() < part(self.limit.get()) {
@@ -113,6 +114,7 @@
     }
 }
 
+/// State shared by the clones of a socket.
 struct Inner {
     stream: TcpStream,
     read: Cell<u64>,
@@ -294,6 +296,7 @@
 }
 
 impl Socket {
+    /// Counts consumed bytes and checks the framing of requests in them.
     fn record_read(&self, bytes: &[u8]) {
         if let Some(framing) = &self.0.framing {
             framing.borrow_mut().process(bytes);
@@ -301,6 +304,7 @@
         self.0.read.set(self.0.read.get() + bytes.len() as u64);
     }
 
+    /// Writes once the socket is writable, and counts the bytes written.
     fn poll_counted(
         &self,
         cx: &mut Context<'_>,
--- a/src/node/stats.rs
+++ b/src/node/stats.rs
@@ -82,6 +82,7 @@
 }
 
 #[derive(Default)]
+/// Counters and latencies of a class.
 struct ClassStats {
     asked: u64,
     served: u64,
@@ -95,6 +96,7 @@
 }
 
 #[derive(Clone, Copy, Default)]
+/// Counters of the attempts at a backend.
 struct BackendStats {
     sent: u64,
     done: u64,
@@ -166,6 +168,7 @@
         }
     }
 
+    /// Returns the statistics of a class, adding it if necessary.
     fn class(&mut self, name: Option<&str>) -> Option<&mut ClassStats> {
         let name = name.unwrap_or(UNKNOWN_CLASS);
         if !self.classes.contains_key(name) {
--- a/src/node/zoning.rs
+++ b/src/node/zoning.rs
@@ -67,6 +67,7 @@
         }
     }
 
+    /// Runs the zone health checks, and logs and shares the resulting changes.
     fn check_zones(&self) {
         let active = self.current_settings.get();
         let others = self.sharing.as_ref().is_some_and(|s| s.reachable_members() > 1);
@@ -114,6 +115,7 @@
         self.driver.handle(Input::ZoneWeights((0..count).map(weight).collect()));
     }
 
+    /// Applies an order on a zone at this node.
     fn apply_order(&self, zone: &str, out: bool, left: Option<Duration>) -> Result<(), String> {
         let number = self
             .current_settings
--- a/src/options.rs
+++ b/src/options.rs
@@ -185,6 +185,7 @@
     }
 }
 
+/// Deserializes an integer from `MIN` to `MAX`.
 fn integer_within<'de, D: Deserializer<'de>, const MIN: u32, const MAX: u32>(
     from: D,
 ) -> Result<u32, D::Error> {
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -94,10 +94,12 @@
     }
 }
 
+/// Returns the error of a field.
 fn field_error(field: &str, reason: impl Into<String>) -> ConfigError {
     ConfigError::Field { field: field.to_owned(), reason: reason.into() }
 }
 
+/// Parses an address and port.
 fn address(field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| field_error(field, format!("{text:?} is not an address and port")))
 }
@@ -114,6 +116,7 @@
     }
 }
 
+/// Returns an address from the environment variable, if given and set, or else from the file.
 fn address_of(
     file: &Value,
     field: &str,
@@ -122,6 +125,7 @@
     text(file, field, variable)?.map(|t| address(field, &t)).transpose()
 }
 
+/// Returns a value of the section `limits`, or the default if it is absent.
 fn limit(file: &Value, name: &str, default: usize) -> Result<usize, ConfigError> {
     match file.get("limits").and_then(|l| l.get(name)) {
         None | Some(Value::Null) => Ok(default),
@@ -132,6 +136,7 @@
     }
 }
 
+/// Reads the file that `LB_CONFIG` names.
 fn read_file() -> Result<Value, ConfigError> {
     let path = std::env::var("LB_CONFIG").map_err(|_| ConfigError::Unset)?;
     let file_error = |reason: String| ConfigError::File { path: path.clone(), reason };
@@ -164,6 +169,7 @@
     Ok(())
 }
 
+/// Checks the entries of a named list; see [`check_kept_keys`].
 fn check_kept_entries(path: &str, old: &[Value], new: &[Value]) -> Result<(), ConfigError> {
     // There may be a hundred thousand tenants, so each is looked up once in a map.
     let label = |entry: &Value| entry.get("name").map(Value::to_string);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -30,6 +30,7 @@
     Unknown(String),
 }
 
+/// Returns the error of an invalid field.
 fn invalid(field: &str, reason: impl Into<String>) -> WireError {
     WireError::Bad { field: field.to_owned(), reason: reason.into() }
 }
@@ -340,6 +341,7 @@
     (settings, names)
 }
 
+/// Assigns numbers to the entries of one list; see [`renumber`].
 fn assign_numbers<T>(
     (old, old_names): (&[T], &NumberedNames),
     new: impl Iterator<Item = (T, Option<Arc<str>>)>,
@@ -437,6 +439,7 @@
     load
 }
 
+/// Encodes bytes in hexadecimal; `-` if there are none.
 fn hex(bytes: &[u8]) -> String {
     if bytes.is_empty() {
         return "-".to_owned();
@@ -448,6 +451,7 @@
     })
 }
 
+/// Decodes the format of [`hex`].
 fn parse_hex(text: &str) -> Result<Vec<u8>, WireError> {
     if text == "-" {
         return Ok(Vec::new());
@@ -465,6 +469,7 @@
     path.split('.').fold(at, |v, part| v.get(part).unwrap_or(&Value::Null))
 }
 
+/// Returns the error of an invalid setting.
 fn invalid_setting(path: &str, reason: &str) -> WireError {
     invalid(&format!("config.{path}"), reason)
 }
@@ -507,6 +512,7 @@
     }
 }
 
+/// Returns a whole number, or `default` if it is absent.
 fn whole_number(at: &Value, path: &str, default: u32) -> Result<u32, WireError> {
     let v = number(at, path, Some(f64::from(default)))?;
     let whole = v.is_finite() && v >= 0.0 && v <= f64::from(u32::MAX) && v.fract() == 0.0;
@@ -521,10 +527,12 @@
     }
 }
 
+/// Returns the name of an entry, which is a string or has the key `name`.
 fn name_of(v: &Value) -> String {
     v.as_str().or_else(|| v.get("name").and_then(Value::as_str)).unwrap_or_default().to_owned()
 }
 
+/// Parses a class of the settings.
 fn parse_class(v: &Value) -> Result<Class, WireError> {
     let groups = [("cell", Group::Cell), ("zone", Group::Zone), ("all", Group::All)];
     let group = one_of(v, "group", groups)?;
