--- a/src/bin/daleturn-sim.rs
+++ b/src/bin/daleturn-sim.rs
@@ -15,8 +15,8 @@
     balancer: Balancer,
 }
 
-#[derive(Default)]
 /// All instances, and the output of the current batch.
+#[derive(Default)]
 struct Simulation {
     instances: BTreeMap<u64, Instance>,
     actions: Vec<Action>,
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Handles a late response. `is_parallel`: the call was made in parallel to another one, so being replaced
-    /// does not make it late.
+    /// Handles a late response. `is_parallel`: the call was made in parallel to another one, so being
+    /// replaced does not make it late.
     async fn handle_late_response(&mut self, call: &ListCall, is_parallel: bool, parsed: ParsedList) {
         let now = self.driver.clock.now_ms();
         let late = self.list_sync.answered_late(now, call, list_response(&parsed));
--- a/src/node/discovery_calls.rs
+++ b/src/node/discovery_calls.rs
@@ -286,8 +286,8 @@
     Duration::from_secs_f64(ms / 1000.0)
 }
 
-/// Makes a call on the pooled connection or a new one, and returns the response body. The connection returns to `pooled`
-/// after a complete exchange, and its socket is put into `socket`.
+/// Makes a call on the pooled connection or a new one, and returns the response body. The connection
+/// returns to `pooled` after a complete exchange, and its socket is put into `socket`.
 async fn exchange(
     at: SocketAddr,
     call: &ListCall,
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -1111,8 +1111,8 @@
         })
     }
 
-    /// Sends the answer to a request and records the result. `client_left` is true if the client left, rather
-    /// than the balancer having failed the request.
+    /// Sends the answer to a request and records the result. `client_left` is true if the client left,
+    /// rather than the balancer having failed the request.
     fn send_answer(&mut self, id: RequestId, answer: Answer, client_left: bool) {
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         if let Some(response_sender) = open.response_sender.take() {
--- a/src/node/durable.rs
+++ b/src/node/durable.rs
@@ -518,18 +518,18 @@
     fn orders_never_expire_and_learned_state_does() {
         let now = 1_000_000_000_000_u64;
         let at = |age_ms: i64| restore(&entries(now.saturating_add_signed(-age_ms)), now, false);
-        let word = |k: &RestoredState| k.cordons.keys().eq(["s-1"]) && k.is_quiesced;
+        let orders_hold = |k: &RestoredState| k.cordons.keys().eq(["s-1"]) && k.is_quiesced;
         let is_fresh = at(1000);
-        assert!(word(&is_fresh) && is_fresh.list.is_some() && is_fresh.learned.is_some());
+        assert!(orders_hold(&is_fresh) && is_fresh.list.is_some() && is_fresh.learned.is_some());
         let hour = at(3_600_000);
-        assert!(word(&hour) && hour.list.is_some() && hour.learned.is_none());
+        assert!(orders_hold(&hour) && hour.list.is_some() && hour.learned.is_none());
         let week = at(7 * 24 * 3_600_000);
-        assert!(word(&week) && week.list.is_none() && week.learned.is_none());
+        assert!(orders_hold(&week) && week.list.is_none() && week.learned.is_none());
         // A clock step of less than a minute is tolerated, a larger one is not.
         let future = at(-30_000);
-        assert!(word(&future) && future.learned.is_some());
+        assert!(orders_hold(&future) && future.learned.is_some());
         let far = at(-3_600_000);
-        assert!(word(&far) && far.list.is_none() && far.learned.is_none());
+        assert!(orders_hold(&far) && far.list.is_none() && far.learned.is_none());
         assert!(restore(&entries(now), now, true).learned.is_none(), "in a crash loop");
     }
 }
--- a/src/node/framing.rs
+++ b/src/node/framing.rs
@@ -7,8 +7,8 @@
 /// Number of bytes kept of a header line; the rest of a longer line is irrelevant here.
 const MAX_LINE_BYTES: usize = 256;
 
-#[derive(Debug)]
 /// What the next byte of a connection belongs to.
+#[derive(Debug)]
 enum Position {
     Head,
     Body(u64),
--- a/src/node/list_parser.rs
+++ b/src/node/list_parser.rs
@@ -11,8 +11,8 @@
 use serde_json::value::RawValue;
 use std::error::Error;
 
-/// Maximum size of a response that is parsed on the event loop. A longer one takes longer than a request may
-/// wait, so it is parsed on a blocking thread, entry by entry.
+/// Maximum size of a response that is parsed on the event loop. A longer one takes longer than a request
+/// may wait, so it is parsed on a blocking thread, entry by entry.
 const MAX_INLINE_BYTES: usize = 64 * 1024;
 /// Maximum number of entries of a full list that is indexed on the event loop.
 const MAX_INLINE_ENTRIES: usize = 1024;
--- a/src/node/process_files.rs
+++ b/src/node/process_files.rs
@@ -391,7 +391,7 @@
         let whole = r#"{"warm_rate":1,"backends":[[1,1,0,null]],"classes":{"gone":[1,1,1,1]}}"#;
         fs::write(&path, whole).unwrap();
         assert!(state.take_memory(&names()).is_some_and(|m| m.classes.is_empty() && m.backends.len() == 1));
-        let strange = [
+        let malformed = [
             "",
             "[]",
             &whole[..40],
@@ -401,7 +401,7 @@
             r#"{"warm_rate":1,"backends":[[1]],"classes":{}}"#,
             r#"{"warm_rate":1,"backends":[],"classes":{"a":[1,2,3]}}"#,
         ];
-        for text in strange {
+        for text in malformed {
             fs::write(&path, text).unwrap();
             assert_eq!(state.take_memory(&names()), None, "{text}");
         }
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -127,7 +127,8 @@
             && self.socket.is_quiet()
     }
 
-    /// True if a partial request header was first noticed longer than `limit` ago. The first call notices it.
+    /// True if a partial request header was first noticed longer than `limit` ago. The first call notices
+    /// it.
     fn is_stuck(&self, limit: Duration) -> bool {
         if self.is_busy.get() || self.socket.read() == self.read_at_idle.get() {
             return false;
--- a/src/node/socket.rs
+++ b/src/node/socket.rs
@@ -199,8 +199,8 @@
     }
 
     /// Reads data behind an open request, so that the end of the stream behind it is noticed. Data is kept
-    /// up to the limit of `MAX_READ_AHEAD_BYTES` bytes. The rest is dropped, after which the connection's data cannot be
-    /// parsed any more.
+    /// up to the limit of `MAX_READ_AHEAD_BYTES` bytes. The rest is dropped, after which the connection's
+    /// data cannot be parsed any more.
     pub fn read_ahead(&self) {
         let mut ahead = self.0.ahead.borrow_mut();
         for _ in 0..MAX_DISCARDED_BYTES / READ_BYTES {
--- a/src/node/stats.rs
+++ b/src/node/stats.rs
@@ -81,8 +81,8 @@
     Left,
 }
 
-#[derive(Default)]
 /// Counters and latencies of a class.
+#[derive(Default)]
 struct ClassStats {
     asked: u64,
     served: u64,
@@ -95,8 +95,8 @@
     answer: LatencyWindows,
 }
 
-#[derive(Clone, Copy, Default)]
 /// Counters of the attempts at a backend.
+#[derive(Clone, Copy, Default)]
 struct BackendStats {
     sent: u64,
     done: u64,
--- a/src/node/upstream.rs
+++ b/src/node/upstream.rs
@@ -1,9 +1,9 @@
 //! Connections to backends, and the attempts and probes sent on them. Each connection carries one request
 //! at a time.
 //!
-//! Bodies of up to [`MAX_BUFFERED_BODY_BYTES`] bytes are buffered completely in both directions. Longer ones are
-//! streamed with backpressure: nothing is read from one side before the other side has space, and each
-//! streamed body occupies a transfer slot.
+//! Bodies of up to [`MAX_BUFFERED_BODY_BYTES`] bytes are buffered completely in both directions. Longer
+//! ones are streamed with backpressure: nothing is read from one side before the other side has space, and
+//! each streamed body occupies a transfer slot.
 
 use crate::body::{Piece, RequestBody, Upload};
 use crate::socket::{DescriptorSlot, Descriptors, Socket};
@@ -356,8 +356,8 @@
     }
 
     /// Returns a connection on which a request can be sent immediately, or the outcome of an attempt that
-    /// cannot be sent. Waits until `until` at most. `before_send` is called here only, after every wait; all
-    /// requests are sent on connections from this function.
+    /// cannot be sent. Waits until `until` at most. `before_send` is called here only, after every wait;
+    /// all requests are sent on connections from this function.
     ///
     /// If this node itself is out of descriptors the outcome is `Skipped`. `NotConnected` would count
     /// against the backends and mark all of them as dead.
@@ -389,9 +389,9 @@
         }
     }
 
-    /// Sends one attempt and waits for its end. `before_send` is called right before the first byte is sent and
-    /// returns the outcome if the attempt must not be sent. A long response is passed to `started` with its
-    /// first bytes and streamed from there. Returns the result, and the connection if it can be reused.
+    /// Sends one attempt and waits for its end. `before_send` is called right before the first byte is sent
+    /// and returns the outcome if the attempt must not be sent. A long response is passed to `started` with
+    /// its first bytes and streamed from there. Returns the result, and the connection if it can be reused.
     pub async fn attempt(
         self: &Rc<Self>,
         spec: &AttemptSpec,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -282,14 +282,14 @@
 
     /// Writes an action as a line.
     pub fn action(&self, instance_id: u64, action: &Action, out: &mut String) {
-        let word = |b: &BackendId| self.backends.get(b).map_or("unknown", String::as_str);
+        let backend_name = |b: &BackendId| self.backends.get(b).map_or("unknown", String::as_str);
         // Writing to a `String` cannot fail.
         let _ = match action {
             Action::Send { id, backend, timeout_ms } => writeln!(
                 out,
                 "hand_off who={instance_id} requestId={} giveUpAfterMs={timeout_ms:.3} backend={}",
                 id.0,
-                word(backend)
+                backend_name(backend)
             ),
             Action::Cancel { id, attempt } => {
                 writeln!(out, "recall who={instance_id} requestId={} attempt={attempt}", id.0)
@@ -301,9 +301,9 @@
             Action::Timer { token, at_ms } => {
                 writeln!(out, "wake_me who={instance_id} keyBack={token} instantMs={at_ms:.3}")
             }
-            Action::Probe(b) => writeln!(out, "probe who={instance_id} backend={}", word(b)),
+            Action::Probe(b) => writeln!(out, "probe who={instance_id} backend={}", backend_name(b)),
             Action::CloseIdleConnections(b) => {
-                writeln!(out, "release who={instance_id} backend={}", word(b))
+                writeln!(out, "release who={instance_id} backend={}", backend_name(b))
             }
             Action::SendPeerMessage { to, bytes } => {
                 let to = to.map_or_else(|| "all".to_owned(), |n| n.to_string());
