--- a/src/node/durable.rs
+++ b/src/node/durable.rs
@@ -519,8 +519,8 @@
         let now = 1_000_000_000_000_u64;
         let at = |age_ms: i64| restore(&entries(now.saturating_add_signed(-age_ms)), now, false);
         let orders_hold = |k: &RestoredState| k.cordons.keys().eq(["s-1"]) && k.is_quiesced;
-        let is_fresh = at(1000);
-        assert!(orders_hold(&is_fresh) && is_fresh.list.is_some() && is_fresh.learned.is_some());
+        let recent = at(1000);
+        assert!(orders_hold(&recent) && recent.list.is_some() && recent.learned.is_some());
         let hour = at(3_600_000);
         assert!(orders_hold(&hour) && hour.list.is_some() && hour.learned.is_none());
         let week = at(7 * 24 * 3_600_000);
--- a/src/node/transfer_slots.rs
+++ b/src/node/transfer_slots.rs
@@ -13,8 +13,9 @@
 /// Transfer slots of a process.
 pub struct TransferSlots {
     free: Semaphore,
-    /// Total number of slots, and the number in use that are to be withdrawn when they become free.
+    /// Total number of slots.
     total: usize,
+    /// Number of slots in use that are withdrawn when they become free.
     to_withdraw: Cell<usize>,
     is_halved: Cell<bool>,
 }
