--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small world around one balancer that checks the four rules at every action. It simulates no servers:
-//! tests say what happens.
+//! Test harness around one balancer. It keeps the clock, the list and the open requests, and checks the operators' four
+//! rules at every action of the balancer. It simulates no backends: each test decides how an attempt ends.
 #![allow(dead_code)]
 
 use daleturn::Balancer;
@@ -7,14 +7,15 @@
 use daleturn::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time past the client's deadline in which an answer still counts, as the users' bench has it.
+/// Time after the client's deadline within which an answer still counts. The users' benchmark has the same.
 const ANSWER_SLACK_MS: f64 = 20.0;
 
+/// Returns a class with a worth of 1 for answers in time and 0 for late ones.
 pub fn class(aim_ms: f64, deadline_ms: f64, effect: Effect) -> Class {
     Class { aim_ms, deadline_ms, worth: 1.0, late_worth: 0.0, effect, key_ttl_ms: 1000.0, aim_stretch: 0.0 }
 }
 
-/// Settings of no deployment.
+/// Returns settings for tests, with one class for each effect. No deployment uses them.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -67,175 +68,216 @@
     }
 }
 
-/// The operators' proof that an attempt never ran, written here again so that the module is not its own judge.
-fn proven(s: &Settings, outcome: Option<Outcome>) -> bool {
+/// True if the outcome proves that the attempt was never processed. The operators' rule is written here a second time, so
+/// that the tests don't check the balancer against its own code.
+fn is_proven_unprocessed(settings: &Settings, outcome: Option<Outcome>) -> bool {
     match outcome {
         Some(Outcome::NotConnected | Outcome::Skipped) => true,
-        Some(Outcome::Full) => !s.late_shedding,
+        Some(Outcome::Full) => !settings.late_shedding,
         _ => false,
     }
 }
 
-/// The operators' rule on repeats, for one more attempt, or for the `n`th, beside the others.
+/// True if the operators' rule on repeats allows attempt `n` at `backend`, given the other attempts of the request. For a new
+/// attempt `n` is `usize::MAX`.
 fn may_repeat(
-    s: &Settings,
+    settings: &Settings,
     list: &BTreeMap<BackendId, ListEntry>,
-    asked: &Asked,
+    request: &RequestState,
     n: usize,
     backend: BackendId,
-    now: f64,
+    now_ms: f64,
 ) -> bool {
-    let others = asked.attempts.iter().enumerate().filter(|(other, _)| *other != n);
-    let Some(ran) = others.map(|(_, a)| a).find(|a| !proven(s, a.outcome)) else { return true };
-    let class = s.classes.get(asked.request.class);
-    let (old, new) = (&list[&ran.backend], &list[&backend]);
-    match class.map_or(Effect::Unsafe, |c| c.effect) {
+    let others = request.attempts.iter().enumerate().filter(|(number, _)| *number != n);
+    let Some(other) = others
+        .map(|(_, attempt)| attempt)
+        .find(|attempt| !is_proven_unprocessed(settings, attempt.outcome))
+    else {
+        return true;
+    };
+    let class = settings.classes.get(request.request.class);
+    let (previous, next) = (&list[&other.backend], &list[&backend]);
+    match class.map_or(Effect::Unsafe, |class| class.effect) {
         Effect::Safe => true,
         Effect::Unsafe => false,
         Effect::Keyed(group) => {
-            let same = match group {
+            let is_same_group = match group {
                 Group::All => true,
-                Group::Zone => old.zone == new.zone,
-                Group::Cell => old.cell == new.cell,
+                Group::Zone => previous.zone == next.zone,
+                Group::Cell => previous.cell == next.cell,
             };
-            same && now <= ran.at + class.map_or(0.0, |c| c.key_ttl_ms)
+            is_same_group && now_ms <= other.sent_at_ms + class.map_or(0.0, |class| class.key_ttl_ms)
         }
     }
 }
 
+/// An attempt that the balancer has sent.
 #[derive(Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub backend: BackendId,
-    pub at: f64,
-    pub ends: f64,
+    pub sent_at_ms: f64,
+    pub times_out_at_ms: f64,
+    /// None while the attempt is in flight.
     pub outcome: Option<Outcome>,
 }
 
+/// A request with its attempts and its result.
 #[derive(Debug)]
-pub struct Asked {
+pub struct RequestState {
     pub request: Request,
-    pub attempts: Vec<Sent>,
-    /// "done", "refused", "failed" or "left".
-    pub answer: Option<&'static str>,
+    pub attempts: Vec<SentAttempt>,
+    /// "done", "refused", "failed" or "left" (the client disconnected); None while the request is open.
+    pub result: Option<&'static str>,
 }
 
-pub struct World {
-    pub s: Settings,
+/// One balancer with the state that a node keeps around it.
+pub struct Harness {
+    pub settings: Settings,
     pub balancer: Balancer,
-    pub now: f64,
+    pub now_ms: f64,
+    /// The full list. Backends that left it stay here with `Health::Gone`.
     pub list: BTreeMap<BackendId, ListEntry>,
-    pub asked: BTreeMap<RequestId, Asked>,
+    pub requests: BTreeMap<RequestId, RequestState>,
+    /// Time in milliseconds and token of each pending timer.
     pub timers: Vec<(f64, u64)>,
-    pub probes: Vec<BackendId>,
+    /// Backends whose probes are in flight.
+    pub pending_probes: Vec<BackendId>,
     pub logs: Vec<String>,
-    pub found: Vec<Observation>,
-    pub watches: Vec<f64>,
-    /// Last release of the idle connections to a backend.
-    pub released: BTreeMap<BackendId, f64>,
-    /// Since when a backend drains, and the last send or outcome there if that is later.
-    pub draining: BTreeMap<BackendId, f64>,
+    pub observations: Vec<Observation>,
+    /// Times at which the balancer asked for the list.
+    pub watch_times_ms: Vec<f64>,
+    /// Time at which the balancer last closed the idle connections to a backend.
+    pub idle_closed_at_ms: BTreeMap<BackendId, f64>,
+    /// Time at which a backend began to drain, or of the last outcome there if that is later.
+    pub draining_since_ms: BTreeMap<BackendId, f64>,
+    /// All actions so far.
     pub trace: Vec<Action>,
-    /// Where the decisions hear of a part of the list alone: what draws it, and who is up of that part. The rules are
-    /// judged by the whole list.
+    /// If set, the balancer sees only this subset of the list: the selection, and the backends in it that are up. The
+    /// rules are still checked against the full list.
     pub subset: Option<(Subset, BTreeSet<BackendId>)>,
-    next: u64,
+    next_request_id: u64,
 }
 
-impl World {
-    pub fn new(s: Settings, seed: u64) -> World {
-        let balancer = Balancer::new(s.clone(), seed).expect("usable settings");
-        let mut w = World {
-            s,
+impl Harness {
+    pub fn new(settings: Settings, seed: u64) -> Harness {
+        let balancer = Balancer::new(settings.clone(), seed).expect("usable settings");
+        let mut harness = Harness {
+            settings,
             balancer,
-            now: 1000.0,
+            now_ms: 1000.0,
             list: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: Vec::new(),
-            probes: Vec::new(),
+            pending_probes: Vec::new(),
             logs: Vec::new(),
-            found: Vec::new(),
-            watches: Vec::new(),
-            released: BTreeMap::new(),
-            draining: BTreeMap::new(),
+            observations: Vec::new(),
+            watch_times_ms: Vec::new(),
+            idle_closed_at_ms: BTreeMap::new(),
+            draining_since_ms: BTreeMap::new(),
             trace: Vec::new(),
             subset: None,
-            next: 0,
+            next_request_id: 0,
         };
-        w.feed(Event::Start);
-        w
+        harness.feed(Event::Start);
+        harness
     }
 
-    pub fn with_backends(s: Settings, seed: u64, count: u64) -> World {
-        let mut w = World::new(s, seed);
-        let entries = (1..=count).map(up).collect();
-        w.list(ListKind::Full, entries);
-        w
+    /// Creates a harness whose list has `count` backends that are up.
+    pub fn with_backends(settings: Settings, seed: u64, count: u64) -> Harness {
+        let mut harness = Harness::new(settings, seed);
+        let entries = (1..=count).map(up_entry).collect();
+        harness.update_list(ListKind::Full, entries);
+        harness
     }
 
+    /// Passes an event to the balancer, then checks and records its actions.
     pub fn feed(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
-        for action in &out {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now_ms, event, &mut actions);
+        for action in &actions {
             self.check(action);
         }
-        self.trace.extend(out);
+        self.trace.extend(actions);
     }
 
-    /// The rules, action by action.
+    /// Checks an action against the rules and applies it to the harness.
     fn check(&mut self, action: &Action) {
         match action {
             Action::Send { id, backend, timeout_ms } => {
-                let asked = self.asked.get_mut(id).expect("a known request");
-                assert!(asked.answer.is_none(), "rule 1: sent after its end");
-                assert!(asked.attempts.len() < self.s.max_attempts as usize, "more attempts than allowed");
-                let entry = self.list.get(backend).expect("a backend that the list has named");
-                assert_eq!(entry.health, Health::Up, "rule 3: sent to one that drains or is gone");
-                let out = asked.attempts.iter().any(|a| a.outcome.is_none());
-                assert!(self.s.second_copies || !out, "rule 2: two attempts at once");
-                let held = may_repeat(&self.s, &self.list, asked, usize::MAX, *backend, self.now);
-                assert!(held, "rule 2: sent again though it may have run");
-                let ends =
-                    if *timeout_ms > 0.0 { self.now + timeout_ms } else { asked.request.deadline_ms };
-                let ends = ends.min(asked.request.deadline_ms);
-                asked.attempts.push(Sent { backend: *backend, at: self.now, ends, outcome: None });
+                let request = self.requests.get_mut(id).expect("a known request");
+                assert!(request.result.is_none(), "rule 1: sent after the request ended");
+                assert!(
+                    request.attempts.len() < self.settings.max_attempts as usize,
+                    "more attempts than allowed"
+                );
+                let entry = self.list.get(backend).expect("a listed backend");
+                assert_eq!(entry.health, Health::Up, "rule 3: sent to a backend that drains or is gone");
+                let is_in_flight = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
+                assert!(self.settings.second_copies || !is_in_flight, "rule 2: two attempts at once");
+                let may_send =
+                    may_repeat(&self.settings, &self.list, request, usize::MAX, *backend, self.now_ms);
+                assert!(may_send, "rule 2: sent again though the first attempt may have run");
+                let times_out_at_ms =
+                    if *timeout_ms > 0.0 { self.now_ms + timeout_ms } else { request.request.deadline_ms };
+                let times_out_at_ms = times_out_at_ms.min(request.request.deadline_ms);
+                request.attempts.push(SentAttempt {
+                    backend: *backend,
+                    sent_at_ms: self.now_ms,
+                    times_out_at_ms,
+                    outcome: None,
+                });
             }
             Action::Refuse { id, retry_after_ms } => {
-                assert!(*retry_after_ms <= self.s.max_retry_after_ms, "advice above the most");
-                assert!(*retry_after_ms > 0.0, "refused without a word of when to come back");
-                let asked = self.asked.get_mut(id).expect("a known request");
-                assert!(asked.answer.is_none(), "rule 1: two answers");
-                let effect = self.s.classes.get(asked.request.class).map_or(Effect::Unsafe, |c| c.effect);
-                let none = asked.attempts.iter().all(|a| proven(&self.s, a.outcome));
-                let harmless = none || matches!(effect, Effect::Safe | Effect::Keyed(Group::All));
-                assert!(harmless, "rule 2: refused though it may have run");
-                asked.answer = Some("refused");
+                assert!(*retry_after_ms <= self.settings.max_retry_after_ms, "Retry-After above its limit");
+                assert!(*retry_after_ms > 0.0, "refused without a Retry-After");
+                let request = self.requests.get_mut(id).expect("a known request");
+                assert!(request.result.is_none(), "rule 1: two results");
+                let effect = self
+                    .settings
+                    .classes
+                    .get(request.request.class)
+                    .map_or(Effect::Unsafe, |class| class.effect);
+                let none_processed = request
+                    .attempts
+                    .iter()
+                    .all(|attempt| is_proven_unprocessed(&self.settings, attempt.outcome));
+                let may_refuse =
+                    none_processed || matches!(effect, Effect::Safe | Effect::Keyed(Group::All));
+                assert!(may_refuse, "rule 2: refused though an attempt may have run");
+                request.result = Some("refused");
             }
             Action::Fail(id) => {
-                let asked = self.asked.get_mut(id).expect("a known request");
-                assert!(asked.answer.is_none(), "rule 1: two answers");
-                asked.answer = Some("failed");
+                let request = self.requests.get_mut(id).expect("a known request");
+                assert!(request.result.is_none(), "rule 1: two results");
+                request.result = Some("failed");
             }
             Action::Cancel { id, attempt } => {
-                assert!(self.s.may_cancel, "cancelling is not allowed");
-                assert!(self.asked[id].attempts.len() > *attempt as usize, "an attempt never made");
+                assert!(self.settings.may_cancel, "cancelling is not allowed");
+                assert!(
+                    self.requests[id].attempts.len() > *attempt as usize,
+                    "cancelled an attempt that was never sent"
+                );
             }
             Action::Timer { token, at_ms } => self.timers.push((*at_ms, *token)),
-            Action::Probe(b) => {
-                assert!(self.s.probes, "probing is not allowed");
-                self.probes.push(*b);
+            Action::Probe(backend) => {
+                assert!(self.settings.probes, "probing is not allowed");
+                self.pending_probes.push(*backend);
             }
-            Action::CloseIdleConnections(b) => {
-                assert!(self.list.contains_key(b), "released one that no list has named");
-                self.released.insert(*b, self.now);
+            Action::CloseIdleConnections(backend) => {
+                assert!(self.list.contains_key(backend), "connections closed to an unlisted backend");
+                self.idle_closed_at_ms.insert(*backend, self.now_ms);
             }
-            Action::SendPeerMessage { .. } => assert!(self.s.peer_messages, "messages are not allowed"),
-            Action::ShareObservation(found) => self.found.push(*found),
+            Action::SendPeerMessage { .. } => {
+                assert!(self.settings.peer_messages, "messages are not allowed")
+            }
+            Action::ShareObservation(observation) => self.observations.push(*observation),
             Action::Log(note) => self.logs.push(note.to_string()),
-            Action::Watch(_) => self.watches.push(self.now),
+            Action::Watch(_) => self.watch_times_ms.push(self.now_ms),
         }
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
+    /// Applies an update to the list and passes it, or the subset's share of it, to the balancer.
+    pub fn update_list(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             for e in self.list.values_mut() {
                 e.health = Health::Gone;
@@ -244,93 +286,99 @@
         for e in &entries {
             self.list.insert(e.backend, *e);
         }
-        let now = self.now;
-        self.draining.retain(|b, _| self.list[b].health != Health::Up);
+        let now_ms = self.now_ms;
+        self.draining_since_ms.retain(|b, _| self.list[b].health != Health::Up);
         for e in self.list.values().filter(|e| e.health != Health::Up) {
-            self.draining.entry(e.backend).or_insert(now);
+            self.draining_since_ms.entry(e.backend).or_insert(now_ms);
         }
-        let (kind, entries) = self.part(kind, entries);
+        let (kind, entries) = self.subset_update(kind, entries);
         self.feed(Event::List { kind, entries });
-        self.check_closed();
+        self.check_drained_connections();
     }
 
-    /// What the decisions hear of it.
-    fn part(&mut self, kind: ListKind, entries: Vec<ListEntry>) -> (ListKind, Vec<ListEntry>) {
-        let Some((subset, held)) = &mut self.subset else { return (kind, entries) };
-        let line = |entry| Target { entry, address: None, uid: "".into() };
-        let news = subset.apply(kind, entries.into_iter().map(line).collect());
-        if matches!(news.kind, ListKind::Full | ListKind::Saved) {
-            held.clear();
+    /// Returns the update that the balancer receives: the whole one, or the part that concerns the subset.
+    fn subset_update(&mut self, kind: ListKind, entries: Vec<ListEntry>) -> (ListKind, Vec<ListEntry>) {
+        let Some((subset, members_up)) = &mut self.subset else { return (kind, entries) };
+        let target = |entry| Target { entry, address: None, uid: "".into() };
+        let update = subset.apply(kind, entries.into_iter().map(target).collect());
+        if matches!(update.kind, ListKind::Full | ListKind::Saved) {
+            members_up.clear();
         }
-        let entries: Vec<ListEntry> = news.lines.into_iter().map(|line| line.entry).collect();
+        let entries: Vec<ListEntry> = update.lines.into_iter().map(|line| line.entry).collect();
         for e in &entries {
             if e.health == Health::Up {
-                held.insert(e.backend)
+                members_up.insert(e.backend)
             } else {
-                held.remove(&e.backend)
+                members_up.remove(&e.backend)
             };
         }
-        (news.kind, entries)
+        (update.kind, entries)
     }
 
-    /// Closing on drains: a release has followed the notice, and the last outcome, within the time.
-    fn check_closed(&self) {
-        let Some(within) = self.s.drain_close_ms else { return };
-        for (b, since) in self.draining.iter().filter(|(_, since)| self.now > **since + within) {
-            let closed = self.released.get(b).is_some_and(|at| at >= since);
-            assert!(closed, "rule 3: connections to {b:?} are open {within} ms after {since}");
+    /// Checks that the idle connections to each draining backend were closed within `drain_close_ms` of the start of the
+    /// drain and of the last outcome there.
+    fn check_drained_connections(&self) {
+        let Some(limit_ms) = self.settings.drain_close_ms else { return };
+        for (b, since) in
+            self.draining_since_ms.iter().filter(|(_, since)| self.now_ms > **since + limit_ms)
+        {
+            let closed = self.idle_closed_at_ms.get(b).is_some_and(|closed_at| closed_at >= since);
+            assert!(closed, "rule 3: connections to {b:?} are open {limit_ms} ms after {since}");
         }
     }
 
-    pub fn ask(&mut self, class: usize, key: Option<u64>) -> RequestId {
-        let deadline = self.s.classes.get(class).map_or(500.0, |c| c.deadline_ms);
-        self.ask_with(class, key, deadline)
+    /// Sends the balancer a request with the deadline of its class.
+    pub fn send_request(&mut self, class: usize, key: Option<u64>) -> RequestId {
+        let limit_ms = self.settings.classes.get(class).map_or(500.0, |class| class.deadline_ms);
+        self.send_request_within(class, key, limit_ms)
     }
 
-    pub fn ask_with(&mut self, class: usize, key: Option<u64>, given: f64) -> RequestId {
-        self.next += 1;
-        let id = RequestId(self.next);
+    /// Sends the balancer a request whose deadline is `limit_ms` from now.
+    pub fn send_request_within(&mut self, class: usize, key: Option<u64>, limit_ms: f64) -> RequestId {
+        self.next_request_id += 1;
+        let id = RequestId(self.next_request_id);
         let request = Request {
             id,
             class,
             tenant: None,
             key,
-            deadline_ms: self.now + given,
+            deadline_ms: self.now_ms + limit_ms,
             effort_ms: None,
             retry: false,
         };
-        self.asked.insert(id, Asked { request, attempts: Vec::new(), answer: None });
+        self.requests.insert(id, RequestState { request, attempts: Vec::new(), result: None });
         self.feed(Event::Request(request));
         id
     }
 
-    /// The backend of a request's attempt that is out.
-    pub fn at(&self, id: RequestId) -> Option<BackendId> {
-        self.asked[&id].attempts.iter().find(|a| a.outcome.is_none()).map(|a| a.backend)
+    /// Returns the backend of the request's attempt in flight.
+    pub fn current_backend(&self, id: RequestId) -> Option<BackendId> {
+        self.requests[&id].attempts.iter().find(|a| a.outcome.is_none()).map(|a| a.backend)
     }
 
-    pub fn answer(&self, id: RequestId) -> Option<&'static str> {
-        self.asked[&id].answer
+    /// Returns the request's result, or None while it is open.
+    pub fn result(&self, id: RequestId) -> Option<&'static str> {
+        self.requests[&id].result
     }
 
-    /// Ends the attempt of a request that is out.
-    pub fn end(&mut self, id: RequestId, outcome: Outcome) {
-        self.end_with(id, outcome, Load::default());
+    /// Ends the request's attempt in flight.
+    pub fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
+        self.end_attempt_with_load(id, outcome, Load::default());
     }
 
-    /// The same, with a load report.
-    pub fn end_with(&mut self, id: RequestId, outcome: Outcome, load: Load) {
-        let now = self.now;
-        let Some(asked) = self.asked.get_mut(&id) else { return };
-        let Some(n) = asked.attempts.iter().position(|a| a.outcome.is_none()) else { return };
-        asked.attempts[n].outcome = Some(outcome);
-        if outcome == Outcome::Done && asked.answer.is_none() {
-            asked.answer = Some("done");
+    /// Ends the request's attempt in flight with a load report.
+    pub fn end_attempt_with_load(&mut self, id: RequestId, outcome: Outcome, load: Load) {
+        let now_ms = self.now_ms;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(n) = request.attempts.iter().position(|a| a.outcome.is_none()) else { return };
+        request.attempts[n].outcome = Some(outcome);
+        if outcome == Outcome::Done && request.result.is_none() {
+            request.result = Some("done");
         }
-        let last = asked.answer.is_some();
-        let (backend, elapsed_ms) = (asked.attempts[n].backend, now - asked.attempts[n].at);
-        if let Some(since) = self.draining.get_mut(&backend) {
-            *since = now;
+        let last = request.result.is_some();
+        let (backend, elapsed_ms) = (request.attempts[n].backend, now_ms - request.attempts[n].sent_at_ms);
+        if let Some(since) = self.draining_since_ms.get_mut(&backend) {
+            *since = now_ms;
         }
         self.feed(Event::AttemptEnded(AttemptEnded {
             id,
@@ -343,22 +391,23 @@
         }));
     }
 
-    /// Plays a long answer whose first bytes come after `first` and its last ones after `rest` more.
-    pub fn stream(&mut self, id: RequestId, first: f64, rest: f64, told: bool) {
-        self.wait(first);
-        let Some(n) = self.asked[&id].attempts.iter().position(|a| a.outcome.is_none()) else { return };
-        let backend = self.asked[&id].attempts[n].backend;
-        if let Some(asked) = self.asked.get_mut(&id) {
-            // What has begun is not timed out.
-            asked.attempts[n].ends = f64::INFINITY;
+    /// Ends the request's attempt in flight with a long response: its first bytes come after `first_ms`, its last ones
+    /// `rest_ms` later. The balancer is told of the first bytes if `reports_start`.
+    pub fn stream_response(&mut self, id: RequestId, first_ms: f64, rest_ms: f64, reports_start: bool) {
+        self.advance(first_ms);
+        let Some(n) = self.requests[&id].attempts.iter().position(|a| a.outcome.is_none()) else { return };
+        let backend = self.requests[&id].attempts[n].backend;
+        if let Some(request) = self.requests.get_mut(&id) {
+            // An attempt whose response has started does not time out.
+            request.attempts[n].times_out_at_ms = f64::INFINITY;
         }
-        if told {
-            self.feed(Event::ResponseStarted { id, attempt: n as u32, backend, elapsed_ms: first });
+        if reports_start {
+            self.feed(Event::ResponseStarted { id, attempt: n as u32, backend, elapsed_ms: first_ms });
         }
-        self.wait(rest);
-        if let Some(asked) = self.asked.get_mut(&id) {
-            asked.attempts[n].outcome = Some(Outcome::Done);
-            asked.answer = Some("done");
+        self.advance(rest_ms);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempts[n].outcome = Some(Outcome::Done);
+            request.result = Some("done");
         }
         let (outcome, load) = (Outcome::Done, Load::default());
         self.feed(Event::AttemptEnded(AttemptEnded {
@@ -367,92 +416,108 @@
             backend,
             outcome,
             last: true,
-            elapsed_ms: first,
+            elapsed_ms: first_ms,
             load,
         }));
     }
 
-    pub fn left(&mut self, id: RequestId) {
-        if let Some(a) = self.asked.get_mut(&id) {
-            a.answer.get_or_insert("left");
+    /// Disconnects the client of a request.
+    pub fn disconnect_client(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.result.get_or_insert("left");
         }
         self.feed(Event::ClientLeft(id));
     }
 
-    /// What the last look says of each attempt that is out, now and later, is what the rules say.
-    pub fn last_looks(&self) {
-        for (id, asked) in &self.asked {
-            for (n, sent) in asked.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none()) {
-                for at in [0.0, 150.3, 1200.7].map(|later| self.now + later) {
-                    let held = self.subset.as_ref().is_none_or(|(_, held)| held.contains(&sent.backend));
-                    let up = held && self.list[&sent.backend].health == Health::Up;
-                    let goes = up
-                        && asked.answer.is_none()
-                        && at < asked.request.deadline_ms
-                        && may_repeat(&self.s, &self.list, asked, n, sent.backend, at);
-                    let bars = self.balancer.check_before_send(at, *id, n as u32);
-                    assert_eq!(bars.is_none(), goes, "{id:?}, attempt {n}, at {at}: {bars:?}");
-                    // Neither may have run, and only a backend that leaves is held against it.
-                    let unsent = if up { Outcome::Skipped } else { Outcome::NotConnected };
-                    assert!(bars.is_none_or(|b| b == unsent), "{bars:?}, up {up}");
+    /// Checks that the balancer's check before a send agrees with the rules for each attempt in flight, now and later.
+    pub fn verify_checks_before_send(&self) {
+        for (id, request) in &self.requests {
+            for (n, attempt) in request.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none()) {
+                for at_ms in [0.0, 150.3, 1200.7].map(|later_ms| self.now_ms + later_ms) {
+                    let is_held = self
+                        .subset
+                        .as_ref()
+                        .is_none_or(|(_, members_up)| members_up.contains(&attempt.backend));
+                    let is_up = is_held && self.list[&attempt.backend].health == Health::Up;
+                    let may_send = is_up
+                        && request.result.is_none()
+                        && at_ms < request.request.deadline_ms
+                        && may_repeat(&self.settings, &self.list, request, n, attempt.backend, at_ms);
+                    let obstacle = self.balancer.check_before_send(at_ms, *id, n as u32);
+                    assert_eq!(
+                        obstacle.is_none(),
+                        may_send,
+                        "{id:?}, attempt {n}, at {at_ms}: {obstacle:?}"
+                    );
+                    // Both outcomes mean that the attempt was not sent; only a backend that leaves is blamed for it.
+                    let unsent = if is_up { Outcome::Skipped } else { Outcome::NotConnected };
+                    assert!(obstacle.is_none_or(|outcome| outcome == unsent), "{obstacle:?}, up {is_up}");
                 }
             }
         }
     }
 
-    /// Moves the clock, with every timer and time-out on the way.
-    pub fn run_to(&mut self, until: f64) {
+    /// Advances the clock to `until_ms`. Timers and time-outs that fall due on the way fire in order.
+    pub fn advance_to(&mut self, until_ms: f64) {
         loop {
-            let due = self.timers.iter().map(|t| t.0).fold(f64::INFINITY, f64::min);
-            let over = (self.asked.iter())
-                .flat_map(|(id, a)| {
-                    a.attempts.iter().filter(|a| a.outcome.is_none()).map(|s| (s.ends, *id))
+            let due_ms = self.timers.iter().map(|timer| timer.0).fold(f64::INFINITY, f64::min);
+            let first_timeout = (self.requests.iter())
+                .flat_map(|(id, request)| {
+                    request
+                        .attempts
+                        .iter()
+                        .filter(|a| a.outcome.is_none())
+                        .map(|a| (a.times_out_at_ms, *id))
                 })
                 .min_by(|a, b| a.0.total_cmp(&b.0));
-            let ends = over.map_or(f64::INFINITY, |o| o.0);
-            let next = due.min(ends);
-            if next > until {
+            let timeout_ms = first_timeout.map_or(f64::INFINITY, |timeout| timeout.0);
+            let next_ms = due_ms.min(timeout_ms);
+            if next_ms > until_ms {
                 break;
             }
-            self.now = self.now.max(next);
-            if ends <= due {
-                if let Some((_, id)) = over {
-                    self.end(id, Outcome::TimedOut);
+            self.now_ms = self.now_ms.max(next_ms);
+            if timeout_ms <= due_ms {
+                if let Some((_, id)) = first_timeout {
+                    self.end_attempt(id, Outcome::TimedOut);
                 }
-            } else if let Some(n) = self.timers.iter().position(|t| t.0 == due) {
+            } else if let Some(n) = self.timers.iter().position(|timer| timer.0 == due_ms) {
                 let (_, token) = self.timers.swap_remove(n);
                 self.feed(Event::Timer(token));
             }
         }
-        self.now = self.now.max(until);
-        self.check_closed();
-        for (id, a) in &self.asked {
-            let late = self.now > a.request.deadline_ms + ANSWER_SLACK_MS;
-            assert!(!late || a.answer.is_some(), "rule 1: {id:?} has no answer in time");
+        self.now_ms = self.now_ms.max(until_ms);
+        self.check_drained_connections();
+        for (id, request) in &self.requests {
+            let is_late = self.now_ms > request.request.deadline_ms + ANSWER_SLACK_MS;
+            assert!(!is_late || request.result.is_some(), "rule 1: {id:?} has no answer in time");
         }
     }
 
-    pub fn wait(&mut self, ms: f64) {
-        self.run_to(self.now + ms);
+    /// Advances the clock by a number of milliseconds.
+    pub fn advance(&mut self, ms: f64) {
+        self.advance_to(self.now_ms + ms);
     }
 
-    /// Sends and answers requests for a while, so that the balancer has something to go by.
-    pub fn warm_up(&mut self, requests: u64, class: usize, each_ms: f64) {
+    /// Sends `requests` requests one after the other, each answered after `response_ms`. They give the balancer the
+    /// statistics that its decisions need.
+    pub fn warm_up(&mut self, requests: u64, class: usize, response_ms: f64) {
         for n in 0..requests {
-            let id = self.ask(class, Some(n % 97));
-            self.wait(each_ms);
-            self.end(id, Outcome::Done);
+            let id = self.send_request(class, Some(n % 97));
+            self.advance(response_ms);
+            self.end_attempt(id, Outcome::Done);
         }
     }
 
-    pub fn probed(&mut self, outcome: Outcome) {
-        for backend in std::mem::take(&mut self.probes) {
+    /// Ends all probes in flight.
+    pub fn end_probes(&mut self, outcome: Outcome) {
+        for backend in std::mem::take(&mut self.pending_probes) {
             self.feed(Event::ProbeEnded { backend, outcome, elapsed_ms: 1.0, load: Load::default() });
         }
     }
 }
 
-pub fn up(n: u64) -> ListEntry {
+/// Returns the list entry of the `n`th backend, which is up and warm.
+pub fn up_entry(n: u64) -> ListEntry {
     ListEntry {
         backend: BackendId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         zone: (n % 2) as u16,
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,8 +1,8 @@
-//! Property tests with random sequences of events. The world in `tests/common` checks the operators' four rules at
+//! Property tests with random sequences of events. The harness in `tests/common` checks the operators' four rules at
 //! every action.
 mod common;
 
-use common::{World, settings, up};
+use common::{Harness, settings, up_entry};
 use daleturn::control::subset::Subset;
 use daleturn::interface::*;
 use proptest::prelude::*;
@@ -62,15 +62,15 @@
     ]
 }
 
-/// Runs the steps in a world and returns all actions. `subset`: size of the node's subset of the list.
+/// Runs the steps in a harness and returns all actions. `subset`: size of the node's subset of the list.
 fn run_steps(s: Settings, seed: u64, steps: &[Step], subset: Option<usize>) -> Vec<Action> {
-    let mut world = World::new(s.clone(), seed);
-    world.subset = subset.map(|size| (Subset::new(size, &s), BTreeSet::new()));
-    world.list(ListKind::Full, (1..=6).map(up).collect());
+    let mut harness = Harness::new(s.clone(), seed);
+    harness.subset = subset.map(|size| (Subset::new(size, &s), BTreeSet::new()));
+    harness.update_list(ListKind::Full, (1..=6).map(up_entry).collect());
     for step in steps {
-        world.last_looks();
-        let open: Vec<RequestId> = world
-            .asked
+        harness.verify_checks_before_send();
+        let open: Vec<RequestId> = harness
+            .requests
             .iter()
             .filter(|(_, a)| a.attempts.iter().any(|t| t.outcome.is_none()))
             .map(|(i, _)| *i)
@@ -78,45 +78,45 @@
         let nth = |n: usize| open.get(n % open.len().max(1)).copied();
         match step {
             Step::Request(c, k, d) => {
-                world.ask_with(*c, *k, *d);
+                harness.send_request_within(*c, *k, *d);
             }
             Step::AttemptEnd(n, o) => {
                 if let Some(id) = nth(*n) {
-                    world.end(id, *o);
+                    harness.end_attempt(id, *o);
                 }
             }
             Step::ClientLeave(n) => {
                 if let Some(id) = nth(*n) {
-                    world.left(id);
+                    harness.disconnect_client(id);
                 }
             }
-            Step::Wait(ms) => world.wait(*ms),
+            Step::Wait(ms) => harness.advance(*ms),
             Step::List(ListKind::Failed, _) => {
-                world.feed(Event::List { kind: ListKind::Failed, entries: vec![] })
+                harness.feed(Event::List { kind: ListKind::Failed, entries: vec![] })
             }
             Step::List(kind, entries) => {
-                let now = world.now;
+                let now = harness.now_ms;
                 let entries = (entries.iter())
                     .map(|(n, health, fresh)| ListEntry {
                         health: *health,
                         ready_at_ms: if *fresh { now } else { 0.0 },
-                        ..up(*n)
+                        ..up_entry(*n)
                     })
                     .collect();
-                world.list(*kind, entries);
+                harness.update_list(*kind, entries);
             }
-            Step::ProbeEnd(o) => world.probed(*o),
+            Step::ProbeEnd(o) => harness.end_probes(*o),
             Step::Unknown(n) => {
                 // Such events are ignored.
-                world.feed(Event::Timer(n.wrapping_add(100)));
-                world.feed(Event::ClientLeft(RequestId(n | 1 << 40)));
-                world.feed(Event::ProbeEnded {
+                harness.feed(Event::Timer(n.wrapping_add(100)));
+                harness.feed(Event::ClientLeft(RequestId(n | 1 << 40)));
+                harness.feed(Event::ProbeEnded {
                     backend: BackendId(*n),
                     outcome: Outcome::Done,
                     elapsed_ms: 1.0,
                     load: Load::default(),
                 });
-                world.feed(Event::AttemptEnded(AttemptEnded {
+                harness.feed(Event::AttemptEnded(AttemptEnded {
                     id: RequestId(n | 1 << 40),
                     attempt: 0,
                     backend: BackendId(*n),
@@ -128,11 +128,11 @@
             }
         }
     }
-    world.wait(3000.0);
-    for (id, a) in &world.asked {
-        assert!(a.answer.is_some(), "rule 1: {id:?} was never answered");
+    harness.advance(3000.0);
+    for (id, a) in &harness.requests {
+        assert!(a.result.is_some(), "rule 1: {id:?} was never answered");
     }
-    world.trace
+    harness.trace
 }
 
 fn runner() -> TestRunner {
