--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -1,4 +1,5 @@
-//! A node under test: the real binary, with small fake backends, discovery and clients on loopback.
+//! Helpers for tests of the node: they start the real binary, with fake backends, a fake discovery service and clients on
+//! loopback addresses.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -11,30 +12,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything that should happen.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// Time that a test waits for an expected event before it fails.
+pub const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// Waits until `done`, for `PATIENCE` at most.
+/// Waits until `done` returns true.
+///
+/// # Panics
+///
+/// If that takes longer than `MAX_WAIT`; `what` names the expected event.
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + MAX_WAIT;
     while !done() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(Instant::now() < end, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A socket that connects, as the system lists it.
+/// State of a socket that is connecting, as in `/proc/net/tcp`.
 pub const SYN_SENT: &str = "02";
 
-/// Some socket is connected, or connecting, to `remote` and in that state.
-pub fn tcp_state(remote: SocketAddr, state: &str) -> bool {
+/// True if a socket that is connected or connecting to `remote` is in `state`.
+pub fn has_tcp_socket(remote: SocketAddr, state: &str) -> bool {
     let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
     sockets.contains(&format!(":{:04X} {state}", remote.port()))
 }
 
-/// The socket between these two, or any that has one of them where the other is none, holds bytes that nobody has read.
-pub fn unread(local: Option<SocketAddr>, remote: Option<SocketAddr>) -> bool {
-    let is = |field: &str, address: Option<SocketAddr>| match address {
+/// True if a socket with these addresses holds received bytes that were not read yet. None stands for any address.
+pub fn has_unread_bytes(local: Option<SocketAddr>, remote: Option<SocketAddr>) -> bool {
+    let matches = |field: &str, address: Option<SocketAddr>| match address {
         Some(SocketAddr::V4(a)) => {
             field == format!("{:08X}:{:04X}", u32::from_le_bytes(a.ip().octets()), a.port())
         }
@@ -43,13 +48,13 @@
     let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
     sockets.lines().map(|l| l.split_whitespace().collect::<Vec<_>>()).any(|fields| {
         fields.len() > 4
-            && is(fields[1], local)
-            && is(fields[2], remote)
+            && matches(fields[1], local)
+            && matches(fields[2], remote)
             && !fields[4].ends_with(":00000000")
     })
 }
 
-/// An address of this process's own with a port that nothing listens on.
+/// Returns an address that nothing listens on, in a part of the loopback network that only this process uses.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -58,7 +63,7 @@
     TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap()
 }
 
-/// One HTTP message as it came.
+/// An HTTP request or response as received.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub first_line: String,
@@ -67,6 +72,7 @@
 }
 
 impl Message {
+    /// Reads one message; None if the stream ends before the message does, or the message is malformed.
     pub fn read(stream: &mut impl BufRead) -> Option<Message> {
         let mut message = Message::default();
         loop {
@@ -86,9 +92,9 @@
         }
         let length = message.headers.get("content-length").and_then(|l| l.parse().ok());
         if message.header("transfer-encoding").is_some_and(|t| t.contains("chunked")) {
-            message.body = Message::chunks(stream)?;
+            message.body = Message::read_chunks(stream)?;
         } else if length.is_none() && message.first_line.starts_with("HTTP/") {
-            // An answer that the end of the connection ends.
+            // The end of the connection ends a response without a length.
             stream.read_to_end(&mut message.body).ok()?;
         } else {
             message.body = vec![0; length.unwrap_or(0)];
@@ -97,19 +103,19 @@
         Some(message)
     }
 
-    fn chunks(stream: &mut impl BufRead) -> Option<Vec<u8>> {
+    fn read_chunks(stream: &mut impl BufRead) -> Option<Vec<u8>> {
         let mut body = Vec::new();
         loop {
             let mut line = String::new();
             stream.read_line(&mut line).ok()?;
             let size = usize::from_str_radix(line.split(';').next()?.trim(), 16).ok()?;
-            let from = body.len();
-            body.resize(from + size, 0);
-            stream.read_exact(&mut body[from..]).ok()?;
+            let start = body.len();
+            body.resize(start + size, 0);
+            stream.read_exact(&mut body[start..]).ok()?;
             line.clear();
             stream.read_line(&mut line).ok()?;
             if size == 0 {
-                // Trailers, up to the empty line.
+                // Trailers end with an empty line.
                 while !line.trim_end().is_empty() {
                     line.clear();
                     stream.read_line(&mut line).ok()?;
@@ -119,10 +125,12 @@
         }
     }
 
+    /// Returns the value of a header, whose name is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 
+    /// Returns the status code of a response, or 0 if it has none.
     pub fn status(&self) -> u16 {
         self.first_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
@@ -130,149 +138,153 @@
 
 /// What a fake backend does with a request.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Writes this and goes on.
-    Say(Vec<u8>),
-    /// Writes this and closes.
-    SayAndClose(Vec<u8>),
-    /// Writes this and resets.
-    SayAndReset(Vec<u8>),
-    /// Writes this and closes a moment after the other side has read it.
-    SayAndCloseLater(Vec<u8>),
-    /// Keeps the connection open and says nothing.
+pub enum Action {
+    /// Sends the bytes and keeps the connection open.
+    Send(Vec<u8>),
+    /// Sends the bytes and closes the connection.
+    SendAndClose(Vec<u8>),
+    /// Sends the bytes and resets the connection.
+    SendAndReset(Vec<u8>),
+    /// Sends the bytes and closes the connection 50 ms later, when the other side has read them.
+    SendAndCloseLater(Vec<u8>),
+    /// Keeps the connection open and sends nothing.
     Silent,
-    /// Writes one part after the other, each after so many milliseconds, and goes on.
+    /// Sends the parts, each after a pause in milliseconds, and keeps the connection open.
     Parts(Vec<(u64, Vec<u8>)>),
-    /// The same and closes.
+    /// Sends the parts, each after a pause in milliseconds, and closes the connection.
     PartsAndClose(Vec<(u64, Vec<u8>)>),
 }
 
-/// Writes parts with their pauses; false once nobody takes them.
+/// Sends parts, each after its pause in milliseconds. Returns false if the connection breaks.
 fn write_parts(stream: &mut TcpStream, parts: &[(u64, Vec<u8>)]) -> bool {
-    parts.iter().all(|(pause, part)| {
-        thread::sleep(Duration::from_millis(*pause));
+    parts.iter().all(|(pause_ms, part)| {
+        thread::sleep(Duration::from_millis(*pause_ms));
         stream.write_all(part).is_ok()
     })
 }
 
-pub fn reply(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
+/// Returns the bytes of a response. Each line of `headers` ends with CR LF.
+pub fn http_response(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes =
         format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
     bytes
 }
 
-pub fn ok(body: &[u8]) -> Act {
-    Act::Say(reply("200 OK", "", body))
+/// A 200 response with a body.
+pub fn ok(body: &[u8]) -> Action {
+    Action::Send(http_response("200 OK", "", body))
 }
 
-type Script = Arc<dyn Fn(usize, &Message) -> Act + Send + Sync>;
+type Handler = Arc<dyn Fn(usize, &Message) -> Action + Send + Sync>;
 
-/// Fake backends that share one script and one record of what they were sent.
+/// Requests and connections that fake backends have received.
 #[derive(Clone, Default)]
-pub struct Record {
-    pub seen: Arc<Mutex<Vec<Message>>>,
-    pub opened: Arc<AtomicU32>,
-    pub closed: Arc<AtomicU32>,
+pub struct Traffic {
+    pub requests: Arc<Mutex<Vec<Message>>>,
+    pub connections_opened: Arc<AtomicU32>,
+    pub connections_closed: Arc<AtomicU32>,
 }
 
-impl Record {
-    pub fn count(&self) -> usize {
-        self.seen.lock().unwrap().len()
+impl Traffic {
+    pub fn request_count(&self) -> usize {
+        self.requests.lock().unwrap().len()
     }
 
-    pub fn open_now(&self) -> u32 {
-        self.opened.load(Ordering::SeqCst) - self.closed.load(Ordering::SeqCst)
+    pub fn open_connections(&self) -> u32 {
+        self.connections_opened.load(Ordering::SeqCst) - self.connections_closed.load(Ordering::SeqCst)
     }
 }
 
-/// Starts a backend. `script` gets the number of the request over all backends of the record, from 0.
-pub fn backend(
-    record: &Record,
-    script: impl Fn(usize, &Message) -> Act + Send + Sync + 'static,
+/// Starts a fake backend. `handler` decides what it does with each request; the first argument is the number of the request
+/// among all that `traffic` counts, from 0.
+pub fn start_backend(
+    traffic: &Traffic,
+    handler: impl Fn(usize, &Message) -> Action + Send + Sync + 'static,
 ) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
-    backend_on(listener, record, Arc::new(script));
+    serve_backend(listener, traffic, Arc::new(handler));
     address
 }
 
-/// `count` backends with one script.
-pub fn backends(
+/// Starts `count` fake backends with the same handler.
+pub fn start_backends(
     count: usize,
-    record: &Record,
-    script: impl Fn(usize, &Message) -> Act + Send + Sync + 'static,
+    traffic: &Traffic,
+    handler: impl Fn(usize, &Message) -> Action + Send + Sync + 'static,
 ) -> Vec<SocketAddr> {
-    let script: Script = Arc::new(script);
+    let handler: Handler = Arc::new(handler);
     (0..count)
         .map(|_| {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
             let address = listener.local_addr().unwrap();
-            backend_on(listener, record, script.clone());
+            serve_backend(listener, traffic, handler.clone());
             address
         })
         .collect()
 }
 
-fn backend_on(listener: TcpListener, record: &Record, script: Script) {
-    let record = record.clone();
+fn serve_backend(listener: TcpListener, traffic: &Traffic, handler: Handler) {
+    let traffic = traffic.clone();
     thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(stream) = stream else { return };
-            let (record, script) = (record.clone(), script.clone());
-            record.opened.fetch_add(1, Ordering::SeqCst);
+            let (traffic, handler) = (traffic.clone(), handler.clone());
+            traffic.connections_opened.fetch_add(1, Ordering::SeqCst);
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let mut stream = stream;
                 while let Some(message) = Message::read(&mut reader) {
                     let n = {
-                        let mut seen = record.seen.lock().unwrap();
-                        seen.push(message.clone());
-                        seen.len() - 1
+                        let mut requests = traffic.requests.lock().unwrap();
+                        requests.push(message.clone());
+                        requests.len() - 1
                     };
-                    match script(n, &message) {
-                        Act::Say(bytes) => drop(stream.write_all(&bytes)),
-                        Act::SayAndClose(bytes) => {
+                    match handler(n, &message) {
+                        Action::Send(bytes) => drop(stream.write_all(&bytes)),
+                        Action::SendAndClose(bytes) => {
                             let _ = stream.write_all(&bytes);
                             break;
                         }
-                        Act::SayAndReset(bytes) => {
+                        Action::SendAndReset(bytes) => {
                             let _ = stream.write_all(&bytes);
-                            // What was written has to arrive first.
+                            // The bytes must arrive before the reset, which would discard them.
                             thread::sleep(Duration::from_millis(50));
                             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                             break;
                         }
-                        Act::SayAndCloseLater(bytes) => {
+                        Action::SendAndCloseLater(bytes) => {
                             let _ = stream.write_all(&bytes);
                             thread::sleep(Duration::from_millis(50));
                             break;
                         }
-                        Act::Silent => {}
-                        Act::Parts(parts) => {
+                        Action::Silent => {}
+                        Action::Parts(parts) => {
                             if !write_parts(&mut stream, &parts) {
                                 break;
                             }
                         }
-                        Act::PartsAndClose(parts) => {
+                        Action::PartsAndClose(parts) => {
                             write_parts(&mut stream, &parts);
                             break;
                         }
                     }
                 }
                 drop((stream, reader));
-                record.closed.fetch_add(1, Ordering::SeqCst);
+                traffic.connections_closed.fetch_add(1, Ordering::SeqCst);
             });
         }
     });
 }
 
+/// Returns the entry of a backend in a list of the discovery service.
 pub fn target(uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "m", "pod_group": 0,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// All of `addresses`, up, named by their place.
+/// Returns entries for `addresses`, all up, with the IDs `s-0`, `s-1` and so on.
 pub fn all_up(addresses: &[SocketAddr]) -> Vec<Value> {
     addresses.iter().enumerate().map(|(n, a)| target(&format!("s-{n}"), *a, "up")).collect()
 }
@@ -281,12 +293,12 @@
 struct ListState {
     rev: u64,
     targets: Vec<Value>,
-    silent: bool,
-    hasty: bool,
+    is_silent: bool,
+    is_immediate: bool,
     calls: Vec<String>,
 }
 
-/// A fake discovery that always tells the whole list.
+/// A fake discovery service that always sends the full list.
 #[derive(Clone)]
 pub struct Discovery {
     state: Arc<(Mutex<ListState>, Condvar)>,
@@ -307,13 +319,13 @@
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let own = own.clone();
-                thread::spawn(move || own.converse(stream.unwrap()));
+                thread::spawn(move || own.serve_connection(stream.unwrap()));
             }
         });
         discovery
     }
 
-    fn converse(&self, mut stream: TcpStream) {
+    fn serve_connection(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(message) = Message::read(&mut reader) {
             let number = |name: &str| {
@@ -325,48 +337,51 @@
             let (lock, changed) = &*self.state;
             let mut state = lock.lock().unwrap();
             state.calls.push(message.first_line.clone());
-            while state.silent || (!state.hasty && state.rev <= after && Instant::now() < end) {
+            while state.is_silent || (!state.is_immediate && state.rev <= after && Instant::now() < end) {
                 state = changed.wait_timeout(state, Duration::from_millis(50)).unwrap().0;
             }
-            let fresh = state.rev > after;
-            let targets = if fresh { state.targets.clone() } else { Vec::new() };
-            let body = json!({"rev": state.rev, "all": fresh, "targets": targets}).to_string();
+            let has_changed = state.rev > after;
+            let targets = if has_changed { state.targets.clone() } else { Vec::new() };
+            let body = json!({"rev": state.rev, "all": has_changed, "targets": targets}).to_string();
             drop(state);
-            if stream.write_all(&reply("200 OK", "", body.as_bytes())).is_err() {
+            if stream.write_all(&http_response("200 OK", "", body.as_bytes())).is_err() {
                 return;
             }
         }
     }
 
-    pub fn set(&self, targets: Vec<Value>) {
+    /// Replaces the list under a new version.
+    pub fn set_targets(&self, targets: Vec<Value>) {
         let mut state = self.state.0.lock().unwrap();
         state.rev += 1;
         state.targets = targets;
         self.state.1.notify_all();
     }
 
-    pub fn silent(&self, silent: bool) {
-        self.state.0.lock().unwrap().silent = silent;
+    /// Leaves all calls unanswered while `is_silent`.
+    pub fn set_silent(&self, is_silent: bool) {
+        self.state.0.lock().unwrap().is_silent = is_silent;
         self.state.1.notify_all();
     }
 
-    /// Answers watches at once, news or not.
-    pub fn hasty(&self, hasty: bool) {
-        self.state.0.lock().unwrap().hasty = hasty;
+    /// Answers watches at once, even if nothing has changed, while `is_immediate`.
+    pub fn set_immediate(&self, is_immediate: bool) {
+        self.state.0.lock().unwrap().is_immediate = is_immediate;
     }
 
-    /// Calls that were made so far.
-    pub fn calls(&self) -> usize {
+    /// Returns the number of calls so far.
+    pub fn call_count(&self) -> usize {
         self.state.0.lock().unwrap().calls.len()
     }
 
-    /// The first line of the first call, once there is one.
+    /// Waits for the first call and returns its request line.
     pub fn first_call(&self) -> String {
-        wait_for("a call", || self.calls() > 0);
+        wait_for("a call", || self.call_count() > 0);
         self.state.0.lock().unwrap().calls[0].clone()
     }
 }
 
+/// Returns the settings of a node, as they stand in its configuration file.
 pub fn settings() -> Value {
     json!({
         "areas": ["a", "b"], "zone": "a", "instances": 1, "slotNo": 0, "tickMs": 5.0,
@@ -385,40 +400,40 @@
     })
 }
 
-/// A running node; it is killed when dropped.
+/// A running node process, which is killed when the value is dropped.
 pub struct Node {
     pub address: SocketAddr,
     pub operator: SocketAddr,
     child: Child,
-    file: std::path::PathBuf,
+    config_file: std::path::PathBuf,
     config: Value,
     log: Arc<Mutex<String>>,
-    reader: Option<thread::JoinHandle<()>>,
+    log_reader: Option<thread::JoinHandle<()>>,
 }
 
-/// Collects what a child writes to its log.
+/// Collects the log that a child process writes to its standard error.
 fn read_log(child: &mut Child) -> (Arc<Mutex<String>>, Option<thread::JoinHandle<()>>) {
     let log = Arc::new(Mutex::new(String::new()));
-    let (lines, into) = (BufReader::new(child.stderr.take().unwrap()), log.clone());
-    let reader = thread::spawn(move || {
+    let (lines, shared_log) = (BufReader::new(child.stderr.take().unwrap()), log.clone());
+    let log_reader = thread::spawn(move || {
         for line in lines.lines().map_while(Result::ok) {
-            let mut log = into.lock().unwrap();
+            let mut log = shared_log.lock().unwrap();
             log.push_str(&line);
             log.push('\n');
         }
     });
-    (log, Some(reader))
+    (log, Some(log_reader))
 }
 
 impl Node {
-    /// Starts one and waits until it says it can serve.
+    /// Starts a node and waits until `/up` returns 200. `change` edits its configuration.
     pub fn start(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Node {
         let node = Node::launch(discovery, change, "exec \"$0\"");
-        wait_for("/up is 200", || node.up() == 200);
+        wait_for("/up is 200", || node.up_status() == 200);
         node
     }
 
-    /// Starts one by a shell command in which `$0` is the program.
+    /// Starts a node by a shell command in which `$0` is the program. `change` edits its configuration.
     pub fn launch(discovery: SocketAddr, change: impl FnOnce(&mut Value), command: &str) -> Node {
         Node::start_child(discovery, change, command, true).0
     }
@@ -427,7 +442,7 @@
         discovery: SocketAddr,
         change: impl FnOnce(&mut Value),
         command: &str,
-        read: bool,
+        read_log_lines: bool,
     ) -> (Node, Option<ChildStderr>) {
         let (address, operator) = (free_address(), free_address());
         let mut config = json!({
@@ -437,97 +452,101 @@
         });
         change(&mut config);
         let name = format!("daleturn-node-test-{}-{}.json", std::process::id(), address.ip());
-        let file = std::env::temp_dir().join(name);
-        std::fs::write(&file, config.to_string()).unwrap();
+        let config_file = std::env::temp_dir().join(name);
+        std::fs::write(&config_file, config.to_string()).unwrap();
         let mut child = Command::new("/bin/sh")
             .args(["-c", command, env!("CARGO_BIN_EXE_daleturn-node")])
-            .env("LB_CONFIG", &file)
+            .env("LB_CONFIG", &config_file)
             .env("LB_DISCOVERY", discovery.to_string())
             .env_remove("TMPDIR")
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let unread = if read { None } else { child.stderr.take() };
-        let (log, reader) = if read { read_log(&mut child) } else { Default::default() };
-        (Node { address, operator, child, file, config, log, reader }, unread)
+        let unread_log = if read_log_lines { None } else { child.stderr.take() };
+        let (log, log_reader) = if read_log_lines { read_log(&mut child) } else { Default::default() };
+        (Node { address, operator, child, config_file, config, log, log_reader }, unread_log)
     }
 
-    /// Starts one with the product's own file, and nobody who reads its log until `unread` is over.
-    pub fn launch_with(
+    /// Starts a node with an options file (`daleturn.toml`). Unless `read_log_lines` is set its log stays unread, and the
+    /// pipe is returned.
+    pub fn launch_with_options(
         discovery: SocketAddr,
         options: &std::path::Path,
-        read: bool,
+        read_log_lines: bool,
     ) -> (Node, Option<ChildStderr>) {
         let command = format!("DALETURN_CONFIG='{}' exec \"$0\"", options.display());
-        Node::start_child(discovery, |_| {}, &command, read)
+        Node::start_child(discovery, |_| {}, &command, read_log_lines)
     }
 
-    /// Starts the next process of the same node, with a second address of its own.
-    pub fn beside(&self, command: &str) -> Node {
+    /// Starts the node's next process, as an upgrade does, with an operators' address of its own.
+    pub fn start_successor(&self, command: &str) -> Node {
         let operator = free_address();
         let mut child = Command::new("/bin/sh")
             .args(["-c", command, env!("CARGO_BIN_EXE_daleturn-node")])
-            .env("LB_CONFIG", &self.file)
+            .env("LB_CONFIG", &self.config_file)
             .env("LB_OPERATOR", operator.to_string())
             .env_remove("TMPDIR")
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let (file, config) = (self.file.clone(), self.config.clone());
-        let (log, reader) = read_log(&mut child);
-        Node { address: self.address, operator, child, file, config, log, reader }
+        let (config_file, config) = (self.config_file.clone(), self.config.clone());
+        let (log, log_reader) = read_log(&mut child);
+        Node { address: self.address, operator, child, config_file, config, log, log_reader }
     }
 
-    /// Ends it with no time for anything.
+    /// Ends the process by SIGKILL.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// The same of a node that may not be there yet.
-    pub fn call_if_there(&self, call: &str) -> Option<String> {
-        try_operator(self.operator, format!("{call}\n").as_bytes())
+    /// Returns the answer to an operators' call, or None if the node cannot be reached.
+    pub fn try_call(&self, call: &str) -> Option<String> {
+        try_call_operator(self.operator, format!("{call}\n").as_bytes())
     }
 
-    /// What an operator is answered.
+    /// Returns the answer to an operators' call.
     pub fn call(&self, call: &str) -> String {
-        operator(self.operator, format!("{call}\n").as_bytes())
+        call_operator(self.operator, format!("{call}\n").as_bytes())
     }
 
-    pub fn up(&self) -> u16 {
-        attempt(self.address, b"GET /up HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
+    /// Returns the status of `/up`, or 0 if there is no response.
+    pub fn up_status(&self) -> u16 {
+        try_fetch(self.address, b"GET /up HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
             .map_or(0, |m| m.status())
     }
 
-    pub fn descriptors(&self) -> usize {
+    /// Returns the number of open descriptors of the process.
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// The most memory that it ever held, in bytes.
-    pub fn most_memory(&self) -> usize {
+    /// Returns the peak resident memory of the process, in bytes.
+    pub fn peak_memory_bytes(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
         line.trim().trim_end_matches(" kB").parse::<usize>().unwrap() * 1024
     }
 
-    /// Clock ticks of CPU used so far.
+    /// Returns the CPU time that the process has used, in clock ticks.
     pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Puts a configuration that names this discovery in the file's place, or one that cannot be read, and says so.
-    pub fn reconfigure(&mut self, discovery: Option<SocketAddr>) {
+    /// Writes a configuration with this discovery address, or an unreadable one for None, and sends SIGHUP.
+    pub fn set_discovery(&mut self, discovery: Option<SocketAddr>) {
         let text = discovery.map(|address| {
             self.config["discovery"] = address.to_string().into();
             self.config.to_string()
         });
-        std::fs::write(&self.file, text.unwrap_or_else(|| "{".to_owned())).unwrap();
+        std::fs::write(&self.config_file, text.unwrap_or_else(|| "{".to_owned())).unwrap();
         self.signal("-HUP");
     }
 
@@ -536,12 +555,12 @@
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
     }
 
-    pub fn running(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// Waits for its end.
-    pub fn ended(&mut self) -> ExitStatus {
+    /// Waits until the process exits.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_for("the node ends", || {
             status = self.child.try_wait().unwrap();
@@ -550,54 +569,56 @@
         status.unwrap()
     }
 
-    /// What it wrote; it must have ended.
+    /// Returns the whole log. The process must have exited.
     pub fn log(&mut self) -> String {
-        drop(self.reader.take().map(thread::JoinHandle::join));
+        drop(self.log_reader.take().map(thread::JoinHandle::join));
         self.log.lock().unwrap().clone()
     }
 
-    /// Lines so far that hold `text`.
-    pub fn logged(&self, text: &str) -> usize {
+    /// Returns the number of log lines so far that contain `text`.
+    pub fn count_log_lines(&self, text: &str) -> usize {
         self.log.lock().unwrap().lines().filter(|l| l.contains(text)).count()
     }
 
-    /// The configuration that it was last given.
+    /// Returns the configuration that the node was last given by `start`, `launch` or `set_discovery`.
     pub fn config(&self) -> Value {
         self.config.clone()
     }
 
-    /// Puts this in the configuration file's place, says so, and waits until it is taken or turned down.
-    pub fn replace(&mut self, text: &str, taken: bool) {
-        let line = if taken { "config.taken" } else { "config.refused" };
-        let before = self.logged(line);
-        std::fs::write(&self.file, text).unwrap();
+    /// Writes the configuration file, sends SIGHUP and waits until the node logs that it took the file, or refused it.
+    pub fn replace_config(&mut self, text: &str, is_taken: bool) {
+        let line = if is_taken { "config.taken" } else { "config.refused" };
+        let before = self.count_log_lines(line);
+        std::fs::write(&self.config_file, text).unwrap();
         self.signal("-HUP");
-        wait_for(line, || self.logged(line) > before);
+        wait_for(line, || self.count_log_lines(line) > before);
     }
 
-    /// From here on it does nothing, while the system goes on taking what is sent to it.
-    pub fn freeze(&self) {
+    /// Stops the process (SIGSTOP). The kernel still accepts connections and receives bytes for it.
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        wait_for("it stands still", || std::fs::read_to_string(&stat).unwrap().contains(") T "));
+        wait_for("the process is stopped", || std::fs::read_to_string(&stat).unwrap().contains(") T "));
     }
 
-    /// It meets all of that at once.
-    pub fn thaw(&self) {
+    /// Lets a stopped process continue (SIGCONT).
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    pub fn hang_up(&self) {
+    /// Sends SIGHUP.
+    pub fn send_sighup(&self) {
         self.signal("-HUP");
     }
 
-    /// The name of its configuration's file.
-    pub fn file(&self) -> String {
-        self.file.display().to_string()
+    /// Returns the path of the configuration file.
+    pub fn config_path(&self) -> String {
+        self.config_file.display().to_string()
     }
 
+    /// Writes the configuration file without a signal.
     pub fn write_config(&self, text: &str) {
-        std::fs::write(&self.file, text).unwrap();
+        std::fs::write(&self.config_file, text).unwrap();
     }
 }
 
@@ -605,11 +626,11 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
 
-/// A client's connection.
+/// A connection of a client.
 pub struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -621,28 +642,29 @@
     }
 
     pub fn try_connect(address: SocketAddr) -> Option<Client> {
-        let stream = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let stream = TcpStream::connect_timeout(&address, MAX_WAIT).ok()?;
+        stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         let reader = BufReader::new(stream.try_clone().unwrap());
         Some(Client { stream, reader })
     }
 
+    /// Sends bytes. Returns false if the connection is broken.
     pub fn send(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).is_ok()
     }
 
-    /// The answer, if a whole one comes.
-    pub fn answer(&mut self) -> Option<Message> {
+    /// Reads a response; None if the connection ends before the response is complete.
+    pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
-    /// Something comes; it stays to be read.
-    pub fn first_byte(&mut self) -> bool {
+    /// Waits for the first bytes of a response, which remain to be read. Returns false if none come.
+    pub fn wait_for_data(&mut self) -> bool {
         self.reader.fill_buf().is_ok_and(|bytes| !bytes.is_empty())
     }
 
-    /// The first line of an answer that has no body, read up to its empty line.
-    pub fn interim(&mut self) -> Option<String> {
+    /// Reads an interim response, which has no body, and returns its first line.
+    pub fn read_interim_response(&mut self) -> Option<String> {
         let (mut first, mut line) = (String::new(), String::from("-"));
         self.reader.read_line(&mut first).ok()?;
         while !line.trim_end().is_empty() {
@@ -652,80 +674,84 @@
         Some(first.trim_end().to_owned())
     }
 
-    /// The other side has closed by now: a client that keeps connections sees that before it asks on one.
-    pub fn has_closed(&self) -> bool {
+    /// True if the node has closed the connection already. A client that keeps connections checks this before it reuses one.
+    pub fn is_closed_by_peer(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
-        let seen = self.stream.peek(&mut [0]);
+        let peeked = self.stream.peek(&mut [0]);
         self.stream.set_nonblocking(false).unwrap();
-        match seen {
+        match peeked {
             Ok(n) => n == 0,
             Err(e) => e.kind() != std::io::ErrorKind::WouldBlock,
         }
     }
 
-    /// The other side has closed, or does so in time.
-    pub fn at_end(&mut self) -> bool {
+    /// Waits until the node closes the connection. Returns false if it sends data or `MAX_WAIT` passes.
+    pub fn wait_for_close(&mut self) -> bool {
         match self.reader.read(&mut [0]) {
             Ok(n) => n == 0,
             Err(e) => e.kind() == std::io::ErrorKind::ConnectionReset,
         }
     }
 
-    pub fn ask(&mut self, bytes: &[u8]) -> Message {
+    /// Sends a request and returns the response.
+    pub fn fetch(&mut self, bytes: &[u8]) -> Message {
         assert!(self.send(bytes));
-        self.answer().expect("an answer")
+        self.read_response().expect("a response")
     }
 }
 
-/// A backend whose queue is full: no connection comes up until the one in it is taken out.
-pub struct Stuck {
+/// A backend whose accept queue is full: a new connection stays in its handshake until the queued one is accepted.
+pub struct StalledBackend {
     socket: socket2::Socket,
     pub address: SocketAddr,
     filler: Client,
 }
 
-impl Stuck {
-    pub fn new() -> Stuck {
+impl StalledBackend {
+    pub fn new() -> StalledBackend {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&loopback(0).into()).unwrap();
         socket.listen(0).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
-        Stuck { filler: Client::connect(address), socket, address }
+        StalledBackend { filler: Client::connect(address), socket, address }
     }
 
     pub fn wait_for_handshake(&self) {
-        wait_for("a handshake is under way", || tcp_state(self.address, SYN_SENT));
+        wait_for("a handshake is in progress", || has_tcp_socket(self.address, SYN_SENT));
     }
 
-    /// Lets the handshake end; gives all that is then written on that connection. A node that has meanwhile given it up,
-    /// since a machine under load was slow to come here, has written nothing.
-    pub fn let_in(self) -> String {
+    /// Lets the handshake complete and returns all bytes that the node then sends on that connection. Returns an empty string
+    /// if the node has given up the handshake by then, which happens when a loaded machine delays this call.
+    pub fn accept_and_read(self) -> String {
         let (first, _) = self.socket.accept().unwrap();
         drop((first, self.filler));
-        self.socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        self.socket.set_read_timeout(Some(MAX_WAIT)).unwrap();
         let (mut second, _) = match self.socket.accept() {
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
-                assert!(!tcp_state(self.address, SYN_SENT), "a handshake is under way and does not end");
+                assert!(
+                    !has_tcp_socket(self.address, SYN_SENT),
+                    "a handshake is in progress and does not end"
+                );
                 return String::new();
             }
             accepted => accepted.unwrap(),
         };
-        second.set_read_timeout(Some(PATIENCE)).unwrap();
+        second.set_read_timeout(Some(MAX_WAIT)).unwrap();
         let mut bytes = Vec::new();
-        second.read_to_end(&mut bytes).expect("the node ends it");
+        second.read_to_end(&mut bytes).expect("the node closes the connection");
         String::from_utf8_lossy(&bytes).into_owned()
     }
 }
 
-/// What an operator is answered who sends this, whether it is a call or not.
-pub fn operator(address: SocketAddr, bytes: &[u8]) -> String {
-    try_operator(address, bytes).unwrap()
+/// Sends bytes to an operators' address and returns the answer. The bytes need not be a valid call.
+pub fn call_operator(address: SocketAddr, bytes: &[u8]) -> String {
+    try_call_operator(address, bytes).unwrap()
 }
 
-/// The same of an operator's address that may not be there.
-pub fn try_operator(address: SocketAddr, bytes: &[u8]) -> Option<String> {
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+/// Sends bytes to an operators' address and returns the answer, or None if nothing listens there or the connection breaks.
+pub fn try_call_operator(address: SocketAddr, bytes: &[u8]) -> Option<String> {
+    let mut stream = TcpStream::connect_timeout(&address, MAX_WAIT).ok()?;
+    stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
     stream.write_all(bytes).ok()?;
     stream.shutdown(std::net::Shutdown::Write).ok()?;
     let mut answer = String::new();
@@ -733,26 +759,27 @@
     Some(answer)
 }
 
-/// An empty directory of this test's own.
-pub fn scratch(name: &str) -> std::path::PathBuf {
+/// Creates an empty directory for one test.
+pub fn scratch_dir(name: &str) -> std::path::PathBuf {
     let dir = std::env::temp_dir().join(format!("daleturn-node-test-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).unwrap();
     dir
 }
 
-/// One request on a connection of its own.
-pub fn attempt(address: SocketAddr, bytes: &[u8]) -> Option<Message> {
+/// Sends a request on a new connection. Returns None if there is no complete response.
+pub fn try_fetch(address: SocketAddr, bytes: &[u8]) -> Option<Message> {
     let mut client = Client::try_connect(address)?;
     client.send(bytes);
-    client.answer()
+    client.read_response()
 }
 
-pub fn ask(address: SocketAddr, bytes: &[u8]) -> Message {
-    attempt(address, bytes).expect("an answer")
+/// Sends a request on a new connection and returns the response.
+pub fn fetch(address: SocketAddr, bytes: &[u8]) -> Message {
+    try_fetch(address, bytes).expect("a response")
 }
 
-/// A request of a class, in the protocol's form.
+/// Returns the bytes of a request of a class whose client waits for `expires_ms`.
 pub fn request(class: &str, expires_ms: u64) -> Vec<u8> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -9,8 +9,8 @@
 
 #[test]
 fn malformed_input_is_answered_without_a_backend() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b""));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b""));
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |_| {});
     let head = "Host: n\r\nX-Trace-Id: 1\r\n";
@@ -58,33 +58,33 @@
         (413, chunked),
     ];
     for (status, bytes) in cases {
-        let got = attempt(node.address, bytes.as_bytes()).map(|m| m.status());
+        let got = try_fetch(node.address, bytes.as_bytes()).map(|m| m.status());
         assert_eq!(got, Some(status), "{:?}", bytes.get(..100.min(bytes.len())));
     }
     // What stands behind a request that is framed twice is not served.
     let twice = "POST /api HTTP/1.1\r\nX-Qos: bid\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n";
     let mut smuggler = Client::connect(node.address);
     smuggler.send(&[twice.as_bytes(), &request("page", 900)].concat());
-    assert_eq!(smuggler.answer().map(|a| a.status()), Some(400));
-    assert!(smuggler.at_end());
+    assert_eq!(smuggler.read_response().map(|a| a.status()), Some(400));
+    assert!(smuggler.wait_for_close());
     // Half a request and a silent leave.
     drop(Client::connect(node.address));
     let mut half = Client::connect(node.address);
     half.send(b"POST /api HTTP/1.1\r\nX-Trace-Id: 1\r\nX-Qos: bid\r\nContent-Length: 10\r\n\r\nabc");
     drop(half);
-    assert_eq!(record.count(), 0);
+    assert_eq!(traffic.request_count(), 0);
     // A bad wait is no reason to turn a request away: the class's holds.
     let bad_wait = format!("GET /api HTTP/1.1\r\n{head}X-Qos: page\r\nX-Expires-In-Ms: soon\r\n\r\n");
-    assert_eq!(ask(node.address, bad_wait.as_bytes()).status(), 200);
-    let wait: u64 = record.seen.lock().unwrap()[0].header("x-expires-in-ms").unwrap().parse().unwrap();
+    assert_eq!(fetch(node.address, bad_wait.as_bytes()).status(), 200);
+    let wait: u64 = traffic.requests.lock().unwrap()[0].header("x-expires-in-ms").unwrap().parse().unwrap();
     assert!(wait <= 4000, "{wait}");
-    assert!(node.running());
+    assert!(node.is_running());
 }
 
 #[test]
 fn what_is_turned_away_is_read_first_so_that_the_answer_arrives() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b""));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b""));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     // A socket closed with unread bytes resets, and takes the answer that was under way along.
@@ -104,16 +104,16 @@
                 assert!(client.send(part), "{status}: closed before the body was read");
                 std::thread::sleep(Duration::from_micros(300));
             }
-            assert_eq!(client.answer().map(|m| m.status()), Some(status));
+            assert_eq!(client.read_response().map(|m| m.status()), Some(status));
         }
     }
-    assert_eq!(record.count(), 0);
+    assert_eq!(traffic.request_count(), 0);
 }
 
 #[test]
 fn a_peer_that_does_not_finish_its_request_is_closed_or_told_so() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let head =
@@ -131,63 +131,63 @@
         assert!(peer.send(bytes.as_bytes()));
     }
     let mut second = Client::connect(node.address);
-    assert_eq!(second.ask(&request("page", 900)).status(), 200);
+    assert_eq!(second.fetch(&request("page", 900)).status(), 200);
     assert!(second.send(b"GET /api HT"));
     peers.push(second);
     for (n, mut peer) in peers.into_iter().enumerate() {
         // `None` by the end of the stream and not by the patience of this test.
-        let answer = peer.answer().map(|m| m.status());
+        let answer = peer.read_response().map(|m| m.status());
         assert!(answer.is_none_or(|s| (400..500).contains(&s)), "{n}: {answer:?}");
-        assert!(peer.at_end(), "{n}: still open after {PATIENCE:?}");
+        assert!(peer.wait_for_close(), "{n}: still open after {MAX_WAIT:?}");
     }
-    assert_eq!(record.count(), 1);
+    assert_eq!(traffic.request_count(), 1);
 }
 
 #[test]
 fn a_class_nobody_knows_is_never_sent_twice() {
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, _| Act::SayAndClose(Vec::new()));
+    let traffic = Traffic::default();
+    let addresses = start_backends(2, &traffic, |_, _| Action::SendAndClose(Vec::new()));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    assert_eq!(ask(node.address, &request("unheard-of", 900)).status(), 502);
-    assert_eq!(record.count(), 1);
+    assert_eq!(fetch(node.address, &request("unheard-of", 900)).status(), 502);
+    assert_eq!(traffic.request_count(), 1);
 }
 
 #[test]
 fn under_pressure_idle_clients_make_room_and_nobody_waits_in_vain() {
-    let record = Record::default();
-    let addresses = backends(4, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(4, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 64.into());
     // Three times as many connections as the limit, all kept by their clients.
     let mut clients = Vec::new();
     for n in 0..200 {
         let mut client = Client::connect(node.address);
-        assert_eq!(client.ask(&request("bid", 900)).status(), 200, "client {n}");
-        assert!(node.descriptors() <= 64, "{} descriptors", node.descriptors());
+        assert_eq!(client.fetch(&request("bid", 900)).status(), 200, "client {n}");
+        assert!(node.open_descriptors() <= 64, "{} descriptors", node.open_descriptors());
         clients.push(client);
     }
-    assert_eq!(record.count(), 200);
+    assert_eq!(traffic.request_count(), 200);
 }
 
 #[test]
 fn clients_that_never_finish_their_request_do_not_shut_others_out() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 54.into());
     let mut stuck: Vec<Client> = (0..100).map(|_| Client::connect(node.address)).collect();
     for client in &mut stuck {
         client.send(b"GET /api HT");
     }
-    assert_eq!(ask(node.address, &request("page", 4000)).status(), 200);
-    assert!(node.descriptors() <= 54, "{} descriptors", node.descriptors());
+    assert_eq!(fetch(node.address, &request("page", 4000)).status(), 200);
+    assert!(node.open_descriptors() <= 54, "{} descriptors", node.open_descriptors());
 }
 
 #[test]
 fn the_nodes_own_want_of_descriptors_is_not_blamed_on_backends() {
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, _| {
+    let traffic = Traffic::default();
+    let addresses = start_backends(2, &traffic, |_, _| {
         std::thread::sleep(Duration::from_millis(600));
         ok(b"x")
     });
@@ -198,37 +198,38 @@
     for client in &mut clients {
         client.send(&request("page", 3500));
     }
-    let statuses: Vec<u16> = clients.iter_mut().map(|c| c.answer().expect("no answer").status()).collect();
+    let statuses: Vec<u16> =
+        clients.iter_mut().map(|c| c.read_response().expect("no answer").status()).collect();
     assert!(statuses.contains(&200), "{statuses:?}");
     assert!(statuses.iter().all(|s| matches!(s, 200 | 503)), "{statuses:?}");
     drop(clients);
     node.terminate();
-    assert!(node.ended().success());
+    assert!(node.wait_for_exit().success());
     let log = node.log();
     assert!(!log.contains("congested") && !log.contains("scarce"), "{log}");
 }
 
 #[test]
 fn a_system_limit_below_the_told_one_neither_ends_the_node_nor_spins() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::launch(discovery.address, |_| {}, "ulimit -n 24; exec \"$0\"");
-    wait_for("/up is 200", || node.up() == 200);
+    wait_for("/up is 200", || node.up_status() == 200);
     // These send half a request, so that none of them is idle and none can be closed for another.
     let mut held: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
     for client in &mut held {
         client.send(b"GET /api HT");
     }
-    wait_for("the node is at the limit", || node.descriptors() >= 24);
+    wait_for("the node is at the limit", || node.open_descriptors() >= 24);
     let before = node.cpu_ticks();
     std::thread::sleep(Duration::from_millis(500));
     let used = node.cpu_ticks() - before;
     assert!(used < 20, "{used} of 50 ticks used while nothing can be done");
-    assert!(node.running());
+    assert!(node.is_running());
     drop(held);
     wait_for("it serves again", || {
-        attempt(node.address, &request("page", 900)).is_some_and(|m| m.status() == 200)
+        try_fetch(node.address, &request("page", 900)).is_some_and(|m| m.status() == 200)
     });
 }
 
@@ -255,18 +256,18 @@
     ];
     for (field, change) in cases {
         let mut node = Node::launch(free_address(), change, "exec \"$0\"");
-        assert!(!node.ended().success(), "{field}");
+        assert!(!node.wait_for_exit().success(), "{field}");
         let log = node.log();
         assert!(log.contains(field), "{field} is not named: {log}");
-        assert!(log.contains(&node.file()), "nor is the file: {log}");
+        assert!(log.contains(&node.config_path()), "nor is the file: {log}");
     }
 }
 
 #[test]
 fn idle_clients_that_fill_the_descriptors_do_not_keep_discoverys_return_from_the_node() {
     for mode in ["pushed", "on_request"] {
-        let record = Record::default();
-        let addresses = backends(4, &record, |_, _| ok(b"x"));
+        let traffic = Traffic::default();
+        let addresses = start_backends(4, &traffic, |_, _| ok(b"x"));
         // Nothing listens there yet.
         let away = free_address();
         let node = Node::start(away, |c| {
@@ -279,16 +280,16 @@
         let mut clients = Vec::new();
         for n in 0..150 {
             let mut client = Client::connect(node.address);
-            assert_eq!(client.ask(&request("bid", 900)).status(), 200, "client {n}");
+            assert_eq!(client.fetch(&request("bid", 900)).status(), 200, "client {n}");
             clients.push(client);
         }
         // These rest without a word.
         clients.extend((0..150).map(|_| Client::connect(node.address)));
-        assert!(node.descriptors() <= 64, "{} descriptors", node.descriptors());
+        assert!(node.open_descriptors() <= 64, "{} descriptors", node.open_descriptors());
         let draining: Vec<_> =
             addresses.iter().enumerate().map(|(n, a)| target(&format!("s-{n}"), *a, "draining")).collect();
         Discovery::start_at(away, draining);
-        wait_for("the drain is known", || node.up() == 503);
-        assert!(node.descriptors() <= 64, "{} descriptors", node.descriptors());
+        wait_for("the drain is known", || node.up_status() == 503);
+        assert!(node.open_descriptors() <= 64, "{} descriptors", node.open_descriptors());
     }
 }
--- a/tests/node_clock.rs
+++ b/tests/node_clock.rs
@@ -27,13 +27,13 @@
     let command =
         format!("LD_PRELOAD='{}' {OFFSET_FILE}='{}' exec \"$0\"", library().display(), clock.display());
     let node = Node::launch(discovery, change, &command);
-    wait_for("/up is 200", || node.up() == 200);
+    wait_for("/up is 200", || node.up_status() == 200);
     node
 }
 
 /// A file for the clock of one node, which shows that much more, or less, from the start.
 fn clock(name: &str, offset: Duration, behind: bool) -> PathBuf {
-    let clock = scratch(name).join("clock");
+    let clock = scratch_dir(name).join("clock");
     set_offset(&clock, offset, behind).unwrap();
     clock
 }
@@ -89,15 +89,15 @@
 #[test]
 fn the_library_steps_the_wall_clock_of_its_process() {
     let clock = clock("clock-library", HOUR, true);
-    let record = Record::default();
-    let address = backends(1, &record, |_, _| ok(b"x"))[0];
+    let traffic = Traffic::default();
+    let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
     let discovery = Discovery::start(all_up(&[address]));
     let mut node = node(discovery.address, &clock, |_| {});
     set_offset(&clock, 10 * HOUR, false).unwrap();
-    node.reconfigure(Some(discovery.address));
-    wait_for("the new file is taken", || node.logged("config.taken") > 0);
+    node.set_discovery(Some(discovery.address));
+    wait_for("the new file is taken", || node.count_log_lines("config.taken") > 0);
     node.terminate();
-    node.ended();
+    node.wait_for_exit();
     let log = node.log();
     let year = |line: &str| line[..13].to_owned();
     let at = |event: &str| year(log.lines().find(|line| line.contains(event)).expect("logged"));
@@ -109,27 +109,27 @@
     for mode in ["pushed", "on_request"] {
         let clock = clock(&format!("clock-steps-{mode}"), Duration::ZERO, false);
         let steps = Steps::of(&clock);
-        let record = Record::default();
-        let address = backends(1, &record, |_, _| Act::Silent)[0];
+        let traffic = Traffic::default();
+        let address = start_backends(1, &traffic, |_, _| Action::Silent)[0];
         let discovery = Discovery::start(all_up(&[address]));
         let mut node = node(discovery.address, &clock, |c| {
             c["settings"]["membershipMode"] = mode.into();
             c["settings"]["rules"]["mustAskInMs"] = 1000.into();
         });
         let from = Instant::now();
-        assert_ne!(ask(node.address, &request("bid", 600)).status(), 200, "{mode}");
+        assert_ne!(fetch(node.address, &request("bid", 600)).status(), 200, "{mode}");
         assert!(from.elapsed() > Duration::from_millis(400), "{mode}: failed after {:?}", from.elapsed());
-        let told = record.seen.lock().unwrap()[0].header("x-expires-in-ms").unwrap().parse::<u64>();
+        let told = traffic.requests.lock().unwrap()[0].header("x-expires-in-ms").unwrap().parse::<u64>();
         assert!((1..=600).contains(&told.clone().unwrap()), "{mode}: told {told:?}");
         // The watch that is open falls silent; a later call tells of the drain.
-        discovery.silent(true);
-        discovery.set(vec![target("s-0", address, "draining")]);
-        let asked = discovery.calls();
-        wait_for("discovery is asked anew", || discovery.calls() > asked);
-        discovery.silent(false);
-        wait_for("the drain is known", || node.up() == 503);
+        discovery.set_silent(true);
+        discovery.set_targets(vec![target("s-0", address, "draining")]);
+        let asked = discovery.call_count();
+        wait_for("discovery is asked anew", || discovery.call_count() > asked);
+        discovery.set_silent(false);
+        wait_for("the drain is known", || node.up_status() == 503);
         node.terminate();
-        assert!(node.ended().success(), "{mode}");
+        assert!(node.wait_for_exit().success(), "{mode}");
         drop(steps);
     }
 }
@@ -137,8 +137,8 @@
 #[test]
 fn a_backend_that_started_long_ago_is_warm_to_a_node_whose_wall_clock_is_behind() {
     let clock = clock("clock-behind", HOUR, true);
-    let record = Record::default();
-    let address = backends(1, &record, |_, _| ok(b"x"))[0];
+    let traffic = Traffic::default();
+    let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
     let discovery = Discovery::start(vec![started("s-0", address, 1_800_000)]);
     let node = node(discovery.address, &clock, |c| {
         c["settings"]["rules"]["coldMs"] = json!(1000.0);
@@ -149,15 +149,15 @@
 #[test]
 fn a_backend_that_starts_now_is_cold_to_a_node_whose_wall_clock_is_ahead() {
     let clock = clock("clock-ahead", HOUR, false);
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(2, &traffic, |_, _| ok(b"x"));
     let warm = started("s-0", addresses[0], 7_200_000);
     let discovery = Discovery::start(vec![warm.clone()]);
     let node = node(discovery.address, &clock, |c| {
         c["settings"]["rules"]["coldMs"] = json!(3_600_000.0);
     });
-    wait_for("the list was heard", || node.logged("discovery.listed") > 0);
-    discovery.set(vec![warm, started("s-1", addresses[1], 0)]);
+    wait_for("the list was heard", || node.count_log_lines("discovery.listed") > 0);
+    discovery.set_targets(vec![warm, started("s-1", addresses[1], 0)]);
     wait_for("it is listed", || cold(&node, "s-1").is_some());
     assert_eq!(cold(&node, "s-1"), Some(true));
     assert_eq!(cold(&node, "s-0"), Some(false), "which was there before, as far as anybody can tell");
--- a/tests/node_cold.rs
+++ b/tests/node_cold.rs
@@ -40,7 +40,7 @@
     let addresses: Vec<_> = (0..5)
         .map(|n| {
             let times = times.clone();
-            backend(&Record::default(), move |_, _| {
+            start_backend(&Traffic::default(), move |_, _| {
                 times[n].lock().unwrap().push(Instant::now());
                 ok(b"x")
             })
@@ -50,7 +50,7 @@
     let warm = all[..4].to_vec();
     let first = if beside == Beside::Burst { all.clone() } else { warm.clone() };
     let discovery = Discovery::start(first.clone());
-    let place = |slot: usize| scratch(&format!("cold-{beside:?}-{slot}")).display().to_string();
+    let place = |slot: usize| scratch_dir(&format!("cold-{beside:?}-{slot}")).display().to_string();
     let start = |slot: usize| {
         let change = |c: &mut serde_json::Value| {
             c["settings"]["instances"] = NODES.into();
@@ -62,7 +62,7 @@
         };
         let node =
             Node::launch(discovery.address, change, &format!("TMPDIR='{}' exec \"$0\"", place(slot)));
-        wait_for("/up is 200", || node.up() == 200);
+        wait_for("/up is 200", || node.up_status() == 200);
         node
     };
     let mut nodes: Vec<Node> = (0..NODES).map(start).collect();
@@ -75,7 +75,7 @@
                 thread::spawn(move || {
                     let mut client = Client::connect(address);
                     while Instant::now() < end {
-                        client.ask(&request("page", 4000));
+                        client.fetch(&request("page", 4000));
                         thread::sleep(Duration::from_millis(if n < 2 { 8 } else { 80 } / each));
                     }
                 })
@@ -92,13 +92,13 @@
             }
         }
         Beside::Burst => {
-            discovery.set(warm.clone());
+            discovery.set_targets(warm.clone());
             wait_for("it is gone", || nodes.iter().all(|n| !n.call("stats").contains("\"s-4\"")));
         }
         Beside::Upgrades => {
             for (slot, node) in nodes.iter_mut().enumerate().take(6) {
-                let next = node.beside(&format!("TMPDIR='{}' exec \"$0\"", place(slot)));
-                wait_for("it serves", || next.call_if_there("health").is_some_and(|a| a.starts_with("OK")));
+                let next = node.start_successor(&format!("TMPDIR='{}' exec \"$0\"", place(slot)));
+                wait_for("it serves", || next.try_call("health").is_some_and(|a| a.starts_with("OK")));
                 older.push(std::mem::replace(node, next));
             }
         }
@@ -106,7 +106,7 @@
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64;
     let mut cold = target("s-4", addresses[4], "up");
     cold["boot_ms"] = now.into();
-    discovery.set(warm.iter().cloned().chain([cold]).collect());
+    discovery.set_targets(warm.iter().cloned().chain([cold]).collect());
     wait_for("it is known", || nodes.iter().all(|n| n.call("stats").contains("\"s-4\"")));
     times.iter().for_each(|t| t.lock().unwrap().clear());
     played(&nodes, Duration::from_millis(2000), if beside == Beside::Burst { 3 } else { 1 });
--- a/tests/node_fleet.rs
+++ b/tests/node_fleet.rs
@@ -11,17 +11,17 @@
 
 #[test]
 fn a_node_starts_from_the_known_list_while_discovery_is_down() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let known = json!({"rev": 41, "all": true, "targets": all_up(&addresses)});
     let node = Node::start(free_address(), |c| c["known"] = known);
-    assert_eq!(ask(node.address, &request("page", 900)).status(), 200);
+    assert_eq!(fetch(node.address, &request("page", 900)).status(), 200);
 }
 
 #[test]
 fn a_known_list_is_watched_on_from_its_version_unless_part_of_it_is_missing() {
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(2, &traffic, |_, _| ok(b"x"));
     let targets = all_up(&addresses);
     let mut spoilt = targets.clone();
     spoilt[1]["endpoint"] = "nowhere".into();
@@ -45,8 +45,8 @@
 
 #[test]
 fn a_bad_entry_does_not_hide_the_others() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let mut targets = all_up(&addresses);
     targets.insert(0, json!({"uid": "s-8", "endpoint": "nowhere", "state": "up"}));
     targets.insert(0, json!({"uid": 7, "endpoint": addresses[0].to_string(), "state": "up"}));
@@ -54,29 +54,29 @@
     let discovery = Discovery::start(targets);
     let node = Node::start(discovery.address, |_| {});
     for _ in 0..5 {
-        assert_eq!(ask(node.address, &request("bid", 900)).status(), 200);
+        assert_eq!(fetch(node.address, &request("bid", 900)).status(), 200);
     }
 }
 
 #[test]
 fn a_discovery_that_falls_silent_is_asked_again_and_its_news_taken() {
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(2, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(vec![target("s-0", addresses[0], "up")]);
     let node = Node::start(discovery.address, |_| {});
-    wait_for("a watch is out", || discovery.calls() >= 2);
-    discovery.silent(true);
-    let calls = discovery.calls();
-    wait_for("the silent call is given up and made again", || discovery.calls() > calls + 1);
-    assert_eq!(ask(node.address, &request("page", 900)).status(), 200, "the old list holds meanwhile");
-    discovery.set(vec![target("s-0", addresses[0], "draining")]);
-    discovery.silent(false);
-    wait_for("the news arrived", || node.up() == 503);
+    wait_for("a watch is out", || discovery.call_count() >= 2);
+    discovery.set_silent(true);
+    let calls = discovery.call_count();
+    wait_for("the silent call is given up and made again", || discovery.call_count() > calls + 1);
+    assert_eq!(fetch(node.address, &request("page", 900)).status(), 200, "the old list holds meanwhile");
+    discovery.set_targets(vec![target("s-0", addresses[0], "draining")]);
+    discovery.set_silent(false);
+    wait_for("the news arrived", || node.up_status() == 503);
 }
 
 #[test]
 fn a_drain_told_during_the_handshake_stops_the_send() {
-    let stuck = Stuck::new();
+    let stuck = StalledBackend::new();
     let address = stuck.address;
     let discovery = Discovery::start(all_up(&[address]));
     let node =
@@ -84,40 +84,40 @@
     let mut client = Client::connect(node.address);
     assert!(client.send(&request("page", 4000)));
     stuck.wait_for_handshake();
-    discovery.set(vec![target("s-0", address, "draining")]);
-    wait_for("the drain is known", || node.up() == 503);
+    discovery.set_targets(vec![target("s-0", address, "draining")]);
+    wait_for("the drain is known", || node.up_status() == 503);
     // The node closes it without a word.
-    let sent = stuck.let_in();
+    let sent = stuck.accept_and_read();
     assert!(sent.is_empty(), "sent to a draining backend: {sent:?}");
-    assert_eq!(client.answer().unwrap().status(), 503);
+    assert_eq!(client.read_response().unwrap().status(), 503);
 }
 
 #[test]
 fn a_drain_closes_idle_connections() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    assert_eq!(ask(node.address, &request("page", 900)).status(), 200);
-    assert_eq!(record.open_now(), 1);
-    discovery.set(vec![target("s-0", addresses[0], "draining")]);
-    wait_for("the connection is closed", || record.open_now() == 0);
+    assert_eq!(fetch(node.address, &request("page", 900)).status(), 200);
+    assert_eq!(traffic.open_connections(), 1);
+    discovery.set_targets(vec![target("s-0", addresses[0], "draining")]);
+    wait_for("the connection is closed", || traffic.open_connections() == 0);
 }
 
 #[test]
 fn one_reset_clears_the_other_connections_of_the_same_backend() {
     // A machine that was cut off resets old connections only when something is sent on them.
-    let record = Record::default();
+    let traffic = Traffic::default();
     let back = Arc::new(AtomicBool::new(false));
     let script_back = back.clone();
-    let opened = record.opened.clone();
-    let addresses = backends(1, &record, move |_, _| {
+    let opened = traffic.connections_opened.clone();
+    let addresses = start_backends(1, &traffic, move |_, _| {
         if !script_back.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(100));
             return ok(b"x");
         }
         // Whatever was opened before it came back is cut; only new connections are served.
-        if opened.load(Ordering::SeqCst) == 2 { Act::SayAndClose(Vec::new()) } else { ok(b"x") }
+        if opened.load(Ordering::SeqCst) == 2 { Action::SendAndClose(Vec::new()) } else { ok(b"x") }
     });
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
@@ -126,70 +126,70 @@
         assert!(client.send(&request("bid", 900)));
     }
     for client in &mut clients {
-        assert_eq!(client.answer().unwrap().status(), 200);
+        assert_eq!(client.read_response().unwrap().status(), 200);
     }
-    assert_eq!(record.open_now(), 2, "two connections stand idle");
+    assert_eq!(traffic.open_connections(), 2, "two connections stand idle");
     back.store(true, Ordering::SeqCst);
-    assert_eq!(clients[0].ask(&request("bid", 900)).status(), 502, "cut, and it may have run");
-    assert_eq!(clients[0].ask(&request("bid", 900)).status(), 200, "sent on the other stale connection");
+    assert_eq!(clients[0].fetch(&request("bid", 900)).status(), 502, "cut, and it may have run");
+    assert_eq!(clients[0].fetch(&request("bid", 900)).status(), 200, "sent on the other stale connection");
 }
 
 #[test]
 fn where_discovery_is_asked_a_failed_call_is_made_again() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let targets = all_up(&addresses);
     // Nobody answers at first: the decisions ask again, until somebody does.
     let address = free_address();
     let node =
         Node::launch(address, |c| c["settings"]["membershipMode"] = "on_request".into(), "exec \"$0\"");
-    wait_for("the node answers", || node.up() == 503);
+    wait_for("the node answers", || node.up_status() == 503);
     let discovery = Discovery::start_at(address, targets);
-    wait_for("the list arrived", || node.up() == 200);
-    discovery.set(vec![target("s-0", addresses[0], "draining")]);
-    wait_for("the drain is known", || node.up() == 503);
+    wait_for("the list arrived", || node.up_status() == 200);
+    discovery.set_targets(vec![target("s-0", addresses[0], "draining")]);
+    wait_for("the drain is known", || node.up_status() == 503);
 }
 
 #[test]
 fn sighup_turns_the_node_to_another_discovery() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     for mode in ["pushed", "on_request"] {
         let old = Discovery::start(all_up(&addresses));
         let mut node = Node::start(old.address, |c| c["settings"]["membershipMode"] = mode.into());
-        wait_for("a watch is out", || old.calls() >= 2);
+        wait_for("a watch is out", || old.call_count() >= 2);
         // The first can't be read and the second can't be reached: the list holds, and the node too.
-        node.reconfigure(None);
-        node.reconfigure(Some(free_address()));
-        assert_eq!(ask(node.address, &request("page", 900)).status(), 200, "{mode}");
+        node.set_discovery(None);
+        node.set_discovery(Some(free_address()));
+        assert_eq!(fetch(node.address, &request("page", 900)).status(), 200, "{mode}");
         // A service that counts anew, from below.
         let new = Discovery::start(all_up(&addresses));
-        node.reconfigure(Some(new.address));
-        wait_for("the new address is watched", || new.calls() >= 2);
-        new.set(vec![target("s-0", addresses[0], "draining")]);
-        wait_for("its news arrived", || node.up() == 503);
-        assert!(node.running(), "{mode}");
+        node.set_discovery(Some(new.address));
+        wait_for("the new address is watched", || new.call_count() >= 2);
+        new.set_targets(vec![target("s-0", addresses[0], "draining")]);
+        wait_for("its news arrived", || node.up_status() == 503);
+        assert!(node.is_running(), "{mode}");
     }
 }
 
 #[test]
 fn a_discovery_that_does_not_wait_is_not_asked_without_end() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
-    discovery.hasty(true);
+    discovery.set_immediate(true);
     let _node = Node::start(discovery.address, |_| {});
-    let calls = discovery.calls();
+    let calls = discovery.call_count();
     thread::sleep(Duration::from_millis(1000));
-    let calls = discovery.calls() - calls;
+    let calls = discovery.call_count() - calls;
     // 200 ms is the longest pause after which a watch goes on.
     assert!((5..50).contains(&calls), "{calls} calls in a second");
 }
 
 #[test]
 fn after_sigterm_an_endless_run_of_connections_does_not_keep_the_node() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |_| {});
     let address = node.address;
@@ -203,7 +203,7 @@
     });
     node.terminate();
     let begun = Instant::now();
-    let status = node.ended();
+    let status = node.wait_for_exit();
     over.store(true, Ordering::SeqCst);
     stream.join().unwrap();
     assert!(status.success() && begun.elapsed() < Duration::from_millis(3700), "{:?}", begun.elapsed());
@@ -211,8 +211,8 @@
 
 #[test]
 fn datagrams_of_any_kind_do_no_harm() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let peer = UdpSocket::bind(loopback(0)).unwrap();
     let own = free_address();
@@ -226,14 +226,14 @@
             sender.send_to(&vec![0xff; length], own).unwrap();
         }
     }
-    assert_eq!(ask(node.address, &request("page", 900)).status(), 200);
-    assert!(node.running());
+    assert_eq!(fetch(node.address, &request("page", 900)).status(), 200);
+    assert!(node.is_running());
 }
 
 #[test]
 fn sigterm_under_traffic_loses_nothing() {
-    let record = Record::default();
-    let addresses = backends(4, &record, |_, _| {
+    let traffic = Traffic::default();
+    let addresses = start_backends(4, &traffic, |_, _| {
         thread::sleep(Duration::from_millis(30));
         ok(b"x")
     });
@@ -259,7 +259,7 @@
                     client.send(&request(class, 900)),
                     "client {n}: the connection was not announced to close"
                 );
-                let answer = client.answer().expect("taken and not answered");
+                let answer = client.read_response().expect("taken and not answered");
                 assert!(matches!(answer.status(), 200 | 503), "{}", answer.first_line);
                 served += 1;
                 let close = answer.header("connection") == Some("close");
@@ -272,7 +272,7 @@
             }
         }));
     }
-    wait_for("traffic flows", || record.count() > 20);
+    wait_for("traffic flows", || traffic.request_count() > 20);
     node.terminate();
     let begun = Instant::now();
     told.store(true, Ordering::SeqCst);
@@ -280,7 +280,7 @@
         let (served, close) = client.join().unwrap();
         assert!(served > 1 && close, "{served} answers, the last announces a close: {close}");
     }
-    let status = node.ended();
+    let status = node.wait_for_exit();
     assert!(status.success(), "{status}");
     assert!(begun.elapsed() < Duration::from_millis(3000), "SIGKILL would have come");
     drop(idle);
--- a/tests/node_late_lists.rs
+++ b/tests/node_late_lists.rs
@@ -26,7 +26,7 @@
 const MODES: [&str; 2] = ["pushed", "on_request"];
 
 fn list(rev: u64, all: bool, targets: &[Value]) -> Vec<u8> {
-    reply("200 OK", "", json!({"rev": rev, "all": all, "targets": targets}).to_string().as_bytes())
+    http_response("200 OK", "", json!({"rev": rev, "all": all, "targets": targets}).to_string().as_bytes())
 }
 
 fn watches(message: &Message) -> bool {
@@ -61,17 +61,17 @@
 ) -> SocketAddr {
     let all = all_up(addresses);
     let (watched, asked_anew) = (watched.clone(), asked_anew.clone());
-    backend(&Record::default(), move |_, message| {
+    start_backend(&Traffic::default(), move |_, message| {
         if !watches(message) && !watched.is_set() {
-            return Act::Say(list(1, true, &all));
+            return Action::Send(list(1, true, &all));
         }
         if watched.is_set() {
             asked_anew.set();
-            return Act::Silent;
+            return Action::Silent;
         }
         watched.set();
         asked_anew.wait("the node asks anew");
-        Act::Say(last.clone())
+        Action::Send(last.clone())
     })
 }
 
@@ -98,23 +98,27 @@
 }
 
 /// The first backend is out, the second is not: it serves.
-fn wait_until_out(node: &Node, record: &Record, what: &str) {
+fn wait_until_out(node: &Node, traffic: &Traffic, what: &str) {
     wait_for(&format!("the departure is known: {what}"), || {
         let stats = serde_json::from_str::<Value>(node.call("stats").trim_start_matches("OK ")).unwrap();
         let backends = stats["backends"].as_array().unwrap().clone();
         !backends.iter().any(|b| b["id"] == "s-0" && b["state"] == "up")
     });
-    record.seen.lock().unwrap().clear();
+    traffic.requests.lock().unwrap().clear();
     for _ in 0..20 {
-        assert_eq!(ask(node.address, &request("page", 900)).status(), 200, "{what}: the other one serves");
+        assert_eq!(
+            fetch(node.address, &request("page", 900)).status(),
+            200,
+            "{what}: the other one serves"
+        );
     }
 }
 
 /// Two backends with a record of each.
-fn two_backends() -> (Vec<SocketAddr>, Record) {
-    let (leaving, staying) = (Record::default(), Record::default());
-    let first = backend(&leaving, |_, _| ok(b"x"));
-    let second = backend(&staying, |_, _| ok(b"x"));
+fn two_backends() -> (Vec<SocketAddr>, Traffic) {
+    let (leaving, staying) = (Traffic::default(), Traffic::default());
+    let first = start_backend(&leaving, |_, _| ok(b"x"));
+    let second = start_backend(&staying, |_, _| ok(b"x"));
     (vec![first, second], leaving)
 }
 
@@ -127,15 +131,15 @@
             let old = answers_once_more(&addresses, last, &watched, &asked_anew);
             let asked = asked_anew.clone();
             // The new address hangs for good.
-            let new = backend(&Record::default(), move |_, _| {
+            let new = start_backend(&Traffic::default(), move |_, _| {
                 asked.set();
-                Act::Silent
+                Action::Silent
             });
             let mut node = node(old, mode);
             watched.wait("a watch is open");
-            node.reconfigure(Some(new));
+            node.set_discovery(Some(new));
             wait_until_out(&node, &leaving, &format!("{mode}, {what}"));
-            assert_eq!(leaving.count(), 0, "{mode}, {what}: sent to a backend that leaves");
+            assert_eq!(leaving.request_count(), 0, "{mode}, {what}: sent to a backend that leaves");
         }
     }
 }
@@ -149,7 +153,7 @@
             let discovery = answers_once_more(&addresses, last, &watched, &asked_anew);
             let node = node(discovery, mode);
             wait_until_out(&node, &leaving, &format!("{mode}, {what}"));
-            assert_eq!(leaving.count(), 0, "{mode}, {what}: sent to a backend that leaves");
+            assert_eq!(leaving.request_count(), 0, "{mode}, {what}: sent to a backend that leaves");
         }
     }
 }
@@ -160,24 +164,28 @@
     let all = all_up(&addresses);
     let known = all.clone();
     let draining = [target("s-0", addresses[0], "draining"), target("s-1", addresses[1], "up")];
-    let calls = Record::default();
+    let calls = Traffic::default();
     let made = calls.clone();
     // The first call hangs for good. Each other one is answered, but only once the next has been made: no answer is as quick
     // as one try.
-    let discovery = backend(&calls, move |n, _| {
+    let discovery = start_backend(&calls, move |n, _| {
         if n == 0 {
-            return Act::Silent;
+            return Action::Silent;
         }
-        wait_for("the next call", || made.count() > n + 1);
-        Act::Say(list(2, true, &draining))
+        wait_for("the next call", || made.request_count() > n + 1);
+        Action::Send(list(2, true, &draining))
     });
     let node = Node::start(discovery, |c| {
         c["known"] = json!({"rev": 1, "all": true, "targets": known});
     });
     wait_until_out(&node, &leaving, "pushed, slow");
-    assert_eq!(leaving.count(), 0, "sent to a backend that leaves");
-    wait_for("discovery is heard", || node.logged("discovery.recovered") > 0);
-    assert_eq!(node.logged("a try beside it was answered first"), 1, "by a try beside the first call");
+    assert_eq!(leaving.request_count(), 0, "sent to a backend that leaves");
+    wait_for("discovery is heard", || node.count_log_lines("discovery.recovered") > 0);
+    assert_eq!(
+        node.count_log_lines("a try beside it was answered first"),
+        1,
+        "by a try beside the first call"
+    );
 }
 
 /// A discovery that tells a whole list, and answers a watch in the moment in which the node ends its sending on it.
@@ -215,11 +223,11 @@
         let last = list(2, false, &[target("s-0", addresses[0], "draining")]);
         let watched = Flag::default();
         let old = answers_at_the_end(list(1, true, &all_up(&addresses)), last, &watched);
-        let new = backend(&Record::default(), |_, _| Act::Silent);
+        let new = start_backend(&Traffic::default(), |_, _| Action::Silent);
         let mut node = node(old, mode);
         watched.wait("a watch is open");
-        node.reconfigure(Some(new));
+        node.set_discovery(Some(new));
         wait_until_out(&node, &leaving, mode);
-        assert_eq!(leaving.count(), 0, "{mode}: sent to a backend that leaves");
+        assert_eq!(leaving.request_count(), 0, "{mode}: sent to a backend that leaves");
     }
 }
--- a/tests/node_long.rs
+++ b/tests/node_long.rs
@@ -44,14 +44,19 @@
     let pieces = [head("Transfer-Encoding: chunked"), chunked(&body, 50_000)].concat();
     let to_the_end = [head("Connection: close"), body.clone()].concat();
     let interim = [b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n".to_vec(), whole.clone()].concat();
-    for act in [Act::Say(whole), Act::Say(pieces), Act::SayAndCloseLater(to_the_end), Act::Say(interim)] {
-        let record = Record::default();
-        let addresses = backends(1, &record, move |_, _| act.clone());
+    for act in [
+        Action::Send(whole),
+        Action::Send(pieces),
+        Action::SendAndCloseLater(to_the_end),
+        Action::Send(interim),
+    ] {
+        let traffic = Traffic::default();
+        let addresses = start_backends(1, &traffic, move |_, _| act.clone());
         let discovery = Discovery::start(all_up(&addresses));
         let node = Node::start(discovery.address, |_| {});
         let mut client = Client::connect(node.address);
         for _ in 0..2 {
-            let answer = client.ask(&request("page", 4000));
+            let answer = client.fetch(&request("page", 4000));
             assert_eq!((answer.status(), answer.header("content-type")), (200, Some("x/y")));
             assert!(answer.body == body, "{} bytes", answer.body.len());
         }
@@ -67,24 +72,25 @@
         .collect();
     let slow = [(0, head("Transfer-Encoding: chunked")), (0, b"5\r\nfirst\r\n".to_vec())];
     let slow: Vec<_> = slow.into_iter().chain([(1800, chunked(&body, 30_000))]).collect();
-    let record = Record::default();
-    let addresses =
-        backends(1, &record, move |n, _| Act::Parts(if n == 0 { parts.clone() } else { slow.clone() }));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, move |n, _| {
+        Action::Parts(if n == 0 { parts.clone() } else { slow.clone() })
+    });
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let begun = Instant::now();
-    let answer = ask(node.address, &request("bid", 600));
+    let answer = fetch(node.address, &request("bid", 600));
     assert!(begun.elapsed() > Duration::from_millis(1400));
     assert!(answer.body == body, "{} bytes", answer.body.len());
     // Of unknown length, with a pause: what is there comes at once.
     let mut client = Client::connect(node.address);
     let begun = Instant::now();
     client.send(&request("page", 1200));
-    assert!(client.first_byte());
+    assert!(client.wait_for_data());
     assert!(begun.elapsed() < Duration::from_millis(1200), "{:?}", begun.elapsed());
-    let answer = client.answer().unwrap();
+    let answer = client.read_response().unwrap();
     assert!(answer.body == [b"first".as_slice(), &body].concat(), "{} bytes", answer.body.len());
-    assert_eq!(record.count(), 2);
+    assert_eq!(traffic.request_count(), 2);
 }
 
 #[test]
@@ -92,29 +98,33 @@
     let body = pattern(300_000);
     let cut = |framing: &str| [head(framing), body.clone()].concat();
     let acts = [
-        Act::SayAndCloseLater(cut("Content-Length: 400000")),
-        Act::SayAndCloseLater(
+        Action::SendAndCloseLater(cut("Content-Length: 400000")),
+        Action::SendAndCloseLater(
             [head("Transfer-Encoding: chunked"), b"40000\r\n".to_vec(), body.clone()].concat(),
         ),
     ];
     for act in acts {
-        let record = Record::default();
-        let addresses = backends(2, &record, move |_, _| act.clone());
+        let traffic = Traffic::default();
+        let addresses = start_backends(2, &traffic, move |_, _| act.clone());
         let discovery = Discovery::start(all_up(&addresses));
         let node = Node::start(discovery.address, |_| {});
         let mut client = Client::connect(node.address);
         client.send(&request("page", 4000));
-        assert!(client.answer().is_none(), "a whole answer");
-        assert_eq!(record.count(), 1, "an answer that was passed on in part is not asked for again");
-        assert_eq!(node.up(), 200);
+        assert!(client.read_response().is_none(), "a whole answer");
+        assert_eq!(
+            traffic.request_count(),
+            1,
+            "an answer that was passed on in part is not asked for again"
+        );
+        assert_eq!(node.up_status(), 200);
     }
 }
 
 #[test]
 fn a_long_request_goes_on_as_it_comes_and_its_time_runs_from_its_last_byte() {
     let body = pattern(1_000_000);
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"done"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"done"));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     for (n, framing) in ["Content-Length: 1000000", "Transfer-Encoding: chunked"].into_iter().enumerate() {
@@ -125,9 +135,9 @@
             assert!(client.send(part));
             thread::sleep(Duration::from_millis(100));
         }
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_response().expect("an answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"done".as_slice()));
-        let seen = record.seen.lock().unwrap();
+        let seen = traffic.requests.lock().unwrap();
         assert_eq!(seen.len(), n + 1);
         assert!(seen[n].body == body, "{} bytes", seen[n].body.len());
     }
@@ -135,8 +145,8 @@
 
 #[test]
 fn a_client_may_take_its_time_for_head_and_body() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"done"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"done"));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let bytes =
@@ -147,21 +157,21 @@
         assert!(client.send(part));
         thread::sleep(Duration::from_millis(200));
     }
-    assert_eq!(client.interim().as_deref(), Some("HTTP/1.1 100 Continue"));
+    assert_eq!(client.read_interim_response().as_deref(), Some("HTTP/1.1 100 Continue"));
     for part in body.chunks(6_400) {
         assert!(client.send(part));
         thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(client.answer().map(|a| a.status()), Some(200));
-    assert!(record.seen.lock().unwrap()[0].body == body);
+    assert_eq!(client.read_response().map(|a| a.status()), Some(200));
+    assert!(traffic.requests.lock().unwrap()[0].body == body);
 }
 
 #[test]
 fn a_long_request_is_not_sent_twice_once_part_of_it_is_gone() {
     // It answers before it has read the body: the rest of that is read and dropped, and the client told.
-    let record = Record::default();
+    let traffic = Traffic::default();
     let early = move |_: usize, _: &Message| ok(b"never");
-    let addresses = backends(1, &record, early);
+    let addresses = start_backends(1, &traffic, early);
     let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let dead = gone.local_addr().unwrap();
     thread::spawn(move || {
@@ -181,56 +191,60 @@
         assert!(client.send(part), "the client is read to its end");
         thread::sleep(Duration::from_millis(5));
     }
-    let answer = client.answer().expect("an answer");
+    let answer = client.read_response().expect("an answer");
     assert!(matches!(answer.status(), 502 | 503), "{}", answer.first_line);
     drop((addresses, discovery));
-    assert_eq!(record.count(), 0);
+    assert_eq!(traffic.request_count(), 0);
 }
 
 #[test]
 fn a_client_that_leaves_a_long_transfer_frees_the_backend() {
     let body = pattern(8_000_000);
     let bytes = [head("Content-Length: 8000000"), body].concat();
-    let record = Record::default();
-    let addresses = backends(1, &record, move |_, _| Act::Say(bytes.clone()));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, move |_, _| Action::Send(bytes.clone()));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let mut client = Client::connect(node.address);
     client.send(&request("page", 4000));
-    assert!(client.first_byte());
+    assert!(client.wait_for_data());
     drop(client);
-    wait_for("the attempt's connection is closed", || record.open_now() == 0);
+    wait_for("the attempt's connection is closed", || traffic.open_connections() == 0);
     let mut client = Client::connect(node.address);
     client.send(&upload("bid", 900, "Content-Length: 3000000"));
     client.send(&pattern(500_000));
-    wait_for("the request is on its way", || record.opened.load(Ordering::SeqCst) == 2);
+    wait_for("the request is on its way", || traffic.connections_opened.load(Ordering::SeqCst) == 2);
     drop(client);
-    wait_for("the attempt's connection is closed", || record.open_now() == 0);
-    assert_eq!(record.count(), 1, "half a request is none");
-    assert_eq!(node.up(), 200);
+    wait_for("the attempt's connection is closed", || traffic.open_connections() == 0);
+    assert_eq!(traffic.request_count(), 1, "half a request is none");
+    assert_eq!(node.up_status(), 200);
 }
 
 #[test]
 fn a_client_that_stops_reading_or_sending_for_good_frees_the_backend() {
     let bytes = [head("Content-Length: 32000000"), pattern(32_000_000)].concat();
-    let record = Record::default();
-    let addresses = backends(1, &record, move |_, _| Act::Say(bytes.clone()));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, move |_, _| Action::Send(bytes.clone()));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let mut reader = Client::connect(node.address);
     reader.send(&request("page", 4000));
-    assert!(reader.first_byte());
+    assert!(reader.wait_for_data());
     let mut sender = Client::connect(node.address);
     sender.send(&upload("bid", 900, "Content-Length: 3000000"));
     sender.send(&pattern(500_000));
-    wait_for("both are on their way", || record.opened.load(Ordering::SeqCst) == 2);
+    wait_for("both are on their way", || traffic.connections_opened.load(Ordering::SeqCst) == 2);
     // Both connections stay open, and silent, for longer than one may wait for anything else here.
     let begun = Instant::now();
-    while record.open_now() > 0 {
-        assert!(begun.elapsed() < 3 * PATIENCE, "{} backend connections are still held", record.open_now());
+    while traffic.open_connections() > 0 {
+        assert!(
+            begun.elapsed() < 3 * MAX_WAIT,
+            "{} backend connections are still held",
+            traffic.open_connections()
+        );
         thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(node.up(), 200);
+    assert_eq!(node.up_status(), 200);
 }
 
 #[test]
@@ -239,26 +253,26 @@
         ("Content-Length: 100000", pattern(100_000)),
         ("Transfer-Encoding: chunked", chunked(&pattern(100_000), 30_000)),
     ] {
-        for act in [Act::Silent, Act::SayAndClose(Vec::new())] {
-            let record = Record::default();
-            let addresses = backends(3, &record, move |_, _| act.clone());
+        for act in [Action::Silent, Action::SendAndClose(Vec::new())] {
+            let traffic = Traffic::default();
+            let addresses = start_backends(3, &traffic, move |_, _| act.clone());
             let discovery = Discovery::start(all_up(&addresses));
             let node = Node::start(discovery.address, |_| {});
             let mut client = Client::connect(node.address);
             client.send(&upload("bid", 900, framing));
             client.send(&body);
             let begun = Instant::now();
-            assert_eq!(client.answer().map(|a| a.status()), Some(502), "it may have run: {framing}");
+            assert_eq!(client.read_response().map(|a| a.status()), Some(502), "it may have run: {framing}");
             assert!(begun.elapsed() < Duration::from_millis(1500), "{:?}", begun.elapsed());
-            assert_eq!(record.count(), 1, "{framing}");
+            assert_eq!(traffic.request_count(), 1, "{framing}");
         }
     }
 }
 
 #[test]
 fn a_long_request_whose_answer_takes_its_time_has_not_stalled() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| {
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| {
         thread::sleep(Duration::from_millis(16_500));
         ok(b"done")
     });
@@ -270,25 +284,20 @@
         }
     });
     let mut client = Client::connect(node.address);
-    client.stream.set_read_timeout(Some(3 * PATIENCE)).unwrap();
+    client.stream.set_read_timeout(Some(3 * MAX_WAIT)).unwrap();
     client.send(&upload("bid", 60_000, "Content-Length: 100000"));
     client.send(&pattern(100_000));
-    assert_eq!(client.answer().map(|a| a.status()), Some(200));
+    assert_eq!(client.read_response().map(|a| a.status()), Some(200));
 }
 
 #[test]
 fn more_long_bodies_than_memory_holds_pass_within_it() {
     const LENGTH: usize = 4_000_000;
     let bytes = [head(&format!("Content-Length: {LENGTH}")), pattern(LENGTH)].concat();
-    let record = Record::default();
-    let addresses =
-        backends(
-            4,
-            &record,
-            move |_, message| {
-                if message.body.is_empty() { Act::Say(bytes.clone()) } else { ok(b"done") }
-            },
-        );
+    let traffic = Traffic::default();
+    let addresses = start_backends(4, &traffic, move |_, message| {
+        if message.body.is_empty() { Action::Send(bytes.clone()) } else { ok(b"done") }
+    });
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["memory_mb"] = 32.into());
     let address = node.address;
@@ -300,12 +309,12 @@
                     client.send(&request("page", 4000));
                     // Slow to read.
                     thread::sleep(Duration::from_millis(500));
-                    let answer = client.answer().expect("an answer");
+                    let answer = client.read_response().expect("an answer");
                     (answer.status(), answer.status() != 200 || answer.body == pattern(LENGTH))
                 } else {
                     client.send(&upload("pay", 4000, &format!("Content-Length: {LENGTH}")));
                     let sent = client.stream.write_all(&pattern(LENGTH)).is_ok();
-                    (client.answer().expect("an answer").status(), sent)
+                    (client.read_response().expect("an answer").status(), sent)
                 }
             })
         })
@@ -313,5 +322,5 @@
     let ends: Vec<(u16, bool)> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     assert!(ends.iter().all(|(status, whole)| matches!(status, 200 | 502 | 503) && *whole), "{ends:?}");
     assert!(ends.iter().filter(|(status, _)| *status == 200).count() > 10, "{ends:?}");
-    assert!(node.most_memory() < 32 << 20, "{} bytes", node.most_memory());
+    assert!(node.peak_memory_bytes() < 32 << 20, "{} bytes", node.peak_memory_bytes());
 }
--- a/tests/node_product.rs
+++ b/tests/node_product.rs
@@ -9,7 +9,7 @@
 
 /// A file of the product's own, in a directory of this test's own.
 fn options(name: &str, text: &str) -> PathBuf {
-    let path = scratch(name).join("daleturn.toml");
+    let path = scratch_dir(name).join("daleturn.toml");
     std::fs::write(&path, text).unwrap();
     path
 }
@@ -22,19 +22,19 @@
 }
 
 fn serving(options: &std::path::Path, discovery: &Discovery) -> Node {
-    let (node, _) = Node::launch_with(discovery.address, options, true);
-    wait_for("/up is 200", || node.up() == 200);
+    let (node, _) = Node::launch_with_options(discovery.address, options, true);
+    wait_for("/up is 200", || node.up_status() == 200);
     node
 }
 
 #[test]
 fn a_log_that_nobody_reads_stalls_nothing_and_the_lines_that_are_lost_are_counted_and_told() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let file = options("pipe", "[log]\nlines_per_second = 1000\n");
-    let (node, unread) = Node::launch_with(discovery.address, &file, false);
-    wait_for("/up is 200", || node.up() == 200);
+    let (node, unread) = Node::launch_with_options(discovery.address, &file, false);
+    wait_for("/up is 200", || node.up_status() == 200);
     // Each of these writes a line; the pipe and the queue hold so many.
     let unwritten = |node: &Node| stats(node)["log"]["unwritten"].as_u64().unwrap();
     wait_for("lines are dropped", || {
@@ -45,7 +45,7 @@
         unwritten(&node) > 0
     });
     assert_eq!(node.call("health"), "OK serving\n");
-    assert_eq!(ask(node.address, &request("page", 3000)).status(), 200);
+    assert_eq!(fetch(node.address, &request("page", 3000)).status(), 200);
     let mut lines = BufReader::new(unread.unwrap()).lines().map_while(Result::ok);
     let told = lines.find(|l| l.contains("log.dropped")).expect("it is told");
     assert!(told.contains("WARN") && told.contains("unwritten="), "{told}");
@@ -53,19 +53,19 @@
 
 #[test]
 fn a_line_is_an_event_with_a_name_and_fields_as_text_or_as_json() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let file = options("format", "[log]\nformat = \"json\"\n[log.targets]\noperator = \"error\"\n");
     let mut node = serving(&file, &discovery);
     assert!(node.call("cordon s-0").starts_with("OK"));
     std::fs::write(&file, "[log]\n").unwrap();
     let config = node.config().to_string();
-    node.replace(&config, true);
+    node.replace_config(&config, true);
     assert!(node.call("cordon s-0").starts_with("OK"));
-    wait_for("the word is logged", || node.logged("operator.called") > 0);
+    wait_for("the word is logged", || node.count_log_lines("operator.called") > 0);
     node.terminate();
-    assert!(node.ended().success());
+    assert!(node.wait_for_exit().success());
     let log = node.log();
     let (json, text): (Vec<&str>, Vec<&str>) = log.lines().partition(|l| l.starts_with('{'));
     let events: Vec<Value> = json.iter().map(|l| serde_json::from_str(l).unwrap()).collect();
@@ -79,8 +79,8 @@
 
 #[test]
 fn both_files_are_taken_together_or_neither_is() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let file = options("both", "[stats]\nwindow_s = 7\n");
     let mut node = serving(&file, &discovery);
@@ -97,26 +97,26 @@
     ];
     for text in bad {
         std::fs::write(&file, text).unwrap();
-        node.replace(&config.to_string(), false);
+        node.replace_config(&config.to_string(), false);
     }
-    assert_eq!(node.logged("daleturn.toml: line"), 5, "each error names the file and the line");
+    assert_eq!(node.count_log_lines("daleturn.toml: line"), 5, "each error names the file and the line");
     std::fs::remove_file(&file).unwrap();
     std::fs::create_dir(&file).unwrap();
-    node.replace(&config.to_string(), false);
+    node.replace_config(&config.to_string(), false);
     std::fs::remove_dir(&file).unwrap();
-    node.replace(&config.to_string(), false);
+    node.replace_config(&config.to_string(), false);
     let now = stats(&node);
     assert_eq!((&now["window_s"], &now["settings"]["taken"]), (&7.into(), &1.into()));
     // Good options beside a bad platform file are not taken either.
     std::fs::write(&file, "[stats]\nwindow_s = 9\n").unwrap();
-    node.replace("{", false);
+    node.replace_config("{", false);
     assert_eq!(stats(&node)["window_s"], 7);
     // One signal after the other while a long file is read: the last word counts.
     let before = now["settings"]["digest"].clone();
     let long = format!("{}{}", " ".repeat(8 << 20), config);
     node.write_config(&long);
     for _ in 0..20 {
-        node.hang_up();
+        node.send_sighup();
     }
     wait_for("taken", || stats(&node)["window_s"] == 9);
     assert_ne!(stats(&node)["settings"]["digest"], before);
@@ -128,8 +128,8 @@
         [("[lgo]\n", "line 1: lgo: unknown field"), ("[log]\nlevel = 3\n", "line 2: log.level")]
     {
         let file = options("start", text);
-        let (mut node, _) = Node::launch_with(free_address(), &file, true);
-        assert_eq!(node.ended().code(), Some(2));
+        let (mut node, _) = Node::launch_with_options(free_address(), &file, true);
+        assert_eq!(node.wait_for_exit().code(), Some(2));
         let log = node.log();
         assert!(log.contains("node.failed") && log.contains(why), "{log}");
     }
@@ -137,22 +137,22 @@
 
 #[test]
 fn the_figures_tell_what_became_of_requests() {
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, m| match m.header("x-object") {
-        Some("wrong") => Act::Say(reply("400 Bad Request", "", b"")),
+    let traffic = Traffic::default();
+    let addresses = start_backends(2, &traffic, |_, m| match m.header("x-object") {
+        Some("wrong") => Action::Send(http_response("400 Bad Request", "", b"")),
         _ => ok(b"x"),
     });
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |_| {});
     for _ in 0..20 {
-        assert_eq!(ask(node.address, &request("page", 3000)).status(), 200);
+        assert_eq!(fetch(node.address, &request("page", 3000)).status(), 200);
     }
     let wrong = String::from_utf8(request("bid", 900)).unwrap();
     let object = wrong.lines().find(|l| l.starts_with("X-Object")).unwrap();
-    assert_eq!(ask(node.address, wrong.replace(object, "X-Object: wrong").as_bytes()).status(), 400);
+    assert_eq!(fetch(node.address, wrong.replace(object, "X-Object: wrong").as_bytes()).status(), 400);
     assert!(node.call("cordon s-0").starts_with("OK"));
     assert!(node.call("cordon s-1").starts_with("OK"));
-    assert_eq!(ask(node.address, &request("page", 3000)).status(), 503);
+    assert_eq!(fetch(node.address, &request("page", 3000)).status(), 503);
     let s = stats(&node);
     let page = &s["classes"]["page"];
     assert_eq!((&page["asked"], &page["served"], &page["refused"]), (&21.into(), &20.into(), &1.into()));
@@ -174,11 +174,11 @@
     // A class that is renamed starts anew beside what the old name counted.
     let mut config = node.config();
     config["settings"]["classes"][0]["name"] = "leaf".into();
-    node.replace(&config.to_string(), true);
+    node.replace_config(&config.to_string(), true);
     assert!(node.call("uncordon s-0").starts_with("OK"));
     wait_for("the new class is served", || {
         let leaf = String::from_utf8(request("page", 3000)).unwrap().replace("X-Qos: page", "X-Qos: leaf");
-        ask(node.address, leaf.as_bytes()).status() == 200
+        fetch(node.address, leaf.as_bytes()).status() == 200
     });
     let s = stats(&node);
     assert_eq!(s["classes"]["page"]["served"], 20);
@@ -188,8 +188,8 @@
 
 #[test]
 fn figures_of_a_large_fleet_are_answered_at_the_descriptor_limit() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let many: Vec<Value> = (0..200).map(|n| target(&format!("s-{n:03}"), addresses[0], "up")).collect();
     let discovery = Discovery::start(many);
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 64.into());
--- a/tests/node_settings.rs
+++ b/tests/node_settings.rs
@@ -13,8 +13,8 @@
 
 #[test]
 fn classes_appear_change_and_vanish_for_new_requests() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |_| {});
     let get = |class: &str| {
@@ -23,29 +23,33 @@
     let mut new = node.config();
     class_named(&mut new, "page")["semantics"] = "at_most_once".into();
     class_named(&mut new, "bid")["name"] = "offer".into();
-    node.replace(&new.to_string(), true);
-    assert_eq!(ask(node.address, &get("page")).status(), 400, "it may run once, and a GET says otherwise");
-    assert_eq!(ask(node.address, &request("offer", 900)).status(), 200);
+    node.replace_config(&new.to_string(), true);
+    assert_eq!(
+        fetch(node.address, &get("page")).status(),
+        400,
+        "it may run once, and a GET says otherwise"
+    );
+    assert_eq!(fetch(node.address, &request("offer", 900)).status(), 200);
     let both = |class: &str| {
-        (ask(node.address, &get(class)).status(), ask(node.address, &request(class, 900)).status())
+        (fetch(node.address, &get(class)).status(), fetch(node.address, &request(class, 900)).status())
     };
     assert_eq!(both("offer").0, 400);
     assert_eq!(both("bid"), (200, 200), "a class that nobody knows any more");
     let mut back = node.config();
     class_named(&mut back, "page")["objectiveMs"] = 1000.into();
-    node.replace(&back.to_string(), true);
-    assert_eq!(ask(node.address, &get("page")).status(), 200);
-    assert_eq!(ask(node.address, &get("bid")).status(), 400);
+    node.replace_config(&back.to_string(), true);
+    assert_eq!(fetch(node.address, &get("page")).status(), 200);
+    assert_eq!(fetch(node.address, &get("bid")).status(), 400);
 }
 
 #[test]
 fn requests_under_way_keep_their_class() {
-    let record = Record::default();
+    let traffic = Traffic::default();
     // The first attempt breaks off after a while, the second is answered.
-    let addresses = backends(3, &record, |n, _| {
+    let addresses = start_backends(3, &traffic, |n, _| {
         if n < 2 {
             thread::sleep(Duration::from_millis(600));
-            return Act::SayAndClose(Vec::new());
+            return Action::SendAndClose(Vec::new());
         }
         ok(b"x")
     });
@@ -55,39 +59,39 @@
     let mut unsafe_ = Client::connect(node.address);
     safe.send(&request("page", 4000));
     unsafe_.send(&request("bid", 4000));
-    wait_for("both are out", || record.count() == 2);
+    wait_for("both are out", || traffic.request_count() == 2);
     // The safe one turns strict, the strict one safe; then both are gone.
     let mut new = node.config();
     class_named(&mut new, "page")["semantics"] = "at_most_once".into();
     class_named(&mut new, "bid")["semantics"] = "idempotent".into();
-    node.replace(&new.to_string(), true);
+    node.replace_config(&new.to_string(), true);
     new["settings"]["classes"].as_array_mut().unwrap().drain(..2);
-    node.replace(&new.to_string(), true);
-    assert_eq!(safe.answer().map(|a| a.status()), Some(200), "it was safe to repeat");
-    assert_eq!(unsafe_.answer().map(|a| a.status()), Some(502), "it was not");
-    assert_eq!(record.count(), 3);
+    node.replace_config(&new.to_string(), true);
+    assert_eq!(safe.read_response().map(|a| a.status()), Some(200), "it was safe to repeat");
+    assert_eq!(unsafe_.read_response().map(|a| a.status()), Some(502), "it was not");
+    assert_eq!(traffic.request_count(), 3);
 }
 
 #[test]
 fn fewer_attempts_bind_new_requests_at_once() {
-    let record = Record::default();
-    let addresses = backends(4, &record, |_, _| Act::SayAndClose(Vec::new()));
+    let traffic = Traffic::default();
+    let addresses = start_backends(4, &traffic, |_, _| Action::SendAndClose(Vec::new()));
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |_| {});
-    assert!(ask(node.address, &request("page", 900)).status() >= 500);
-    assert!(record.count() > 1, "{} attempts", record.count());
+    assert!(fetch(node.address, &request("page", 900)).status() >= 500);
+    assert!(traffic.request_count() > 1, "{} attempts", traffic.request_count());
     let mut new = node.config();
     new["settings"]["limits"]["attemptsCap"] = 1.into();
-    node.replace(&new.to_string(), true);
-    let before = record.count();
-    assert!(ask(node.address, &request("page", 900)).status() >= 500);
-    assert!(record.count() <= before + 1, "{} attempts", record.count() - before);
+    node.replace_config(&new.to_string(), true);
+    let before = traffic.request_count();
+    assert!(fetch(node.address, &request("page", 900)).status() >= 500);
+    assert!(traffic.request_count() <= before + 1, "{} attempts", traffic.request_count() - before);
 }
 
 #[test]
 fn a_bad_file_is_turned_down_whole_and_the_node_serves_on() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |_| {});
     let elsewhere = Discovery::start(all_up(&addresses));
@@ -122,32 +126,32 @@
         text.replacen("4000", "1e999", 1),
     ];
     for (n, bad) in bad.iter().enumerate() {
-        node.replace(bad, false);
-        assert_eq!(ask(node.address, &request("page", 900)).status(), 200, "file {n}");
+        node.replace_config(bad, false);
+        assert_eq!(fetch(node.address, &request("page", 900)).status(), 200, "file {n}");
     }
-    assert_eq!(elsewhere.calls(), 0);
-    assert_eq!(node.logged("config.refused"), bad.len());
-    assert_eq!(node.logged(&node.file()), bad.len(), "each says which file");
-    node.replace(&text, true);
-    assert_eq!(ask(node.address, &request("page", 900)).status(), 400);
-    wait_for("the new address is asked", || elsewhere.calls() > 0);
+    assert_eq!(elsewhere.call_count(), 0);
+    assert_eq!(node.count_log_lines("config.refused"), bad.len());
+    assert_eq!(node.count_log_lines(&node.config_path()), bad.len(), "each says which file");
+    node.replace_config(&text, true);
+    assert_eq!(fetch(node.address, &request("page", 900)).status(), 400);
+    wait_for("the new address is asked", || elsewhere.call_count() > 0);
 }
 
 #[test]
 fn of_many_signals_the_last_file_holds() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |_| {});
     let mut file = node.config();
     for n in 0..50 {
         class_named(&mut file, "page")["hardLimitMs"] = (1000 + n).into();
         node.write_config(&if n % 3 == 0 { "{".to_owned() } else { file.to_string() });
-        node.hang_up();
+        node.send_sighup();
     }
     class_named(&mut file, "page")["semantics"] = "at_most_once".into();
     node.write_config(&file.to_string());
-    node.hang_up();
-    wait_for("the last one holds", || ask(node.address, &request("page", 900)).status() == 400);
-    assert!(node.running());
+    node.send_sighup();
+    wait_for("the last one holds", || fetch(node.address, &request("page", 900)).status() == 400);
+    assert!(node.is_running());
 }
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -7,15 +7,15 @@
 
 /// The product's file that names a state directory of this test's own.
 fn place(name: &str) -> (PathBuf, PathBuf) {
-    let dir = scratch(name);
+    let dir = scratch_dir(name);
     let (file, state) = (dir.join("daleturn.toml"), dir.join("state"));
     std::fs::write(&file, format!("[state]\ndir = {:?}\n", state.to_str().unwrap())).unwrap();
     (file, state)
 }
 
 fn start(file: &Path, discovery: &Discovery) -> Node {
-    let (node, _) = Node::launch_with(discovery.address, file, true);
-    wait_for("it serves", || node.call_if_there("health").is_some_and(|a| a.starts_with("OK")));
+    let (node, _) = Node::launch_with_options(discovery.address, file, true);
+    wait_for("it serves", || node.try_call("health").is_some_and(|a| a.starts_with("OK")));
     node
 }
 
@@ -28,10 +28,10 @@
     backends.as_array().unwrap().iter().map(|b| b["state"].as_str().unwrap().to_owned()).collect()
 }
 
-fn fleet() -> (Record, Discovery) {
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, _| ok(b"x"));
-    (record, Discovery::start(all_up(&addresses)))
+fn fleet() -> (Traffic, Discovery) {
+    let traffic = Traffic::default();
+    let addresses = start_backends(2, &traffic, |_, _| ok(b"x"));
+    (traffic, Discovery::start(all_up(&addresses)))
 }
 
 #[test]
@@ -46,13 +46,13 @@
     let mut second = start(&file, &discovery);
     assert_eq!(states(&second), ["up", "cordoned"]);
     assert!(second.call("health").contains("quiesced"));
-    assert_eq!(second.up(), 503);
+    assert_eq!(second.up_status(), 503);
     assert!(second.call("resume").starts_with("OK"));
     assert!(second.call("uncordon s-1").starts_with("OK"));
     second.kill();
     let third = start(&file, &discovery);
     assert_eq!(states(&third), ["up", "up"]);
-    assert_eq!(third.up(), 200);
+    assert_eq!(third.up_status(), 200);
     assert_eq!(stats(&third)["state"]["incarnation"], 3);
 }
 
@@ -62,16 +62,16 @@
     let (file, _) = place("learned");
     let mut first = start(&file, &discovery);
     for _ in 0..30 {
-        assert_eq!(ask(first.address, &request("page", 3000)).status(), 200);
+        assert_eq!(fetch(first.address, &request("page", 3000)).status(), 200);
     }
     // The first look is at once, the next ones some seconds apart.
     std::thread::sleep(std::time::Duration::from_millis(6500));
     first.kill();
     let nobody = free_address();
-    let (second, _) = Node::launch_with(nobody, &file, true);
-    wait_for("it knows backends", || second.call_if_there("health").is_some_and(|a| a.starts_with("OK")));
-    assert_eq!(ask(second.address, &request("page", 3000)).status(), 200);
-    assert!(second.logged("state.remembers") == 1);
+    let (second, _) = Node::launch_with_options(nobody, &file, true);
+    wait_for("it knows backends", || second.try_call("health").is_some_and(|a| a.starts_with("OK")));
+    assert_eq!(fetch(second.address, &request("page", 3000)).status(), 200);
+    assert!(second.count_log_lines("state.remembers") == 1);
 }
 
 #[test]
@@ -94,8 +94,8 @@
     bytes[middle] ^= 0x10;
     std::fs::write(&path, &bytes).unwrap();
     let mut second = start(&file, &discovery);
-    assert_eq!(ask(second.address, &request("page", 3000)).status(), 200);
-    wait_for("the damage is told", || second.logged("state.damaged") == 1);
+    assert_eq!(fetch(second.address, &request("page", 3000)).status(), 200);
+    wait_for("the damage is told", || second.count_log_lines("state.damaged") == 1);
     let name = path.file_name().unwrap().to_str().unwrap();
     assert_eq!(std::fs::read(dir.join(format!("damaged-{name}"))).unwrap(), bytes);
     second.kill();
@@ -106,8 +106,8 @@
     header.extend(crc(&header).to_le_bytes());
     std::fs::write(&path, &header).unwrap();
     let third = start(&file, &discovery);
-    assert_eq!(ask(third.address, &request("page", 3000)).status(), 200);
-    wait_for("it is told", || third.logged("format 99") == 1);
+    assert_eq!(fetch(third.address, &request("page", 3000)).status(), 200);
+    wait_for("it is told", || third.count_log_lines("format 99") == 1);
     assert!(third.call("cordon s-1").starts_with("ERR nothing changed"));
     assert_eq!(std::fs::read(&path).unwrap(), header);
 }
@@ -132,11 +132,11 @@
         assert_eq!(states(&node), ["up", "cordoned"], "start {n}");
         if n == 3 {
             // The log has a reader of its own, which may be behind.
-            wait_for("it is told", || node.logged("looping=true") > 0);
+            wait_for("it is told", || node.count_log_lines("looping=true") > 0);
         }
-        assert_eq!(node.logged("looping=true"), usize::from(n == 3), "start {n}");
+        assert_eq!(node.count_log_lines("looping=true"), usize::from(n == 3), "start {n}");
         if n == 3 {
-            assert_eq!(node.logged("state.remembers"), 0);
+            assert_eq!(node.count_log_lines("state.remembers"), 0);
         }
         node.kill();
     }
@@ -145,10 +145,10 @@
 #[test]
 fn a_place_that_cannot_be_written_keeps_no_node_from_serving() {
     let (_record, discovery) = fleet();
-    let file = scratch("nowhere").join("daleturn.toml");
+    let file = scratch_dir("nowhere").join("daleturn.toml");
     std::fs::write(&file, "[state]\ndir = \"/proc/nowhere\"\n").unwrap();
     let node = start(&file, &discovery);
-    assert_eq!(ask(node.address, &request("page", 3000)).status(), 200);
+    assert_eq!(fetch(node.address, &request("page", 3000)).status(), 200);
     assert!(node.call("cordon s-1").starts_with("ERR nothing changed, it cannot be stored"));
     assert_eq!(states(&node), ["up", "up"]);
 }
@@ -156,7 +156,7 @@
 /// The product's file of a node whose disk takes orders, and the place that they are given at.
 fn rehearsed(name: &str) -> (PathBuf, PathBuf, PathBuf) {
     let (file, state) = place(name);
-    let drill = scratch(name).join("drill");
+    let drill = scratch_dir(name).join("drill");
     let text =
         format!("[state]\ndir = {:?}\nrehearse = {:?}\n", state.to_str().unwrap(), drill.to_str().unwrap());
     std::fs::write(&file, text).unwrap();
@@ -180,7 +180,7 @@
     assert_eq!(said, "ERR nothing changed, it cannot be stored: the disk did not answer in time\n");
     assert_eq!(states(&first), ["up", "up"]);
     for _ in 0..20 {
-        assert_eq!(ask(first.address, &request("page", 3000)).status(), 200);
+        assert_eq!(fetch(first.address, &request("page", 3000)).status(), 200);
     }
     // Words are taken one after the other: of two at once, the later is not kept waiting for the first one's disk.
     let said: Vec<String> = std::thread::scope(|scope| {
@@ -207,7 +207,7 @@
         let said = node.call("cordon s-1");
         assert!(said.starts_with("ERR nothing changed, it cannot be stored"), "{wrong}: {said}");
         assert_eq!(states(&node), ["up", "up"], "{wrong}");
-        assert_eq!(ask(node.address, &request("page", 3000)).status(), 200, "{wrong}");
+        assert_eq!(fetch(node.address, &request("page", 3000)).status(), 200, "{wrong}");
         orders(&drill, "{}");
         assert_eq!(node.call("cordon s-1"), "OK s-1 is out\n", "after {wrong}");
         assert!(node.call("uncordon s-1").starts_with("OK"), "after {wrong}");
@@ -223,10 +223,10 @@
     // The journal is open still and takes the word, but a start would not find it: either answer is honest only
     // as far as the next start agrees with it.
     let said = first.call("cordon s-1");
-    assert_eq!(ask(first.address, &request("page", 3000)).status(), 200);
+    assert_eq!(fetch(first.address, &request("page", 3000)).status(), 200);
     first.kill();
     let second = start(&file, &discovery);
-    assert_eq!(ask(second.address, &request("page", 3000)).status(), 200);
+    assert_eq!(fetch(second.address, &request("page", 3000)).status(), 200);
     let kept = states(&second) == ["up", "cordoned"];
     assert_eq!(said.starts_with("OK"), kept, "{said}");
 }
--- a/tests/node_subset.rs
+++ b/tests/node_subset.rs
@@ -30,10 +30,10 @@
     (0..LISTED).map(line).collect()
 }
 
-fn server() -> (Record, SocketAddr) {
-    let record = Record::default();
-    let address = backends(1, &record, |_, _| ok(b"x"))[0];
-    (record, address)
+fn server() -> (Traffic, SocketAddr) {
+    let traffic = Traffic::default();
+    let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
+    (traffic, address)
 }
 
 fn version(node: &Node) -> u64 {
@@ -42,7 +42,7 @@
 
 fn serves(node: &Node, requests: usize) {
     for _ in 0..requests {
-        assert_eq!(ask(node.address, &request("page", 3000)).status(), 200);
+        assert_eq!(fetch(node.address, &request("page", 3000)).status(), 200);
     }
 }
 
@@ -59,27 +59,27 @@
         (&3000.into(), &320.into(), &4.into())
     );
     serves(&node, 50);
-    assert_eq!(first.count(), 50);
+    assert_eq!(first.request_count(), 50);
     // All that it holds drain; the others serve elsewhere from now on.
-    discovery.set(named(|uid| if before.contains(uid) { (a, "draining") } else { (b, "up") }));
+    discovery.set_targets(named(|uid| if before.contains(uid) { (a, "draining") } else { (b, "up") }));
     wait_for("the drain is known", || version(&node) == 2);
-    let probes = |record: &Record| {
-        record.seen.lock().unwrap().iter().filter(|m| !m.first_line.contains("/x")).count()
+    let probes = |traffic: &Traffic| {
+        traffic.requests.lock().unwrap().iter().filter(|m| !m.first_line.contains("/x")).count()
     };
-    let (sent, probed) = (first.count(), probes(&first));
+    let (sent, probed) = (first.request_count(), probes(&first));
     serves(&node, 100);
-    assert_eq!((first.count(), probes(&first)), (sent, probed), "nothing more goes there");
-    assert_eq!(second.count(), 100);
+    assert_eq!((first.request_count(), probes(&first)), (sent, probed), "nothing more goes there");
+    assert_eq!(second.request_count(), 100);
     let after = held(&node, "up");
     assert_eq!(after.len(), 320);
     assert!(after.is_disjoint(&before));
     assert_eq!(held(&node, "draining"), before, "operators see who drains");
     // It comes back as it was.
-    discovery.set(named(|_| (a, "up")));
+    discovery.set_targets(named(|_| (a, "up")));
     wait_for("they are back", || version(&node) == 3);
     assert_eq!(held(&node, "up"), before);
     serves(&node, 20);
-    assert_eq!(second.count(), 100);
+    assert_eq!(second.request_count(), 100);
 }
 
 #[test]
@@ -93,7 +93,7 @@
     assert!(node.call(&format!("cordon {other}")).starts_with(&format!("OK {other} is out")));
     assert!(node.call("cordon s-3000").starts_with("ERR"), "nobody lists it");
     // The one that was not held comes into the subset, and stays out.
-    discovery.set(named(|uid| {
+    discovery.set_targets(named(|uid| {
         if before.contains(uid) && *uid != one {
             (a, "draining")
         } else if uid == one || uid == other {
@@ -106,7 +106,7 @@
     assert_eq!(held(&node, "up"), BTreeSet::from([one]));
     assert_eq!(held(&node, "cordoned"), BTreeSet::from([other]));
     serves(&node, 20);
-    assert_eq!((first.count() >= 20, second.count()), (true, 0));
+    assert_eq!((first.request_count() >= 20, second.request_count()), (true, 0));
 }
 
 #[test]
@@ -119,21 +119,21 @@
     let discovery = Discovery::start(lines);
     let node = Node::start(discovery.address, |_| {});
     assert_eq!(stats(&node)["list"]["backends"], 2997);
-    wait_for("each is told", || node.logged("discovery.entry_skipped") >= 3);
+    wait_for("each is told", || node.count_log_lines("discovery.entry_skipped") >= 3);
     serves(&node, 20);
 }
 
 #[test]
 fn a_part_of_a_list_that_was_kept_is_never_taken_for_the_whole() {
     let (_record, a) = server();
-    let dir = scratch("kept-part");
+    let dir = scratch_dir("kept-part");
     let (file, state) = (dir.join("daleturn.toml"), dir.join("state"));
     std::fs::write(&file, format!("[state]\ndir = {:?}\n[list]\nsubset = 50\n", state.to_str().unwrap()))
         .unwrap();
     let discovery = Discovery::start(named(|_| (a, "up")));
     let start = |discovery: SocketAddr| {
-        let (node, _) = Node::launch_with(discovery, &file, true);
-        wait_for("it serves", || node.call_if_there("health").is_some_and(|a| a.starts_with("OK")));
+        let (node, _) = Node::launch_with_options(discovery, &file, true);
+        wait_for("it serves", || node.try_call("health").is_some_and(|a| a.starts_with("OK")));
         node
     };
     let mut first = start(discovery.address);
@@ -146,22 +146,22 @@
     wait_for("the list is stored", || size(&state) > 5000);
     first.kill();
     let later = Discovery::start(named(|_| (a, "up")));
-    later.silent(true);
+    later.set_silent(true);
     let second = start(later.address);
     serves(&second, 5);
     assert!(!later.first_call().contains("after="), "{}", later.first_call());
-    later.silent(false);
+    later.set_silent(false);
     wait_for("the whole list is known", || stats(&second)["list"]["backends"] == 3000);
 }
 
 #[test]
 fn without_a_bound_the_whole_list_is_worked_with() {
     let (_record, a) = server();
-    let file = scratch("no-subset").join("daleturn.toml");
+    let file = scratch_dir("no-subset").join("daleturn.toml");
     std::fs::write(&file, "[list]\nsubset = 0\n").unwrap();
     let discovery = Discovery::start(named(|_| (a, "up")));
-    let (node, _) = Node::launch_with(discovery.address, &file, true);
-    wait_for("/up is 200", || node.up() == 200);
+    let (node, _) = Node::launch_with_options(discovery.address, &file, true);
+    wait_for("/up is 200", || node.up_status() == 200);
     assert_eq!(held(&node, "up").len(), LISTED);
     serves(&node, 20);
 }
@@ -172,8 +172,8 @@
     let list = |rev: u64, all: bool, targets: &[Value]| {
         json!({"rev": rev, "all": all, "targets": targets}).to_string().into_bytes()
     };
-    let calls = Record::default();
-    let discovery = backend(&calls, move |_, message| {
+    let calls = Traffic::default();
+    let discovery = start_backend(&calls, move |_, message| {
         let both = [target("s-1", a, "up"), target("s-2", b, "up")];
         if message.first_line.contains("after=1&") {
             // What counts anew from here on is too long; a drain is among the changes.
@@ -185,12 +185,12 @@
         ok(&list(1, true, &both))
     });
     let node = Node::launch(discovery, |_| {}, "exec \"$0\"");
-    wait_for("it is told", || node.logged("discovery.list_too_long") > 0);
+    wait_for("it is told", || node.count_log_lines("discovery.list_too_long") > 0);
     wait_for("it is counted", || stats(&node)["list"]["too_long"].as_u64() > Some(0));
-    let sent = first.count();
+    let sent = first.request_count();
     serves(&node, 20);
     assert_eq!(
-        (first.count(), second.count() >= 20),
+        (first.request_count(), second.request_count() >= 20),
         (sent, true),
         "what is known holds, the drain among it"
     );
@@ -208,14 +208,14 @@
         )
     };
     for (last, state) in [(2, "up"), (3, "draining"), (4, "up"), (5, "draining"), (6, "up")] {
-        let discovery = backend(&Record::default(), move |_, message| {
+        let discovery = start_backend(&Traffic::default(), move |_, message| {
             let list = |rev: u64, all: bool, targets: &[Value]| {
                 ok(json!({"rev": rev, "all": all, "targets": targets}).to_string().as_bytes())
             };
             let after =
                 message.first_line.split("after=").nth(1).and_then(|t| t.split('&').next()?.parse().ok());
             match after.unwrap_or(0_u64) {
-                after if after >= last => Act::Silent,
+                after if after >= last => Action::Silent,
                 // The same thrice, with a change in between; then another, and the first one again.
                 2 => list(3, false, &[target("s-7", a, "draining")]),
                 4 => list(5, true, &whole("draining")),
@@ -223,13 +223,13 @@
             }
         });
         let node = Node::launch(discovery, |_| {}, "exec \"$0\"");
-        wait_for("/up is 200", || node.up() == 200);
+        wait_for("/up is 200", || node.up_status() == 200);
         wait_for("the list is known", || stats(&node)["list"]["version"] == last);
         assert!(held(&node, state).contains("s-7"), "version {last}: {state}");
         if state == "up" {
-            let sent = second.count();
+            let sent = second.request_count();
             serves(&node, 5);
-            assert_eq!(second.count(), sent, "version {last}");
+            assert_eq!(second.request_count(), sent, "version {last}");
         }
     }
 }
--- a/tests/node_upgrade.rs
+++ b/tests/node_upgrade.rs
@@ -24,27 +24,27 @@
 }
 
 fn healthy(node: &Node) -> bool {
-    try_operator(node.operator, b"health\n").is_some_and(|a| a.starts_with("OK"))
+    try_call_operator(node.operator, b"health\n").is_some_and(|a| a.starts_with("OK"))
 }
 
 struct World {
     tmp: Tmp,
     discovery: Discovery,
-    records: Vec<Record>,
+    records: Vec<Traffic>,
     old: Node,
 }
 
 fn world(name: &str) -> World {
-    let tmp = Tmp(scratch(name));
-    let records: Vec<Record> = (0..4).map(|_| Record::default()).collect();
+    let tmp = Tmp(scratch_dir(name));
+    let records: Vec<Traffic> = (0..4).map(|_| Traffic::default()).collect();
     let act = |_: usize, _: &Message| {
         thread::sleep(Duration::from_millis(20));
         ok(b"x")
     };
-    let addresses: Vec<_> = records.iter().map(|r| backend(r, act)).collect();
+    let addresses: Vec<_> = records.iter().map(|r| start_backend(r, act)).collect();
     let discovery = Discovery::start(all_up(&addresses));
     let old = Node::launch(discovery.address, |_| {}, &tmp.command());
-    wait_for("/up is 200", || old.up() == 200);
+    wait_for("/up is 200", || old.up_status() == 200);
     World { tmp, discovery, records, old }
 }
 
@@ -62,11 +62,11 @@
                 let mut client = Client::connect(address);
                 let mut crossed = 0;
                 while !over.load(Ordering::SeqCst) {
-                    if client.has_closed() {
+                    if client.is_closed_by_peer() {
                         client = Client::connect(address);
                     }
                     let bytes = request(if n % 2 == 0 { "page" } else { "bid" }, 900);
-                    let answer = if client.send(&bytes) { client.answer() } else { None };
+                    let answer = if client.send(&bytes) { client.read_response() } else { None };
                     let Some(answer) = answer else {
                         // A close that crossed the request: the protocol lets the client ask once more, and
                         // whoever it meets then stays. How many do is the machine's affair.
@@ -89,48 +89,48 @@
         let over = over.clone();
         thread::spawn(move || {
             while !over.load(Ordering::SeqCst) {
-                let answer = attempt(address, b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n");
+                let answer = try_fetch(address, b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n");
                 assert!(answer.is_none_or(|a| a.status() == 200), "the front was told no");
                 thread::sleep(Duration::from_millis(5));
             }
         })
     };
     wait_for("traffic flows", || served.load(Ordering::SeqCst) > 50);
-    let mut new = old.beside(&tmp.command());
+    let mut new = old.start_successor(&tmp.command());
     wait_for("the new process says yes", || healthy(&new));
     old.terminate();
     let begun = Instant::now();
-    assert!(old.ended().success());
+    assert!(old.wait_for_exit().success());
     assert!(begun.elapsed() < Duration::from_millis(3700), "SIGKILL would have come");
     let so_far = served.load(Ordering::SeqCst);
     wait_for("the new process serves", || served.load(Ordering::SeqCst) > so_far + 50);
     over.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
     front.join().unwrap();
-    assert!(new.running() && new.up() == 200);
+    assert!(new.is_running() && new.up_status() == 200);
 }
 
 #[test]
 fn a_backend_taken_out_at_either_process_is_out_at_both() {
     let World { tmp, records, old, .. } = world("both");
-    let new = old.beside(&tmp.command());
+    let new = old.start_successor(&tmp.command());
     wait_for("the new process says yes", || healthy(&new));
     assert!(old.call("cordon s-0").starts_with("OK"));
     assert!(new.call("cordon s-1").starts_with("OK"));
     let quiet = || {
-        let before = records[0].count() + records[1].count();
+        let before = records[0].request_count() + records[1].request_count();
         for _ in 0..40 {
-            assert_eq!(ask(old.address, &request("page", 900)).status(), 200);
+            assert_eq!(fetch(old.address, &request("page", 900)).status(), 200);
         }
-        records[0].count() + records[1].count() == before
+        records[0].request_count() + records[1].request_count() == before
     };
     wait_for("both are out at both", quiet);
     // Each is put back at the other one.
     assert!(new.call("uncordon s-0").starts_with("OK"));
     assert!(old.call("uncordon s-1").starts_with("OK"));
     let back = || {
-        ask(old.address, &request("page", 900));
-        records.iter().all(|r| r.count() > 40)
+        fetch(old.address, &request("page", 900));
+        records.iter().all(|r| r.request_count() > 40)
     };
     wait_for("both are back", back);
 }
@@ -139,15 +139,15 @@
 fn a_next_process_that_dies_leaves_the_old_one_serving_with_all_it_had() {
     let World { tmp, discovery, old, .. } = world("dies");
     // One that never has a list never says yes.
-    discovery.silent(true);
-    let mut new = old.beside(&tmp.command());
-    wait_for("it answers operators", || try_operator(new.operator, b"health\n").is_some());
+    discovery.set_silent(true);
+    let mut new = old.start_successor(&tmp.command());
+    wait_for("it answers operators", || try_call_operator(new.operator, b"health\n").is_some());
     assert!(new.call("health").starts_with("ERR"));
     assert!(new.call("quiesce").starts_with("ERR"));
     new.kill();
     assert!(old.call("health").starts_with("OK"));
     for _ in 0..20 {
-        assert_eq!(ask(old.address, &request("bid", 900)).status(), 200);
+        assert_eq!(fetch(old.address, &request("bid", 900)).status(), 200);
     }
     // With nobody beside it, a stop is what it was: the front is told no.
     let mut old = old;
@@ -155,32 +155,32 @@
     old.terminate();
     let up = b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n";
     wait_for("the front is told no", || {
-        kept.send(up) && kept.answer().is_none_or(|a| a.status() == 503) || kept.at_end()
+        kept.send(up) && kept.read_response().is_none_or(|a| a.status() == 503) || kept.wait_for_close()
     });
-    assert!(old.ended().success());
+    assert!(old.wait_for_exit().success());
 }
 
 #[test]
 fn two_processes_keep_within_the_nodes_descriptors() {
-    let tmp = Tmp(scratch("descriptors"));
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
+    let tmp = Tmp(scratch_dir("descriptors"));
+    let traffic = Traffic::default();
+    let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let old = Node::launch(discovery.address, |c| c["limits"]["sockets"] = 200.into(), &tmp.command());
-    wait_for("/up is 200", || old.up() == 200);
+    wait_for("/up is 200", || old.up_status() == 200);
     let mut clients: Vec<Client> = (0..120).map(|_| Client::connect(old.address)).collect();
     for client in &mut clients {
-        assert_eq!(client.ask(&request("page", 900)).status(), 200);
+        assert_eq!(client.fetch(&request("page", 900)).status(), 200);
     }
-    let new = old.beside(&tmp.command());
+    let new = old.start_successor(&tmp.command());
     let mut most = 0;
     wait_for("the new process says yes", || {
-        most = most.max(old.descriptors() + new.descriptors());
+        most = most.max(old.open_descriptors() + new.open_descriptors());
         healthy(&new)
     });
     for _ in 0..200 {
         clients.push(Client::connect(old.address));
-        most = most.max(old.descriptors() + new.descriptors());
+        most = most.max(old.open_descriptors() + new.open_descriptors());
     }
     assert!(most <= 200, "{most}");
 }
