--- a/tests/node_discovery.rs
+++ b/tests/node_discovery.rs
@@ -1,5 +1,5 @@
-//! The list of backends on real sockets: whatever becomes of a watch, the news that it missed arrives, and nothing that
-//! was once told is taken back by what is older.
+//! Updates of the list over real sockets. However a call to the discovery service ends, the changes that it missed arrive,
+//! and an older list never overrides a newer one.
 mod node;
 
 use node::*;
@@ -9,80 +9,84 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::thread;
 
+/// The values of `membershipMode`.
 const MODES: [&str; 2] = ["pushed", "on_request"];
 
+/// A response of the discovery service: the full list if `all`, changes otherwise.
 fn list(rev: u64, all: bool, targets: &[Value]) -> Vec<u8> {
     http_response("200 OK", "", json!({"rev": rev, "all": all, "targets": targets}).to_string().as_bytes())
 }
 
-fn watches(message: &Message) -> bool {
+/// True if a call waits for changes after a version, false if it asks for the full list.
+fn is_watch(message: &Message) -> bool {
     message.first_line.contains("after=")
 }
 
-/// Set once a test has seen its node up: before that no watch is answered.
+/// Set once a test has seen its node up. The fake discovery service answers no watch before that.
 #[derive(Clone, Default)]
-struct Seen(Arc<AtomicBool>);
+struct SeenUp(Arc<AtomicBool>);
 
-impl Seen {
+impl SeenUp {
     fn wait(&self) {
-        wait_for("the node was seen up", || self.0.load(SeqCst));
+        wait_for("the test has seen the node up", || self.0.load(SeqCst));
     }
 }
 
-/// A node whose lists arrive that way, with a short time for asking.
-fn node(discovery: SocketAddr, mode: &str, seen: &Seen) -> Node {
+/// Starts a node in a membership mode, with a short time limit for calls to the discovery service.
+fn start_node(discovery: SocketAddr, mode: &str, seen_up: &SeenUp) -> Node {
     let node = Node::start(discovery, |c| {
         c["settings"]["membershipMode"] = mode.into();
         c["settings"]["rules"]["mustAskInMs"] = 1000.into();
     });
-    seen.0.store(true, SeqCst);
+    seen_up.0.store(true, SeqCst);
     node
 }
 
-/// The first watch meets `end`; the backend drains in that moment, which whoever asks from then on is told.
-fn drains_as_the_watch_ends(mode: &str, end: Action) {
+/// Checks that a node learns of a drain whose notice it missed. The first watch ends by `end`; the backend starts to drain at
+/// that moment, and all later calls are told.
+fn check_drain_during_watch(mode: &str, end: Action) {
     let traffic = Traffic::default();
     let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
-    let drains = AtomicBool::new(false);
-    let seen = Seen::default();
-    let up = seen.clone();
+    let is_draining = AtomicBool::new(false);
+    let seen_up = SeenUp::default();
+    let up_seen = seen_up.clone();
     let discovery = start_backend(&Traffic::default(), move |_, message| {
-        if drains.load(SeqCst) {
-            return Action::Send(list(2, !watches(message), &[target("s-0", address, "draining")]));
+        if is_draining.load(SeqCst) {
+            return Action::Send(list(2, !is_watch(message), &[target("s-0", address, "draining")]));
         }
-        if watches(message) {
-            up.wait();
-            drains.store(true, SeqCst);
+        if is_watch(message) {
+            up_seen.wait();
+            is_draining.store(true, SeqCst);
             return end.clone();
         }
         Action::Send(list(1, true, &[target("s-0", address, "up")]))
     });
-    let node = node(discovery, mode, &seen);
-    wait_for("the drain is known", || node.up_status() == 503);
+    let node = start_node(discovery, mode, &seen_up);
+    wait_for("the node knows of the drain", || node.up_status() == 503);
     assert_eq!(fetch(node.address, &request("page", 900)).status(), 503, "{mode}");
-    assert_eq!(traffic.request_count(), 0, "{mode}: sent to a backend that drains");
+    assert_eq!(traffic.request_count(), 0, "{mode}: sent to a draining backend");
 }
 
 #[test]
-fn however_a_watch_ends_the_drain_that_it_missed_arrives() {
-    let half = &list(2, false, &[target("s-0", loopback(1), "draining")])[..60];
+fn a_drain_missed_by_a_watch_arrives_however_the_watch_ends() {
+    let half_response = &list(2, false, &[target("s-0", loopback(1), "draining")])[..60];
     let ends = [
-        ("silent from its first byte", Action::Silent),
-        ("half an answer and then silence", Action::Parts(vec![(0, half.to_vec())])),
+        ("no response", Action::Silent),
+        ("half a response and no end", Action::Parts(vec![(0, half_response.to_vec())])),
         (
-            "a head without a body",
+            "a response head without a body",
             Action::Parts(vec![(0, b"HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n".to_vec())]),
         ),
-        ("half an answer and the end", Action::SendAndClose(half.to_vec())),
-        ("reset", Action::SendAndClose(Vec::new())),
-        ("overbooked", Action::Send(http_response("503 Service Unavailable", "", b""))),
+        ("half a response and a close", Action::SendAndClose(half_response.to_vec())),
+        ("close without a response", Action::SendAndClose(Vec::new())),
+        ("503", Action::Send(http_response("503 Service Unavailable", "", b""))),
         ("not a list", Action::Send(http_response("200 OK", "", b"{\"rev\": 2}"))),
-        ("a version that counts anew", Action::Send(list(0, false, &[]))),
+        ("a lower version", Action::Send(list(0, false, &[]))),
     ];
     let threads = ends.into_iter().flat_map(|(what, end)| {
         MODES.map(|mode| {
             let end = end.clone();
-            (what, mode, thread::spawn(move || drains_as_the_watch_ends(mode, end)))
+            (what, mode, thread::spawn(move || check_drain_during_watch(mode, end)))
         })
     });
     let threads: Vec<_> = threads.collect();
@@ -92,66 +96,66 @@
 }
 
 #[test]
-fn a_repeat_that_hangs_leaves_time_for_another() {
+fn a_repeated_call_that_hangs_leaves_time_for_another() {
     for mode in MODES {
         let traffic = Traffic::default();
         let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
-        let watched = AtomicUsize::new(0);
-        let seen = Seen::default();
-        let seen_up = seen.clone();
+        let watch_count = AtomicUsize::new(0);
+        let seen_up = SeenUp::default();
+        let up_seen = seen_up.clone();
         let discovery = start_backend(&Traffic::default(), move |_, message| {
-            let up = |state: &str| [target("s-0", address, state)];
-            match watched.load(SeqCst) {
-                0 if !watches(message) => Action::Send(list(1, true, &up("up"))),
-                // The watch and the call after it are never answered.
+            let entry = |state: &str| [target("s-0", address, state)];
+            match watch_count.load(SeqCst) {
+                0 if !is_watch(message) => Action::Send(list(1, true, &entry("up"))),
+                // The first watch and the call after it are never answered.
                 0 | 1 => {
-                    seen_up.wait();
-                    watched.fetch_add(1, SeqCst);
+                    up_seen.wait();
+                    watch_count.fetch_add(1, SeqCst);
                     Action::Silent
                 }
-                _ => Action::Send(list(2, !watches(message), &up("draining"))),
+                _ => Action::Send(list(2, !is_watch(message), &entry("draining"))),
             }
         });
-        let node = node(discovery, mode, &seen);
-        wait_for("the drain is known", || node.up_status() == 503);
+        let node = start_node(discovery, mode, &seen_up);
+        wait_for("the node knows of the drain", || node.up_status() == 503);
     }
 }
 
 #[test]
-fn a_list_may_come_indented_and_may_leave_out_who_is_gone() {
+fn a_list_may_be_indented_and_may_omit_removed_backends() {
     for mode in MODES {
         let traffic = Traffic::default();
         let addresses = start_backends(2, &traffic, |_, _| ok(b"x"));
         let all = all_up(&addresses);
-        let seen = Seen::default();
-        let up = seen.clone();
+        let seen_up = SeenUp::default();
+        let up_seen = seen_up.clone();
         let discovery = start_backend(&Traffic::default(), move |n, _| {
-            // Whole lists for every call: two backends, then none.
+            // Every call gets a full list: two backends at first, none later.
             if n > 0 {
-                up.wait();
+                up_seen.wait();
             }
             let (rev, targets) = if n < 2 { (1, &all[..2]) } else { (2, &all[..0]) };
             let body = serde_json::to_string_pretty(&json!({"rev": rev, "all": true, "targets": targets}));
             Action::Send(http_response("200 OK", "", body.unwrap().as_bytes()))
         });
-        let node = node(discovery, mode, &seen);
-        wait_for("all are gone", || node.up_status() == 503);
+        let node = start_node(discovery, mode, &seen_up);
+        wait_for("the node knows that all backends are gone", || node.up_status() == 503);
     }
 }
 
 #[test]
-fn a_line_that_cannot_be_read_is_asked_for_again_and_hides_no_drain() {
+fn an_unreadable_entry_hides_no_drain() {
     for mode in MODES {
         for state in ["draining", "leaving"] {
             let traffic = Traffic::default();
             let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
-            let seen = Seen::default();
-            let up = seen.clone();
-            let (told, wholes) = (AtomicBool::new(false), Arc::new(AtomicUsize::new(0)));
-            let asked = wholes.clone();
+            let seen_up = SeenUp::default();
+            let up_seen = seen_up.clone();
+            let (has_sent_entry, full_list_calls) = (AtomicBool::new(false), Arc::new(AtomicUsize::new(0)));
+            let full_list_calls_made = full_list_calls.clone();
             let discovery = start_backend(&Traffic::default(), move |_, message| {
-                if !watches(message) {
-                    let first = wholes.fetch_add(1, SeqCst) == 0;
+                if !is_watch(message) {
+                    let first = full_list_calls.fetch_add(1, SeqCst) == 0;
                     let state = if first { "up" } else { "draining" };
                     return Action::Send(list(
                         if first { 1 } else { 2 },
@@ -159,65 +163,67 @@
                         &[target("s-0", address, state)],
                     ));
                 }
-                up.wait();
-                if told.swap(true, SeqCst) {
+                up_seen.wait();
+                if has_sent_entry.swap(true, SeqCst) {
                     return Action::Parts(vec![(100, list(2, false, &[]))]);
                 }
-                // Its place cannot be read, nor, at times, what has become of it.
+                // The endpoint and the group are unreadable; for `leaving` the state is unknown too.
                 let mut line = target("s-0", address, state);
                 line["endpoint"] = "nowhere".into();
                 line["pod_group"] = "four".into();
                 Action::Send(list(2, false, &[line]))
             });
-            let node = node(discovery, mode, &seen);
-            wait_for("the drain is known", || node.up_status() == 503);
+            let node = start_node(discovery, mode, &seen_up);
+            wait_for("the node knows of the drain", || node.up_status() == 503);
             if state == "draining" {
                 assert_eq!(
                     node.count_log_lines("discovery.entry_skipped"),
                     0,
-                    "{mode}: what says that it leaves is enough"
+                    "{mode}: the state alone is enough to know of the drain"
                 );
             } else {
-                assert!(asked.load(SeqCst) > 1, "{mode}: the whole list tells");
+                assert!(full_list_calls_made.load(SeqCst) > 1, "{mode}: the node asks for the full list");
             }
         }
     }
 }
 
 #[test]
-fn what_the_old_address_still_says_changes_nothing_any_more() {
+fn a_late_answer_of_the_old_discovery_address_changes_nothing() {
     for mode in MODES {
         let traffic = Traffic::default();
         let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
-        let moved = Arc::new(AtomicBool::new(false));
-        let turned = moved.clone();
-        let opened = Traffic::default();
-        let old = start_backend(&opened, move |_, message| {
-            if !watches(message) {
+        let is_new_asked = Arc::new(AtomicBool::new(false));
+        let new_was_asked = is_new_asked.clone();
+        let call_traffic = Traffic::default();
+        let old = start_backend(&call_traffic, move |_, message| {
+            if !is_watch(message) {
                 return Action::Send(list(7, true, &[target("s-0", address, "up")]));
             }
-            // It answers once the new one has, and with a higher version.
-            wait_for("the new address was asked", || turned.load(SeqCst));
+            // The old address answers after the new one was asked, and with a higher version.
+            wait_for("the new address is asked", || new_was_asked.load(SeqCst));
             Action::Send(list(9, true, &[target("s-0", address, "up")]))
         });
         let new = start_backend(&Traffic::default(), move |_, message| {
-            moved.store(true, SeqCst);
+            is_new_asked.store(true, SeqCst);
             let draining = [target("s-0", address, "draining")];
-            if watches(message) {
+            if is_watch(message) {
                 Action::Parts(vec![(100, list(1, false, &[]))])
             } else {
                 Action::Send(list(1, true, &draining))
             }
         });
-        // A watch on the old address would last longer than anybody waits here.
+        // A watch on the old address would last longer than the test.
         let mut node = Node::start(old, |c| {
             c["settings"]["membershipMode"] = mode.into();
             c["settings"]["rules"]["mustAskInMs"] = 60_000.into();
         });
-        wait_for("a watch is out", || opened.request_count() > 1);
+        wait_for("a watch is in flight", || call_traffic.request_count() > 1);
         node.set_discovery(Some(new));
-        wait_for("the new list holds", || node.up_status() == 503);
-        wait_for("the old address has spoken and was closed", || opened.open_connections() == 0);
+        wait_for("the new list is in use", || node.up_status() == 503);
+        wait_for("the old address has answered and its connections are closed", || {
+            call_traffic.open_connections() == 0
+        });
         assert_eq!(node.up_status(), 503, "{mode}");
     }
 }
@@ -235,45 +241,45 @@
             let old = Discovery::start(all_up(&[address]));
             let new = start_backend(&Traffic::default(), move |n, message| match n {
                 0 => first.clone(),
-                _ if watches(message) => Action::Silent,
+                _ if is_watch(message) => Action::Silent,
                 _ => Action::Send(list(1, true, &[target("s-0", address, "draining")])),
             });
             let mut node = Node::start(old.address, |c| {
                 c["settings"]["membershipMode"] = mode.into();
-                // A fleet so large that its decisions pace calls by five seconds and more.
+                // In a fleet this large the balancer paces calls by 5 s and more.
                 c["settings"]["instances"] = 300.into();
             });
             node.set_discovery(Some(new));
-            wait_for("the drain is known", || node.up_status() == 503);
+            wait_for("the node knows of the drain", || node.up_status() == 503);
             assert_eq!(
                 node.count_log_lines("discovery.failed"),
                 1,
-                "{mode}: of several calls the first is told"
+                "{mode}: only the first of several failed calls is logged"
             );
         }
     }
 }
 
 #[test]
-fn a_pushed_list_is_asked_for_beside_a_call_that_hangs() {
+fn a_pushed_list_is_requested_in_parallel_with_a_hanging_call() {
     let traffic = Traffic::default();
     let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
-    let calls = Traffic::default();
-    let opened = calls.clone();
-    let seen = Seen::default();
-    let up = seen.clone();
-    let back = AtomicBool::new(false);
-    // It hangs for the whole of every call that was begun alone, however many there are, and is back for one that is
-    // begun beside such a call.
-    let discovery = start_backend(&calls, move |n, message| {
+    let discovery_traffic = Traffic::default();
+    let call_traffic = discovery_traffic.clone();
+    let seen_up = SeenUp::default();
+    let up_seen = seen_up.clone();
+    let is_back = AtomicBool::new(false);
+    // No call is answered while it is the only one. The service recovers once a second call is open in parallel with a
+    // hanging one.
+    let discovery = start_backend(&discovery_traffic, move |n, message| {
         if n > 0 {
-            up.wait();
-            back.fetch_or(opened.open_connections() > 1, SeqCst);
+            up_seen.wait();
+            is_back.fetch_or(call_traffic.open_connections() > 1, SeqCst);
         }
-        if !back.load(SeqCst) || n < 3 {
+        if !is_back.load(SeqCst) || n < 3 {
             return Action::Silent;
         }
-        if watches(message) && n > 20 {
+        if is_watch(message) && n > 20 {
             return Action::Parts(vec![(100, list(2, false, &[]))]);
         }
         Action::Send(list(2, true, &[target("s-0", address, "draining")]))
@@ -281,32 +287,32 @@
     let node = Node::start(discovery, |c| {
         c["known"] = json!({"rev": 1, "all": true, "targets": [target("s-0", address, "up")]});
     });
-    seen.0.store(true, SeqCst);
-    wait_for("the drain is known", || node.up_status() == 503);
-    assert_eq!(traffic.request_count(), 0, "nothing was sent to it");
-    wait_for("discovery is heard", || node.count_log_lines("discovery.recovered") > 0);
+    seen_up.0.store(true, SeqCst);
+    wait_for("the node knows of the drain", || node.up_status() == 503);
+    assert_eq!(traffic.request_count(), 0, "sent to a draining backend");
+    wait_for("the discovery service has recovered", || node.count_log_lines("discovery.recovered") > 0);
     assert_eq!(
         node.count_log_lines("a try beside it was answered first"),
         1,
-        "by a try, not by a call after the first"
+        "the answer must come from a parallel attempt, not from a call after the first"
     );
 }
 
 #[test]
-fn a_large_fleet_asks_again_though_its_decisions_would_wait_longer_than_news_may() {
+fn a_large_fleet_repeats_failed_calls_sooner_than_the_balancers_pacing() {
     let traffic = Traffic::default();
     let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
-    let seen = Seen::default();
-    let up = seen.clone();
+    let seen_up = SeenUp::default();
+    let up_seen = seen_up.clone();
     let discovery = start_backend(&Traffic::default(), move |n, message| {
         if n == 0 {
             return Action::Send(list(1, true, &[target("s-0", address, "up")]));
         }
-        up.wait();
+        up_seen.wait();
         match n {
-            // The watch and the call after it are reset; the decisions would wait up to 5 s, then up to 20.
+            // The watch and the call after it are closed. The balancer alone would wait for up to 5 s, then up to 20 s.
             1 | 2 => Action::SendAndClose(Vec::new()),
-            _ if watches(message) && n > 3 => Action::Parts(vec![(100, list(2, false, &[]))]),
+            _ if is_watch(message) && n > 3 => Action::Parts(vec![(100, list(2, false, &[]))]),
             _ => Action::Send(list(2, true, &[target("s-0", address, "draining")])),
         }
     });
@@ -314,7 +320,11 @@
         c["settings"]["membershipMode"] = "on_request".into();
         c["settings"]["instances"] = 300.into();
     });
-    seen.0.store(true, SeqCst);
-    wait_for("the drain is known", || node.up_status() == 503);
-    assert_eq!(node.count_log_lines("discovery.failed"), 2, "each call that the decisions pace is told");
+    seen_up.0.store(true, SeqCst);
+    wait_for("the node knows of the drain", || node.up_status() == 503);
+    assert_eq!(
+        node.count_log_lines("discovery.failed"),
+        2,
+        "each failed call that the balancer started is logged"
+    );
 }
--- a/tests/node_late_lists.rs
+++ b/tests/node_late_lists.rs
@@ -1,18 +1,17 @@
-//! Answers of discovery that are on their way while the node turns to another call.
+//! Responses of the discovery service that are in flight while the node switches to another call.
 //!
-//! What users saw: requests went to a draining backend after its grace, once, while configurations followed each other
-//! within seconds and a slow discovery told a release of the backends.
+//! The failure: a node sent requests to a draining backend after its grace period. The sequence that caused it:
 //!
-//! The order of events: the node waits for changes. A backend begins to drain, and discovery writes that to the waiting
-//! call: from then on the drain counts as notified. Before the answer has arrived a new configuration names another
-//! address (or the call's time is over), and the node closes the call. The next call hangs, or its answer is slow. For as
-//! long as that lasts the node sends to the draining backend.
+//! 1. The node waits for changes. A backend starts to drain and the discovery service writes that to the open call; from
+//!    then on the drain counts as notified.
+//! 2. Before the response arrives a new configuration names another address, or the time limit of the call passes, and the
+//!    node closes the call and discards the response.
+//! 3. The next call hangs, or its response is slow. Until it arrives the node sends to the draining backend.
 //!
-//! The cause: what replaced a call to discovery threw its answer away, though that was written and under way.
-//!
-//! The evidence: 104 plays of 14 s with four real nodes, a slow discovery and four SIGHUPs for each node. Eleven departures
-//! were written and yet sent to after the grace. Ten were written to a call that SIGHUP ended within 45 ms, one to a call whose
-//! own time was over, and in each the last late request was sent in the moment in which a later answer was read.
+//! It was reproduced in 104 runs of 14 s with four real nodes, a slow discovery service and four SIGHUPs for each node. The
+//! nodes sent to eleven departed backends after the grace period: ten departures had been written to a call that SIGHUP ended
+//! within 45 ms, one to a call whose time limit had passed. In each case the last wrong request was sent at the moment at which
+//! a later response was read.
 mod node;
 
 use node::*;
@@ -23,17 +22,20 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::thread;
 
+/// The values of `membershipMode`.
 const MODES: [&str; 2] = ["pushed", "on_request"];
 
+/// A response of the discovery service: the full list if `all`, changes otherwise.
 fn list(rev: u64, all: bool, targets: &[Value]) -> Vec<u8> {
     http_response("200 OK", "", json!({"rev": rev, "all": all, "targets": targets}).to_string().as_bytes())
 }
 
-fn watches(message: &Message) -> bool {
+/// True if a call waits for changes after a version, false if it asks for the full list.
+fn is_watch(message: &Message) -> bool {
     message.first_line.contains("after=")
 }
 
-/// Set once something has happened.
+/// A flag that threads set and wait for.
 #[derive(Clone, Default)]
 struct Flag(Arc<AtomicBool>);
 
@@ -51,55 +53,55 @@
     }
 }
 
-/// Two backends of which the first leaves, and a discovery that answers the first whole list and then one watch only: with
-/// `last`, and only after `asked_anew` is set. All other calls hang.
-fn answers_once_more(
+/// Starts a discovery service that answers calls for the full list until the first watch, which sets `watched`. That watch
+/// is answered with `late_list` once `asked_again` is set. All later calls set `asked_again` and hang.
+fn start_discovery_with_late_answer(
     addresses: &[SocketAddr],
-    last: Vec<u8>,
+    late_list: Vec<u8>,
     watched: &Flag,
-    asked_anew: &Flag,
+    asked_again: &Flag,
 ) -> SocketAddr {
     let all = all_up(addresses);
-    let (watched, asked_anew) = (watched.clone(), asked_anew.clone());
+    let (watched, asked_again) = (watched.clone(), asked_again.clone());
     start_backend(&Traffic::default(), move |_, message| {
-        if !watches(message) && !watched.is_set() {
+        if !is_watch(message) && !watched.is_set() {
             return Action::Send(list(1, true, &all));
         }
         if watched.is_set() {
-            asked_anew.set();
+            asked_again.set();
             return Action::Silent;
         }
         watched.set();
-        asked_anew.wait("the node asks anew");
-        Action::Send(last.clone())
+        asked_again.wait("the node makes another call");
+        Action::Send(late_list.clone())
     })
 }
 
-fn node(discovery: SocketAddr, mode: &str) -> Node {
+fn start_node(discovery: SocketAddr, mode: &str) -> Node {
     Node::start(discovery, |c| {
         c["settings"]["membershipMode"] = mode.into();
-        // The longest wait for changes is short, so that its time-out is soon.
+        // A short limit on the wait for changes, so that the watch times out soon.
         c["settings"]["rules"]["mustAskInMs"] = 1000.into();
     })
 }
 
-/// The forms in which an answer can say that the first backend leaves.
-fn departures(addresses: &[SocketAddr]) -> Vec<(&'static str, Vec<u8>)> {
+/// Returns the forms in which a response can say that the first backend leaves, with a description of each.
+fn departure_forms(addresses: &[SocketAddr]) -> Vec<(&'static str, Vec<u8>)> {
     let stays = target("s-1", addresses[1], "up");
     vec![
         ("draining", list(2, false, &[target("s-0", addresses[0], "draining")])),
         ("removed", list(2, false, &[target("s-0", addresses[0], "removed")])),
         (
-            "a whole list that says so",
+            "draining in a full list",
             list(2, true, &[target("s-0", addresses[0], "draining"), stays.clone()]),
         ),
-        ("a whole list that leaves it out", list(2, true, &[stays])),
+        ("missing from a full list", list(2, true, &[stays])),
     ]
 }
 
-/// The first backend is out, the second is not: it serves.
-fn wait_until_out(node: &Node, traffic: &Traffic, what: &str) {
-    wait_for(&format!("the departure is known: {what}"), || {
+/// Waits until the node no longer uses the first backend, clears its traffic and checks that the second one serves.
+fn wait_until_departed(node: &Node, traffic: &Traffic, what: &str) {
+    wait_for(&format!("the node knows of the departure: {what}"), || {
         let stats = serde_json::from_str::<Value>(node.call("stats").trim_start_matches("OK ")).unwrap();
         let backends = stats["backends"].as_array().unwrap().clone();
         !backends.iter().any(|b| b["id"] == "s-0" && b["state"] == "up")
@@ -109,13 +111,13 @@
         assert_eq!(
             fetch(node.address, &request("page", 900)).status(),
             200,
-            "{what}: the other one serves"
+            "{what}: the other backend serves"
         );
     }
 }
 
-/// Two backends with a record of each.
-fn two_backends() -> (Vec<SocketAddr>, Traffic) {
+/// Starts two backends. Returns their addresses and the traffic of the first one.
+fn start_two_backends() -> (Vec<SocketAddr>, Traffic) {
     let (leaving, staying) = (Traffic::default(), Traffic::default());
     let first = start_backend(&leaving, |_, _| ok(b"x"));
     let second = start_backend(&staying, |_, _| ok(b"x"));
@@ -123,90 +125,95 @@
 }
 
 #[test]
-fn a_departure_that_was_written_before_discovery_moved_is_not_lost_with_its_call() {
+fn a_departure_written_before_the_discovery_address_changes_is_not_lost() {
     for mode in MODES {
-        let (addresses, leaving) = two_backends();
-        for (what, last) in departures(&addresses) {
-            let (watched, asked_anew) = (Flag::default(), Flag::default());
-            let old = answers_once_more(&addresses, last, &watched, &asked_anew);
-            let asked = asked_anew.clone();
-            // The new address hangs for good.
+        let (addresses, leaving) = start_two_backends();
+        for (what, late_list) in departure_forms(&addresses) {
+            let (watched, asked_again) = (Flag::default(), Flag::default());
+            let old = start_discovery_with_late_answer(&addresses, late_list, &watched, &asked_again);
+            let asked_again_clone = asked_again.clone();
+            // The new address never answers.
             let new = start_backend(&Traffic::default(), move |_, _| {
-                asked.set();
+                asked_again_clone.set();
                 Action::Silent
             });
-            let mut node = node(old, mode);
-            watched.wait("a watch is open");
+            let mut node = start_node(old, mode);
+            watched.wait("a watch is in flight");
             node.set_discovery(Some(new));
-            wait_until_out(&node, &leaving, &format!("{mode}, {what}"));
-            assert_eq!(leaving.request_count(), 0, "{mode}, {what}: sent to a backend that leaves");
+            wait_until_departed(&node, &leaving, &format!("{mode}, {what}"));
+            assert_eq!(leaving.request_count(), 0, "{mode}, {what}: sent to a departed backend");
         }
     }
 }
 
 #[test]
-fn a_departure_that_arrives_after_its_call_was_given_up_is_not_lost() {
+fn a_departure_that_arrives_after_its_call_timed_out_is_not_lost() {
     for mode in MODES {
-        let (addresses, leaving) = two_backends();
-        for (what, last) in departures(&addresses) {
-            let (watched, asked_anew) = (Flag::default(), Flag::default());
-            let discovery = answers_once_more(&addresses, last, &watched, &asked_anew);
-            let node = node(discovery, mode);
-            wait_until_out(&node, &leaving, &format!("{mode}, {what}"));
-            assert_eq!(leaving.request_count(), 0, "{mode}, {what}: sent to a backend that leaves");
+        let (addresses, leaving) = start_two_backends();
+        for (what, late_list) in departure_forms(&addresses) {
+            let (watched, asked_again) = (Flag::default(), Flag::default());
+            let discovery = start_discovery_with_late_answer(&addresses, late_list, &watched, &asked_again);
+            let node = start_node(discovery, mode);
+            wait_until_departed(&node, &leaving, &format!("{mode}, {what}"));
+            assert_eq!(leaving.request_count(), 0, "{mode}, {what}: sent to a departed backend");
         }
     }
 }
 
 #[test]
-fn a_pushed_list_that_is_slow_is_heard_by_a_try_beside_a_call_that_hangs() {
-    let (addresses, leaving) = two_backends();
+fn a_slow_pushed_list_arrives_by_an_attempt_in_parallel_with_a_hanging_call() {
+    let (addresses, leaving) = start_two_backends();
     let all = all_up(&addresses);
     let known = all.clone();
     let draining = [target("s-0", addresses[0], "draining"), target("s-1", addresses[1], "up")];
-    let calls = Traffic::default();
-    let made = calls.clone();
-    // The first call hangs for good. Each other one is answered, but only once the next has been made: no answer is as quick
-    // as one try.
-    let discovery = start_backend(&calls, move |n, _| {
+    let discovery_traffic = Traffic::default();
+    let call_traffic = discovery_traffic.clone();
+    // The first call is never answered. Each other one is answered only once the next has been made, so that every answer
+    // takes longer than one attempt may.
+    let discovery = start_backend(&discovery_traffic, move |n, _| {
         if n == 0 {
             return Action::Silent;
         }
-        wait_for("the next call", || made.request_count() > n + 1);
+        wait_for("the next call", || call_traffic.request_count() > n + 1);
         Action::Send(list(2, true, &draining))
     });
     let node = Node::start(discovery, |c| {
         c["known"] = json!({"rev": 1, "all": true, "targets": known});
     });
-    wait_until_out(&node, &leaving, "pushed, slow");
-    assert_eq!(leaving.request_count(), 0, "sent to a backend that leaves");
-    wait_for("discovery is heard", || node.count_log_lines("discovery.recovered") > 0);
+    wait_until_departed(&node, &leaving, "pushed, slow");
+    assert_eq!(leaving.request_count(), 0, "sent to a departed backend");
+    wait_for("the discovery service has recovered", || node.count_log_lines("discovery.recovered") > 0);
     assert_eq!(
         node.count_log_lines("a try beside it was answered first"),
         1,
-        "by a try beside the first call"
+        "the answer must come from an attempt in parallel with the first call"
     );
 }
 
-/// A discovery that tells a whole list, and answers a watch in the moment in which the node ends its sending on it.
-fn answers_at_the_end(first: Vec<u8>, last: Vec<u8>, watched: &Flag) -> SocketAddr {
+/// Starts a discovery service that sends `first` to calls for the full list. It answers a watch with `late_list` at the
+/// moment at which the node shuts down its sending side.
+fn start_discovery_that_answers_on_shutdown(
+    first: Vec<u8>,
+    late_list: Vec<u8>,
+    watched: &Flag,
+) -> SocketAddr {
     let listener = TcpListener::bind(loopback(0)).unwrap();
     let address = listener.local_addr().unwrap();
     let watched = watched.clone();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let (first, last, watched) = (first.clone(), last.clone(), watched.clone());
+            let (first, late_list, watched) = (first.clone(), late_list.clone(), watched.clone());
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let mut stream = stream;
                 while let Some(message) = Message::read(&mut reader) {
-                    if !watches(&message) {
+                    if !is_watch(&message) {
                         let _ = stream.write_all(&first);
                         continue;
                     }
                     watched.set();
                     if Message::read(&mut reader).is_none() {
-                        let _ = stream.write_all(&last);
+                        let _ = stream.write_all(&late_list);
                         return;
                     }
                 }
@@ -217,17 +224,21 @@
 }
 
 #[test]
-fn a_departure_that_is_written_as_the_node_ends_a_replaced_call_is_not_lost() {
+fn a_departure_written_as_the_node_closes_a_replaced_call_is_not_lost() {
     for mode in MODES {
-        let (addresses, leaving) = two_backends();
-        let last = list(2, false, &[target("s-0", addresses[0], "draining")]);
+        let (addresses, leaving) = start_two_backends();
+        let late_list = list(2, false, &[target("s-0", addresses[0], "draining")]);
         let watched = Flag::default();
-        let old = answers_at_the_end(list(1, true, &all_up(&addresses)), last, &watched);
+        let old = start_discovery_that_answers_on_shutdown(
+            list(1, true, &all_up(&addresses)),
+            late_list,
+            &watched,
+        );
         let new = start_backend(&Traffic::default(), |_, _| Action::Silent);
-        let mut node = node(old, mode);
-        watched.wait("a watch is open");
+        let mut node = start_node(old, mode);
+        watched.wait("a watch is in flight");
         node.set_discovery(Some(new));
-        wait_until_out(&node, &leaving, mode);
-        assert_eq!(leaving.request_count(), 0, "{mode}: sent to a backend that leaves");
+        wait_until_departed(&node, &leaving, mode);
+        assert_eq!(leaving.request_count(), 0, "{mode}: sent to a departed backend");
     }
 }
