--- a/tests/node_exits.rs
+++ b/tests/node_exits.rs
@@ -1,4 +1,5 @@
-//! The end of a node's process: whatever is under way at SIGTERM, what was taken has its answer before the end.
+//! Exit of a node's process: at SIGTERM every accepted request gets its response before the process exits. Start of a node
+//! while the discovery service is down, silent or slow.
 mod node;
 
 use node::*;
@@ -9,10 +10,10 @@
 use std::thread;
 use std::time::Duration;
 
-const FAREWELL: Option<&str> = Some("close");
+const CONNECTION_CLOSE: Option<&str> = Some("close");
 
-/// A node whose one class `page` has this deadline, and `bid` half of it.
-fn node(discovery: SocketAddr, deadline_ms: u64) -> Node {
+/// Starts a node whose class `page` has this deadline, and the other classes half of it.
+fn start_node(discovery: SocketAddr, deadline_ms: u64) -> Node {
     Node::start(discovery, |c| {
         for (n, class) in c["settings"]["classes"].as_array_mut().unwrap().iter_mut().enumerate() {
             let deadline = if n == 0 { deadline_ms } else { deadline_ms / 2 };
@@ -23,27 +24,27 @@
 }
 
 #[test]
-fn what_hangs_or_waits_at_the_end_is_answered_before_it_for_short_and_long_deadlines() {
-    // Beyond 3 s SIGKILL does not wait for deadlines.
+fn hanging_requests_are_answered_before_exit_for_short_and_long_deadlines() {
+    // The last deadline is longer than the 3 s that the node has until SIGKILL.
     for deadline_ms in [400, 2000, 20_000] {
-        let stuck = StalledBackend::new();
+        let stalled = StalledBackend::new();
         let traffic = Traffic::default();
-        let hangs = start_backend(&traffic, |_, _| Action::Silent);
-        for address in [stuck.address, hangs] {
+        let hanging = start_backend(&traffic, |_, _| Action::Silent);
+        for address in [stalled.address, hanging] {
             let discovery = Discovery::start(all_up(&[address]));
-            let mut node = node(discovery.address, deadline_ms);
+            let mut node = start_node(discovery.address, deadline_ms);
             let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(node.address)).collect();
             for client in &mut clients {
                 assert!(client.send(&request("page", deadline_ms)));
             }
-            if address == hangs {
-                wait_for("an attempt is out", || traffic.request_count() > 0);
+            if address == hanging {
+                wait_for("an attempt is in flight", || traffic.request_count() > 0);
             } else {
-                stuck.wait_for_handshake();
+                stalled.wait_for_handshake();
             }
             node.terminate();
             for client in &mut clients {
-                let answer = client.read_response().expect("taken and not answered");
+                let answer = client.read_response().expect("a response to an accepted request");
                 assert!(matches!(answer.status(), 502 | 503), "{}", answer.first_line);
             }
             assert!(node.wait_for_exit().success());
@@ -52,21 +53,21 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_notice_is_answered_or_never_sent_on() {
-    for state in ["resting", "new", "half read"] {
+fn a_request_that_crosses_sigterm_is_answered_or_never_forwarded() {
+    for state in ["idle", "new", "half read"] {
         let traffic = Traffic::default();
         let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
         let discovery = Discovery::start(all_up(&addresses));
-        let mut node = node(discovery.address, 2000);
+        let mut node = start_node(discovery.address, 2000);
         let bytes = request("page", 2000);
         let half = if state == "half read" { 40 } else { 0 };
         let mut client = Client::connect(node.address);
-        if state == "resting" {
+        if state == "idle" {
             assert_eq!(client.fetch(&request("page", 2000)).status(), 200);
         }
         if half > 0 {
             assert!(client.send(&bytes[..half]));
-            wait_for("half of it is read", || !has_unread_bytes(Some(node.address), None));
+            wait_for("half of the request is read", || !has_unread_bytes(Some(node.address), None));
         }
         let before = traffic.request_count();
         node.suspend();
@@ -77,11 +78,11 @@
         match client.read_response() {
             Some(answer) => {
                 assert!(matches!(answer.status(), 200 | 503), "{state}: {}", answer.first_line);
-                assert_eq!(answer.header("connection"), FAREWELL, "{state}");
+                assert_eq!(answer.header("connection"), CONNECTION_CLOSE, "{state}");
             }
             None => {
-                assert_eq!(state, "resting", "only between requests may a connection end without a word");
-                assert_eq!(traffic.request_count(), before, "sent on, and its client was not told");
+                assert_eq!(state, "idle", "only an idle connection may be closed without a response");
+                assert_eq!(traffic.request_count(), before, "forwarded, and the client got no response");
             }
         }
         assert!(node.wait_for_exit().success(), "{state}");
@@ -89,91 +90,91 @@
 }
 
 #[test]
-fn long_bodies_under_way_at_the_notice_come_to_their_end() {
+fn long_bodies_in_transfer_at_sigterm_complete() {
     let traffic = Traffic::default();
-    let go = Arc::new(AtomicBool::new(false));
-    let told = go.clone();
+    let may_answer = Arc::new(AtomicBool::new(false));
+    let may_answer_clone = may_answer.clone();
     let body = vec![b'y'; 300_000];
     let sent = body.clone();
     let address = start_backend(&traffic, move |_, message| {
         if message.first_line.starts_with("GET") {
             let head = b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n".to_vec();
             let rest = sent[100_000..].to_vec();
-            // The rest comes when the node has long stopped to take clients.
+            // The rest follows when the node no longer accepts clients.
             return Action::Parts(vec![(0, [&head, &sent[..100_000]].concat()), (1800, rest)]);
         }
-        wait_for("the notice", || told.load(SeqCst));
+        wait_for("SIGTERM is sent", || may_answer_clone.load(SeqCst));
         ok(b"whole")
     });
     let discovery = Discovery::start(all_up(&[address]));
-    let mut node = node(discovery.address, 3000);
-    let mut down = Client::connect(node.address);
-    assert!(down.send(&request("page", 3000)));
-    assert!(down.wait_for_data());
-    let mut up = Client::connect(node.address);
+    let mut node = start_node(discovery.address, 3000);
+    let mut download = Client::connect(node.address);
+    assert!(download.send(&request("page", 3000)));
+    assert!(download.wait_for_data());
+    let mut upload = Client::connect(node.address);
     let head = "POST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: 9b\r\nX-Qos: bid\r\nX-Expires-In-Ms: 1500\r\n\
         Content-Length: 300000\r\n\r\n";
-    assert!(up.send(head.as_bytes()) && up.send(&body[..150_000]));
-    wait_for("part of it has gone on", || second_is_open(&traffic));
+    assert!(upload.send(head.as_bytes()) && upload.send(&body[..150_000]));
+    wait_for("part of the upload is forwarded", || upload_has_started(&traffic));
     node.terminate();
-    nobody_is_taken(&node);
-    go.store(true, SeqCst);
-    assert!(up.send(&body[150_000..]));
-    let answer = up.read_response().expect("an answer");
+    wait_until_not_accepting(&node);
+    may_answer.store(true, SeqCst);
+    assert!(upload.send(&body[150_000..]));
+    let answer = upload.read_response().expect("a response");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"whole".as_slice()));
-    let answer = down.read_response().expect("a whole answer");
+    let answer = download.read_response().expect("a complete response");
     assert!(answer.status() == 200 && answer.body == body, "{} bytes", answer.body.len());
     assert!(node.wait_for_exit().success());
 }
 
-/// Waits until new connections are turned away: from here on the node ends as soon as it owes nothing.
-fn nobody_is_taken(node: &Node) {
-    wait_for("nobody is taken any more", || TcpStream::connect(node.address).is_err());
+/// Waits until the node accepts no new connections. From then on it exits as soon as every request has its response.
+fn wait_until_not_accepting(node: &Node) {
+    wait_for("the node accepts no connections", || TcpStream::connect(node.address).is_err());
 }
 
-/// A second connection to the backends is open: the upload's.
-fn second_is_open(traffic: &Traffic) -> bool {
+/// True once the backends have accepted two connections; the second one carries the upload.
+fn upload_has_started(traffic: &Traffic) -> bool {
     traffic.connections_opened.load(SeqCst) >= 2
 }
 
 #[test]
-fn signals_may_come_twice_and_beside_each_other() {
+fn signals_may_be_repeated_and_mixed() {
     let traffic = Traffic::default();
-    let go = Arc::new(AtomicBool::new(false));
-    let told = go.clone();
+    let may_answer = Arc::new(AtomicBool::new(false));
+    let may_answer_clone = may_answer.clone();
     let addresses = start_backends(1, &traffic, move |_, _| {
-        wait_for("the signals", || told.load(SeqCst));
+        wait_for("the signals are sent", || may_answer_clone.load(SeqCst));
         ok(b"x")
     });
     let discovery = Discovery::start(all_up(&addresses));
-    let mut node = node(discovery.address, 4000);
+    let mut node = start_node(discovery.address, 4000);
     let mut client = Client::connect(node.address);
     assert!(client.send(&request("page", 4000)));
-    wait_for("the attempt is out", || traffic.request_count() == 1);
+    wait_for("the attempt is in flight", || traffic.request_count() == 1);
     node.send_sighup();
     node.terminate();
     node.send_sighup();
     node.terminate();
-    nobody_is_taken(&node);
-    go.store(true, SeqCst);
-    let answer = client.read_response().expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, FAREWELL));
+    wait_until_not_accepting(&node);
+    may_answer.store(true, SeqCst);
+    let answer = client.read_response().expect("a response");
+    assert_eq!((answer.status(), answer.header("connection")), (200, CONNECTION_CLOSE));
     assert!(node.wait_for_exit().success());
 }
 
 #[test]
-fn a_node_that_is_not_ready_ends_at_the_notice() {
+fn a_node_that_is_not_ready_exits_at_sigterm() {
     let mut node = Node::launch(free_address(), |_| {}, "exec \"$0\"");
-    wait_for("it listens", || node.up_status() == 503);
+    wait_for("the node listens", || node.up_status() == 503);
     node.terminate();
     assert!(node.wait_for_exit().success());
 }
 
 #[test]
-fn a_node_starts_from_the_known_list_beside_a_discovery_that_is_silent() {
+fn a_node_starts_from_the_known_list_while_discovery_is_silent() {
     let traffic = Traffic::default();
     let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
-    // Connections come up, and nothing is ever said.
+    // The service accepts connections and never responds.
     let silent = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     for mode in ["pushed", "on_request"] {
         let node = Node::start(silent.local_addr().unwrap(), |c| {
@@ -185,37 +186,37 @@
 }
 
 #[test]
-fn what_comes_when_time_is_over_is_never_sent_on() {
+fn a_request_completed_just_before_exit_is_never_forwarded() {
     let traffic = Traffic::default();
     let addresses = start_backends(1, &traffic, |_, _| Action::Silent);
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |c| {
-        // A client may wait for longer than its class, and this request does: its end is the process's.
+        // A client may wait for longer than its class says. This request does, so the end of the process ends it.
         for class in c["settings"]["classes"].as_array_mut().unwrap() {
             (class["hardLimitMs"], class["objectiveMs"]) = (600.into(), 60_000.into());
         }
     });
-    // Half a request is read before the notice, the rest comes in the process's last moments: when what hangs is failed.
+    // Half a request is read before SIGTERM. The rest comes just before the process exits, when the hanging request fails.
     let bytes = request("page", 600);
     let mut half = Client::connect(node.address);
     assert!(half.send(&bytes[..40]));
-    wait_for("half of it is read", || !has_unread_bytes(Some(node.address), None));
-    let mut hangs = Client::connect(node.address);
-    assert!(hangs.send(&request("page", 60_000)));
-    wait_for("it hangs", || traffic.request_count() == 1);
+    wait_for("half of the request is read", || !has_unread_bytes(Some(node.address), None));
+    let mut hanging = Client::connect(node.address);
+    assert!(hanging.send(&request("page", 60_000)));
+    wait_for("the request hangs", || traffic.request_count() == 1);
     node.terminate();
-    let answer = hangs.read_response().expect("taken and not answered");
+    let answer = hanging.read_response().expect("a response to an accepted request");
     assert_eq!(answer.status(), 502);
     half.send(&bytes[40..]);
     let answer = half.read_response();
     assert!(answer.as_ref().is_none_or(|a| a.status() == 503), "{answer:?}");
     assert!(node.wait_for_exit().success());
     thread::sleep(Duration::from_millis(20));
-    assert_eq!(traffic.request_count(), 1, "sent on by a process that ends");
+    assert_eq!(traffic.request_count(), 1, "forwarded by a process that exits");
 }
 
 #[test]
-fn nodes_of_a_large_fleet_that_start_at_once_serve_whatever_discovery_does() {
+fn nodes_of_a_large_fleet_that_start_together_serve_while_discovery_fails() {
     let traffic = Traffic::default();
     let addresses = start_backends(2, &traffic, |_, _| ok(b"x"));
     let silent = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
@@ -250,12 +251,12 @@
 }
 
 #[test]
-fn a_node_of_a_large_fleet_that_knows_no_list_is_ready_once_discovery_is_back() {
+fn a_node_of_a_large_fleet_without_a_list_is_ready_once_discovery_recovers() {
     for mode in ["pushed", "on_request"] {
         let traffic = Traffic::default();
         let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
         let targets = all_up(&addresses);
-        // It is not back for the first call.
+        // The service fails the first call and answers the later ones.
         let discovery = start_backend(&Traffic::default(), move |n, _| match n {
             0 => Action::SendAndClose(Vec::new()),
             _ => {
