--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -1,11 +1,11 @@
-//! What clients get wrong, and what the node itself runs out of: told so, and never a crash.
+//! Faults of clients, and limits of the node itself: both get a proper response, and the node keeps running.
 mod node;
 
 use node::*;
 use serde_json::{Value, json};
 use std::time::Duration;
 
-type Change = fn(&mut Value);
+type ConfigChange = fn(&mut Value);
 
 #[test]
 fn malformed_input_is_answered_without_a_backend() {
@@ -35,7 +35,7 @@
         (400, format!("DELETE /api HTTP/1.1\r\n{head}X-Qos: other\r\n\r\n")),
         (404, format!("GET /apical HTTP/1.1\r\n{head}X-Qos: page\r\n\r\n")),
         (404, format!("POST / HTTP/1.1\r\n{head}X-Qos: bid\r\nContent-Length: 0\r\n\r\n")),
-        // Framed twice, the one way and the other; and a second request that a front might have seen in it.
+        // Two framings in either order, and two lengths. A proxy in front of the node could see a second request in these.
         (
             400,
             format!(
@@ -61,19 +61,20 @@
         let got = try_fetch(node.address, bytes.as_bytes()).map(|m| m.status());
         assert_eq!(got, Some(status), "{:?}", bytes.get(..100.min(bytes.len())));
     }
-    // What stands behind a request that is framed twice is not served.
+    // A request that follows one with two framings is not served.
     let twice = "POST /api HTTP/1.1\r\nX-Qos: bid\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n";
     let mut smuggler = Client::connect(node.address);
     smuggler.send(&[twice.as_bytes(), &request("page", 900)].concat());
     assert_eq!(smuggler.read_response().map(|a| a.status()), Some(400));
     assert!(smuggler.wait_for_close());
-    // Half a request and a silent leave.
+    // A client that closes at once, and one that closes within its request.
     drop(Client::connect(node.address));
-    let mut half = Client::connect(node.address);
-    half.send(b"POST /api HTTP/1.1\r\nX-Trace-Id: 1\r\nX-Qos: bid\r\nContent-Length: 10\r\n\r\nabc");
-    drop(half);
+    let mut half_request = Client::connect(node.address);
+    half_request
+        .send(b"POST /api HTTP/1.1\r\nX-Trace-Id: 1\r\nX-Qos: bid\r\nContent-Length: 10\r\n\r\nabc");
+    drop(half_request);
     assert_eq!(traffic.request_count(), 0);
-    // A bad wait is no reason to turn a request away: the class's holds.
+    // A request with an invalid `X-Expires-In-Ms` is served with the time limit of its class.
     let bad_wait = format!("GET /api HTTP/1.1\r\n{head}X-Qos: page\r\nX-Expires-In-Ms: soon\r\n\r\n");
     assert_eq!(fetch(node.address, bad_wait.as_bytes()).status(), 200);
     let wait: u64 = traffic.requests.lock().unwrap()[0].header("x-expires-in-ms").unwrap().parse().unwrap();
@@ -82,12 +83,12 @@
 }
 
 #[test]
-fn what_is_turned_away_is_read_first_so_that_the_answer_arrives() {
+fn a_refused_request_is_read_to_its_end_so_that_the_response_arrives() {
     let traffic = Traffic::default();
     let addresses = start_backends(1, &traffic, |_, _| ok(b""));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    // A socket closed with unread bytes resets, and takes the answer that was under way along.
+    // Closing a socket with unread bytes resets the connection, which destroys a response in flight.
     let cases = [
         (413, "/api", "X-Trace-Id: 1\r\nX-Qos: bid\r\n", 34_000_000),
         (404, "/other", "", 60_000),
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn a_peer_that_does_not_finish_its_request_is_closed_or_told_so() {
+fn a_client_that_does_not_finish_its_request_is_closed_or_gets_an_error() {
     let traffic = Traffic::default();
     let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
@@ -125,26 +126,26 @@
         format!("{head}X-Qos: unheard-of\r\n\r\nhalf"),
         format!("{head}\r\nhalf"),
     ];
-    // All at once, and one that has had an answer before: it stops in its second head.
-    let mut peers: Vec<Client> = cases.iter().map(|_| Client::connect(node.address)).collect();
-    for (peer, bytes) in peers.iter_mut().zip(&cases) {
-        assert!(peer.send(bytes.as_bytes()));
+    // All clients at once, and one that has been served before and stops within its second request head.
+    let mut clients: Vec<Client> = cases.iter().map(|_| Client::connect(node.address)).collect();
+    for (client, bytes) in clients.iter_mut().zip(&cases) {
+        assert!(client.send(bytes.as_bytes()));
     }
     let mut second = Client::connect(node.address);
     assert_eq!(second.fetch(&request("page", 900)).status(), 200);
     assert!(second.send(b"GET /api HT"));
-    peers.push(second);
-    for (n, mut peer) in peers.into_iter().enumerate() {
-        // `None` by the end of the stream and not by the patience of this test.
-        let answer = peer.read_response().map(|m| m.status());
+    clients.push(second);
+    for (n, mut client) in clients.into_iter().enumerate() {
+        // None must mean the end of the stream, not the test's read time-out.
+        let answer = client.read_response().map(|m| m.status());
         assert!(answer.is_none_or(|s| (400..500).contains(&s)), "{n}: {answer:?}");
-        assert!(peer.wait_for_close(), "{n}: still open after {MAX_WAIT:?}");
+        assert!(client.wait_for_close(), "{n}: still open after {MAX_WAIT:?}");
     }
     assert_eq!(traffic.request_count(), 1);
 }
 
 #[test]
-fn a_class_nobody_knows_is_never_sent_twice() {
+fn a_request_of_an_unknown_class_is_never_sent_twice() {
     let traffic = Traffic::default();
     let addresses = start_backends(2, &traffic, |_, _| Action::SendAndClose(Vec::new()));
     let discovery = Discovery::start(all_up(&addresses));
@@ -154,12 +155,12 @@
 }
 
 #[test]
-fn under_pressure_idle_clients_make_room_and_nobody_waits_in_vain() {
+fn at_the_descriptor_limit_idle_connections_are_closed_and_every_client_is_served() {
     let traffic = Traffic::default();
     let addresses = start_backends(4, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 64.into());
-    // Three times as many connections as the limit, all kept by their clients.
+    // Three times as many connections as the limit, all kept open by their clients.
     let mut clients = Vec::new();
     for n in 0..200 {
         let mut client = Client::connect(node.address);
@@ -176,8 +177,8 @@
     let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 54.into());
-    let mut stuck: Vec<Client> = (0..100).map(|_| Client::connect(node.address)).collect();
-    for client in &mut stuck {
+    let mut unfinished: Vec<Client> = (0..100).map(|_| Client::connect(node.address)).collect();
+    for client in &mut unfinished {
         client.send(b"GET /api HT");
     }
     assert_eq!(fetch(node.address, &request("page", 4000)).status(), 200);
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn the_nodes_own_want_of_descriptors_is_not_blamed_on_backends() {
+fn the_nodes_own_lack_of_descriptors_is_not_blamed_on_backends() {
     let traffic = Traffic::default();
     let addresses = start_backends(2, &traffic, |_, _| {
         std::thread::sleep(Duration::from_millis(600));
@@ -193,13 +194,13 @@
     });
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 54.into());
-    // More busy clients than descriptors: the node has none left for their attempts.
+    // With this many active clients the node has no descriptors left for their attempts.
     let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
     for client in &mut clients {
         client.send(&request("page", 3500));
     }
     let statuses: Vec<u16> =
-        clients.iter_mut().map(|c| c.read_response().expect("no answer").status()).collect();
+        clients.iter_mut().map(|c| c.read_response().expect("a response").status()).collect();
     assert!(statuses.contains(&200), "{statuses:?}");
     assert!(statuses.iter().all(|s| matches!(s, 200 | 503)), "{statuses:?}");
     drop(clients);
@@ -210,32 +211,32 @@
 }
 
 #[test]
-fn a_system_limit_below_the_told_one_neither_ends_the_node_nor_spins() {
+fn a_system_limit_below_the_configured_one_causes_no_exit_and_no_busy_loop() {
     let traffic = Traffic::default();
     let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
     let mut node = Node::launch(discovery.address, |_| {}, "ulimit -n 24; exec \"$0\"");
     wait_for("/up is 200", || node.up_status() == 200);
-    // These send half a request, so that none of them is idle and none can be closed for another.
-    let mut held: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
-    for client in &mut held {
+    // Clients within a request are not idle, so the node cannot close one in favour of another.
+    let mut unfinished: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
+    for client in &mut unfinished {
         client.send(b"GET /api HT");
     }
     wait_for("the node is at the limit", || node.open_descriptors() >= 24);
     let before = node.cpu_ticks();
     std::thread::sleep(Duration::from_millis(500));
     let used = node.cpu_ticks() - before;
-    assert!(used < 20, "{used} of 50 ticks used while nothing can be done");
+    assert!(used < 20, "{used} of 50 ticks used while no connection can be accepted");
     assert!(node.is_running());
-    drop(held);
-    wait_for("it serves again", || {
+    drop(unfinished);
+    wait_for("the node serves again", || {
         try_fetch(node.address, &request("page", 900)).is_some_and(|m| m.status() == 200)
     });
 }
 
 #[test]
-fn a_wrong_setting_is_named_and_ends_the_start() {
-    let cases: [(&str, Change); 17] = [
+fn an_invalid_setting_is_named_and_fails_the_start() {
+    let cases: [(&str, ConfigChange); 17] = [
         ("listen", |c| c["listen"] = "nowhere".into()),
         ("peers[1]", |c| c["peers"] = serde_json::json!(["127.0.0.1:1", 7])),
         ("limits.sockets", |c| c["limits"]["sockets"] = "many".into()),
@@ -259,22 +260,22 @@
         assert!(!node.wait_for_exit().success(), "{field}");
         let log = node.log();
         assert!(log.contains(field), "{field} is not named: {log}");
-        assert!(log.contains(&node.config_path()), "nor is the file: {log}");
+        assert!(log.contains(&node.config_path()), "the file is not named: {log}");
     }
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_do_not_keep_discoverys_return_from_the_node() {
+fn idle_clients_at_the_descriptor_limit_do_not_block_calls_to_discovery() {
     for mode in ["pushed", "on_request"] {
         let traffic = Traffic::default();
         let addresses = start_backends(4, &traffic, |_, _| ok(b"x"));
-        // Nothing listens there yet.
-        let away = free_address();
-        let node = Node::start(away, |c| {
+        // Nothing listens at this address yet.
+        let discovery_address = free_address();
+        let node = Node::start(discovery_address, |c| {
             c["limits"]["sockets"] = 64.into();
             c["settings"]["membershipMode"] = mode.into();
             c["settings"]["instances"] = 300.into();
-            // Older than what discovery will have.
+            // An older version than the discovery service will have.
             c["known"] = json!({"rev": 0, "all": true, "targets": all_up(&addresses)});
         });
         let mut clients = Vec::new();
@@ -283,13 +284,13 @@
             assert_eq!(client.fetch(&request("bid", 900)).status(), 200, "client {n}");
             clients.push(client);
         }
-        // These rest without a word.
+        // These clients never send a request.
         clients.extend((0..150).map(|_| Client::connect(node.address)));
         assert!(node.open_descriptors() <= 64, "{} descriptors", node.open_descriptors());
         let draining: Vec<_> =
             addresses.iter().enumerate().map(|(n, a)| target(&format!("s-{n}"), *a, "draining")).collect();
-        Discovery::start_at(away, draining);
-        wait_for("the drain is known", || node.up_status() == 503);
+        Discovery::start_at(discovery_address, draining);
+        wait_for("the node knows of the drain", || node.up_status() == 503);
         assert!(node.open_descriptors() <= 64, "{} descriptors", node.open_descriptors());
     }
 }
