--- a/tests/node_upgrade.rs
+++ b/tests/node_upgrade.rs
@@ -1,4 +1,4 @@
-//! The next process of a node beside the one that serves.
+//! Upgrade of a node: its next process starts while the old one serves, and takes over.
 mod node;
 
 use node::*;
@@ -8,10 +8,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A directory for `$TMPDIR` that goes when the test is over, and the command that starts a node with it.
+/// A directory for `$TMPDIR`, which is removed when the value is dropped.
 struct Tmp(PathBuf);
 
 impl Tmp {
+    /// Returns the shell command that starts a node with this `$TMPDIR`.
     fn command(&self) -> String {
         format!("TMPDIR='{}' exec \"$0\"", self.0.display())
     }
@@ -23,55 +24,62 @@
     }
 }
 
-fn healthy(node: &Node) -> bool {
+/// True if the `health` call of the node answers OK.
+fn is_healthy(node: &Node) -> bool {
     try_call_operator(node.operator, b"health\n").is_some_and(|a| a.starts_with("OK"))
 }
 
-struct World {
+/// A serving node with four backends.
+struct Fixture {
     tmp: Tmp,
     discovery: Discovery,
-    records: Vec<Traffic>,
+    traffic: Vec<Traffic>,
     old: Node,
 }
 
-fn world(name: &str) -> World {
+/// Starts a node with four backends that answer after 20 ms.
+fn start_fixture(name: &str) -> Fixture {
     let tmp = Tmp(scratch_dir(name));
-    let records: Vec<Traffic> = (0..4).map(|_| Traffic::default()).collect();
-    let act = |_: usize, _: &Message| {
+    let traffic: Vec<Traffic> = (0..4).map(|_| Traffic::default()).collect();
+    let handler = |_: usize, _: &Message| {
         thread::sleep(Duration::from_millis(20));
         ok(b"x")
     };
-    let addresses: Vec<_> = records.iter().map(|r| start_backend(r, act)).collect();
+    let addresses: Vec<_> = traffic.iter().map(|r| start_backend(r, handler)).collect();
     let discovery = Discovery::start(all_up(&addresses));
     let old = Node::launch(discovery.address, |_| {}, &tmp.command());
     wait_for("/up is 200", || old.up_status() == 200);
-    World { tmp, discovery, records, old }
+    Fixture { tmp, discovery, traffic, old }
 }
 
 #[test]
-fn the_next_process_takes_over_under_load_and_nothing_is_lost() {
-    let World { tmp, old, .. } = world("upgrade");
+fn the_next_process_takes_over_under_load_without_a_lost_request() {
+    let Fixture { tmp, old, .. } = start_fixture("upgrade");
     let mut old = old;
     let address = old.address;
-    let over = Arc::new(AtomicBool::new(false));
+    let is_over = Arc::new(AtomicBool::new(false));
     let served = Arc::new(AtomicU32::new(0));
     let clients: Vec<_> = (0..8)
         .map(|n| {
-            let (over, served) = (over.clone(), served.clone());
+            let (is_over, served) = (is_over.clone(), served.clone());
             thread::spawn(move || {
                 let mut client = Client::connect(address);
-                let mut crossed = 0;
-                while !over.load(Ordering::SeqCst) {
+                let mut closed_in_flight = 0;
+                while !is_over.load(Ordering::SeqCst) {
                     if client.is_closed_by_peer() {
                         client = Client::connect(address);
                     }
                     let bytes = request(if n % 2 == 0 { "page" } else { "bid" }, 900);
                     let answer = if client.send(&bytes) { client.read_response() } else { None };
                     let Some(answer) = answer else {
-                        // A close that crossed the request: the protocol lets the client ask once more, and
-                        // whoever it meets then stays. How many do is the machine's affair.
-                        crossed += 1;
-                        assert!(crossed <= 1, "client {n} met a closed connection again");
+                        // The node closed the connection while the request was in flight. The protocol lets the client
+                        // ask once more, and the process that it reaches then stays. How many clients this happens to
+                        // depends on the machine.
+                        closed_in_flight += 1;
+                        assert!(
+                            closed_in_flight <= 1,
+                            "client {n} found its connection closed a second time"
+                        );
                         client = Client::connect(address);
                         continue;
                     };
@@ -85,63 +93,68 @@
             })
         })
         .collect();
-    let front = {
-        let over = over.clone();
+    let front_proxy = {
+        let is_over = is_over.clone();
         thread::spawn(move || {
-            while !over.load(Ordering::SeqCst) {
+            while !is_over.load(Ordering::SeqCst) {
                 let answer = try_fetch(address, b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n");
-                assert!(answer.is_none_or(|a| a.status() == 200), "the front was told no");
+                assert!(
+                    answer.is_none_or(|a| a.status() == 200),
+                    "the proxy in front received a status other than 200"
+                );
                 thread::sleep(Duration::from_millis(5));
             }
         })
     };
     wait_for("traffic flows", || served.load(Ordering::SeqCst) > 50);
     let mut new = old.start_successor(&tmp.command());
-    wait_for("the new process says yes", || healthy(&new));
+    wait_for("the new process is healthy", || is_healthy(&new));
     old.terminate();
-    let begun = Instant::now();
+    let terminated_at = Instant::now();
     assert!(old.wait_for_exit().success());
-    assert!(begun.elapsed() < Duration::from_millis(3700), "SIGKILL would have come");
+    assert!(terminated_at.elapsed() < Duration::from_millis(3700), "SIGKILL would have ended the process");
     let so_far = served.load(Ordering::SeqCst);
     wait_for("the new process serves", || served.load(Ordering::SeqCst) > so_far + 50);
-    over.store(true, Ordering::SeqCst);
+    is_over.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
-    front.join().unwrap();
+    front_proxy.join().unwrap();
     assert!(new.is_running() && new.up_status() == 200);
 }
 
 #[test]
-fn a_backend_taken_out_at_either_process_is_out_at_both() {
-    let World { tmp, records, old, .. } = world("both");
+fn a_backend_cordoned_at_one_process_is_out_at_both() {
+    let Fixture { tmp, traffic, old, .. } = start_fixture("both");
     let new = old.start_successor(&tmp.command());
-    wait_for("the new process says yes", || healthy(&new));
+    wait_for("the new process is healthy", || is_healthy(&new));
     assert!(old.call("cordon s-0").starts_with("OK"));
     assert!(new.call("cordon s-1").starts_with("OK"));
-    let quiet = || {
-        let before = records[0].request_count() + records[1].request_count();
+    let are_both_out = || {
+        let before = traffic[0].request_count() + traffic[1].request_count();
         for _ in 0..40 {
             assert_eq!(fetch(old.address, &request("page", 900)).status(), 200);
         }
-        records[0].request_count() + records[1].request_count() == before
+        traffic[0].request_count() + traffic[1].request_count() == before
     };
-    wait_for("both are out at both", quiet);
-    // Each is put back at the other one.
+    wait_for("both backends are out at both processes", are_both_out);
+    // Each backend is put back at the other process.
     assert!(new.call("uncordon s-0").starts_with("OK"));
     assert!(old.call("uncordon s-1").starts_with("OK"));
-    let back = || {
+    let are_both_back = || {
         fetch(old.address, &request("page", 900));
-        records.iter().all(|r| r.request_count() > 40)
+        traffic.iter().all(|r| r.request_count() > 40)
     };
-    wait_for("both are back", back);
+    wait_for("both backends are back", are_both_back);
 }
 
 #[test]
-fn a_next_process_that_dies_leaves_the_old_one_serving_with_all_it_had() {
-    let World { tmp, discovery, old, .. } = world("dies");
-    // One that never has a list never says yes.
+fn the_old_process_serves_on_when_the_next_one_dies() {
+    let Fixture { tmp, discovery, old, .. } = start_fixture("dies");
+    // A process that never receives a list never becomes healthy.
     discovery.set_silent(true);
     let mut new = old.start_successor(&tmp.command());
-    wait_for("it answers operators", || try_call_operator(new.operator, b"health\n").is_some());
+    wait_for("the new process answers operators' calls", || {
+        try_call_operator(new.operator, b"health\n").is_some()
+    });
     assert!(new.call("health").starts_with("ERR"));
     assert!(new.call("quiesce").starts_with("ERR"));
     new.kill();
@@ -149,19 +162,20 @@
     for _ in 0..20 {
         assert_eq!(fetch(old.address, &request("bid", 900)).status(), 200);
     }
-    // With nobody beside it, a stop is what it was: the front is told no.
+    // Without a next process a stop works as usual: the proxy in front receives 503.
     let mut old = old;
-    let mut kept = Client::connect(old.address);
+    let mut kept_client = Client::connect(old.address);
     old.terminate();
     let up = b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n";
-    wait_for("the front is told no", || {
-        kept.send(up) && kept.read_response().is_none_or(|a| a.status() == 503) || kept.wait_for_close()
+    wait_for("the proxy in front receives 503", || {
+        kept_client.send(up) && kept_client.read_response().is_none_or(|a| a.status() == 503)
+            || kept_client.wait_for_close()
     });
     assert!(old.wait_for_exit().success());
 }
 
 #[test]
-fn two_processes_keep_within_the_nodes_descriptors() {
+fn two_processes_together_keep_the_descriptor_limit() {
     let tmp = Tmp(scratch_dir("descriptors"));
     let traffic = Traffic::default();
     let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
@@ -173,14 +187,14 @@
         assert_eq!(client.fetch(&request("page", 900)).status(), 200);
     }
     let new = old.start_successor(&tmp.command());
-    let mut most = 0;
-    wait_for("the new process says yes", || {
-        most = most.max(old.open_descriptors() + new.open_descriptors());
-        healthy(&new)
+    let mut max_descriptors = 0;
+    wait_for("the new process is healthy", || {
+        max_descriptors = max_descriptors.max(old.open_descriptors() + new.open_descriptors());
+        is_healthy(&new)
     });
     for _ in 0..200 {
         clients.push(Client::connect(old.address));
-        most = most.max(old.open_descriptors() + new.open_descriptors());
+        max_descriptors = max_descriptors.max(old.open_descriptors() + new.open_descriptors());
     }
-    assert!(most <= 200, "{most}");
+    assert!(max_descriptors <= 200, "{max_descriptors}");
 }
