--- a/tests/node_clock.rs
+++ b/tests/node_clock.rs
@@ -1,5 +1,6 @@
-//! Wall clocks that are stepped, under a running node and between two of its processes. Deadlines, windows, waits and graces are
-//! spans of real time; a backend's start is told in discovery's wall time, which need not be the node's.
+//! Steps of the wall clock under a running node, and nodes whose wall clock is wrong. Deadlines, time windows, waits and grace
+//! periods must follow the monotonic clock. The discovery service reports the start of a backend in its own wall-clock time,
+//! which may differ from the node's.
 mod node;
 
 use daleturn_faults::{OFFSET_FILE, set_offset};
@@ -14,38 +15,41 @@
 
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// The preloaded library, which cargo builds beside this test.
-fn library() -> PathBuf {
-    let own = std::env::current_exe().unwrap();
-    let folders = own.ancestors().skip(1).take(2);
+/// Returns the path of the preloaded library, which cargo builds beside this test.
+fn fault_library() -> PathBuf {
+    let test_binary = std::env::current_exe().unwrap();
+    let folders = test_binary.ancestors().skip(1).take(2);
     let found = folders.map(|folder| folder.join("libdaleturn_faults.so")).find(|path| path.exists());
-    found.expect("the library for faults is built with the tests")
+    found.expect("libdaleturn_faults.so beside the test")
 }
 
-/// A node whose wall clock is led by that file.
-fn node(discovery: SocketAddr, clock: &Path, change: impl FnOnce(&mut Value)) -> Node {
-    let command =
-        format!("LD_PRELOAD='{}' {OFFSET_FILE}='{}' exec \"$0\"", library().display(), clock.display());
+/// Starts a node whose wall clock is set by the offset in the file `clock`.
+fn start_node(discovery: SocketAddr, clock: &Path, change: impl FnOnce(&mut Value)) -> Node {
+    let command = format!(
+        "LD_PRELOAD='{}' {OFFSET_FILE}='{}' exec \"$0\"",
+        fault_library().display(),
+        clock.display()
+    );
     let node = Node::launch(discovery, change, &command);
     wait_for("/up is 200", || node.up_status() == 200);
     node
 }
 
-/// A file for the clock of one node, which shows that much more, or less, from the start.
-fn clock(name: &str, offset: Duration, behind: bool) -> PathBuf {
+/// Creates a clock file whose offset is `offset` ahead of the real time, or behind it if `behind`.
+fn create_clock(name: &str, offset: Duration, behind: bool) -> PathBuf {
     let clock = scratch_dir(name).join("clock");
     set_offset(&clock, offset, behind).unwrap();
     clock
 }
 
-/// Steps a clock all the time, forward and back, by seconds and by an hour.
-struct Steps {
+/// Thread that steps a clock every 15 ms, forward and back, by seconds and by an hour, until it is dropped.
+struct ClockStepper {
     stop: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-impl Steps {
-    fn of(clock: &Path) -> Steps {
+impl ClockStepper {
+    fn start(clock: &Path) -> ClockStepper {
         let stop = Arc::new(AtomicBool::new(false));
         let (stopped, clock) = (stop.clone(), clock.to_owned());
         let offsets = [(7, false), (3600, true), (0, false), (3600, false), (2, true)];
@@ -58,11 +62,11 @@
                 thread::sleep(Duration::from_millis(15));
             }
         });
-        Steps { stop, thread: Some(thread) }
+        ClockStepper { stop, thread: Some(thread) }
     }
 }
 
-impl Drop for Steps {
+impl Drop for ClockStepper {
     fn drop(&mut self) {
         self.stop.store(true, SeqCst);
         drop(self.thread.take().map(thread::JoinHandle::join));
@@ -73,92 +77,105 @@
     u64::try_from(SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()).unwrap()
 }
 
-/// A listed backend that started so many milliseconds ago.
-fn started(uid: &str, address: SocketAddr, ms_ago: u64) -> Value {
+/// Returns the list entry of a backend that started `ms_ago` milliseconds ago.
+fn entry_started_ago(uid: &str, address: SocketAddr, ms_ago: u64) -> Value {
     let mut target = target(uid, address, "up");
     target["boot_ms"] = (wall_ms() - ms_ago).into();
     target
 }
 
-/// Whether the node takes a backend for cold; none while it does not know it.
-fn cold(node: &Node, uid: &str) -> Option<bool> {
+/// True if the node takes the backend for cold; None if the node does not know the backend.
+fn is_cold(node: &Node, uid: &str) -> Option<bool> {
     let stats: Value = serde_json::from_str(node.call("stats").trim_start_matches("OK ")).unwrap();
     stats["backends"].as_array()?.iter().find(|b| b["id"] == uid)?["cold"].as_bool()
 }
 
 #[test]
-fn the_library_steps_the_wall_clock_of_its_process() {
-    let clock = clock("clock-library", HOUR, true);
+fn the_preloaded_library_steps_the_wall_clock_of_its_process() {
+    let clock = create_clock("clock-library", HOUR, true);
     let traffic = Traffic::default();
     let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
     let discovery = Discovery::start(all_up(&[address]));
-    let mut node = node(discovery.address, &clock, |_| {});
+    let mut node = start_node(discovery.address, &clock, |_| {});
     set_offset(&clock, 10 * HOUR, false).unwrap();
     node.set_discovery(Some(discovery.address));
-    wait_for("the new file is taken", || node.count_log_lines("config.taken") > 0);
+    wait_for("the new configuration is taken", || node.count_log_lines("config.taken") > 0);
     node.terminate();
     node.wait_for_exit();
     let log = node.log();
-    let year = |line: &str| line[..13].to_owned();
-    let at = |event: &str| year(log.lines().find(|line| line.contains(event)).expect("logged"));
-    assert_ne!(at("node.serving"), at("config.taken"), "the log's wall time was stepped by eleven hours");
+    let date_and_hour = |line: &str| line[..13].to_owned();
+    let time_of =
+        |event: &str| date_and_hour(log.lines().find(|line| line.contains(event)).expect("logged"));
+    assert_ne!(
+        time_of("node.serving"),
+        time_of("config.taken"),
+        "the wall-clock time in the log must step by 11 hours"
+    );
 }
 
 #[test]
-fn steps_of_the_wall_clock_move_no_deadline_no_watch_and_no_end() {
+fn wall_clock_steps_change_no_deadline_no_watch_and_no_exit() {
     for mode in ["pushed", "on_request"] {
-        let clock = clock(&format!("clock-steps-{mode}"), Duration::ZERO, false);
-        let steps = Steps::of(&clock);
+        let clock = create_clock(&format!("clock-steps-{mode}"), Duration::ZERO, false);
+        let stepper = ClockStepper::start(&clock);
         let traffic = Traffic::default();
         let address = start_backends(1, &traffic, |_, _| Action::Silent)[0];
         let discovery = Discovery::start(all_up(&[address]));
-        let mut node = node(discovery.address, &clock, |c| {
+        let mut node = start_node(discovery.address, &clock, |c| {
             c["settings"]["membershipMode"] = mode.into();
             c["settings"]["rules"]["mustAskInMs"] = 1000.into();
         });
-        let from = Instant::now();
+        let sent_at = Instant::now();
         assert_ne!(fetch(node.address, &request("bid", 600)).status(), 200, "{mode}");
-        assert!(from.elapsed() > Duration::from_millis(400), "{mode}: failed after {:?}", from.elapsed());
-        let told = traffic.requests.lock().unwrap()[0].header("x-expires-in-ms").unwrap().parse::<u64>();
-        assert!((1..=600).contains(&told.clone().unwrap()), "{mode}: told {told:?}");
-        // The watch that is open falls silent; a later call tells of the drain.
+        assert!(
+            sent_at.elapsed() > Duration::from_millis(400),
+            "{mode}: failed after {:?}",
+            sent_at.elapsed()
+        );
+        let limit_ms =
+            traffic.requests.lock().unwrap()[0].header("x-expires-in-ms").unwrap().parse::<u64>();
+        assert!(
+            (1..=600).contains(&limit_ms.clone().unwrap()),
+            "{mode}: the backend received {limit_ms:?}"
+        );
+        // The open watch gets no answer; a later call reports the drain.
         discovery.set_silent(true);
         discovery.set_targets(vec![target("s-0", address, "draining")]);
-        let asked = discovery.call_count();
-        wait_for("discovery is asked anew", || discovery.call_count() > asked);
+        let calls = discovery.call_count();
+        wait_for("the discovery service is asked again", || discovery.call_count() > calls);
         discovery.set_silent(false);
-        wait_for("the drain is known", || node.up_status() == 503);
+        wait_for("the node knows of the drain", || node.up_status() == 503);
         node.terminate();
         assert!(node.wait_for_exit().success(), "{mode}");
-        drop(steps);
+        drop(stepper);
     }
 }
 
 #[test]
 fn a_backend_that_started_long_ago_is_warm_to_a_node_whose_wall_clock_is_behind() {
-    let clock = clock("clock-behind", HOUR, true);
+    let clock = create_clock("clock-behind", HOUR, true);
     let traffic = Traffic::default();
     let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
-    let discovery = Discovery::start(vec![started("s-0", address, 1_800_000)]);
-    let node = node(discovery.address, &clock, |c| {
+    let discovery = Discovery::start(vec![entry_started_ago("s-0", address, 1_800_000)]);
+    let node = start_node(discovery.address, &clock, |c| {
         c["settings"]["rules"]["coldMs"] = json!(1000.0);
     });
-    wait_for("it is warm", || cold(&node, "s-0") == Some(false));
+    wait_for("the backend is warm", || is_cold(&node, "s-0") == Some(false));
 }
 
 #[test]
 fn a_backend_that_starts_now_is_cold_to_a_node_whose_wall_clock_is_ahead() {
-    let clock = clock("clock-ahead", HOUR, false);
+    let clock = create_clock("clock-ahead", HOUR, false);
     let traffic = Traffic::default();
     let addresses = start_backends(2, &traffic, |_, _| ok(b"x"));
-    let warm = started("s-0", addresses[0], 7_200_000);
+    let warm = entry_started_ago("s-0", addresses[0], 7_200_000);
     let discovery = Discovery::start(vec![warm.clone()]);
-    let node = node(discovery.address, &clock, |c| {
+    let node = start_node(discovery.address, &clock, |c| {
         c["settings"]["rules"]["coldMs"] = json!(3_600_000.0);
     });
-    wait_for("the list was heard", || node.count_log_lines("discovery.listed") > 0);
-    discovery.set_targets(vec![warm, started("s-1", addresses[1], 0)]);
-    wait_for("it is listed", || cold(&node, "s-1").is_some());
-    assert_eq!(cold(&node, "s-1"), Some(true));
-    assert_eq!(cold(&node, "s-0"), Some(false), "which was there before, as far as anybody can tell");
+    wait_for("the node has the list", || node.count_log_lines("discovery.listed") > 0);
+    discovery.set_targets(vec![warm, entry_started_ago("s-1", addresses[1], 0)]);
+    wait_for("the new backend is listed", || is_cold(&node, "s-1").is_some());
+    assert_eq!(is_cold(&node, "s-1"), Some(true));
+    assert_eq!(is_cold(&node, "s-0"), Some(false), "a backend of the first list is warm");
 }
