--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// True if the outcome proves that the attempt was never processed. The operators' rule is written here a second time, so
-/// that the tests don't check the balancer against its own code.
+/// True if the outcome proves that the attempt was never processed. The operators' rule is written here a second
+/// time, so that the tests don't check the balancer against its own code.
 fn is_proven_unprocessed(settings: &Settings, outcome: Option<Outcome>) -> bool {
     match outcome {
         Some(Outcome::NotConnected | Outcome::Skipped) => true,
@@ -78,8 +78,8 @@
     }
 }
 
-/// True if the operators' rule on repeats allows attempt `n` at `backend`, given the other attempts of the request. For a new
-/// attempt `n` is `usize::MAX`.
+/// True if the operators' rule on repeats allows attempt `n` at `backend`, given the other attempts of the request.
+/// For a new attempt `n` is `usize::MAX`.
 fn may_repeat(
     settings: &Settings,
     list: &BTreeMap<BackendId, ListEntry>,
@@ -315,8 +315,8 @@
         (update.kind, entries)
     }
 
-    /// Checks that the idle connections to each draining backend were closed within `drain_close_ms` of the start of the
-    /// drain and of the last outcome there.
+    /// Checks that the idle connections to each draining backend were closed within `drain_close_ms` of the start of
+    /// the drain and of the last outcome there.
     fn check_drained_connections(&self) {
         let Some(limit_ms) = self.settings.drain_close_ms else { return };
         for (b, since) in
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers for tests of the node: they start the real binary, with fake backends, a fake discovery service and clients on
-//! loopback addresses.
+//! Helpers for tests of the node: they start the real binary, with fake backends, a fake discovery service and
+//! clients on loopback addresses.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -196,8 +196,8 @@
     }
 }
 
-/// Starts a fake backend. `handler` decides what it does with each request; the first argument is the number of the request
-/// among all that `traffic` counts, from 0.
+/// Starts a fake backend. `handler` decides what it does with each request; the first argument is the number of the
+/// request among all that `traffic` counts, from 0.
 pub fn start_backend(
     traffic: &Traffic,
     handler: impl Fn(usize, &Message) -> Action + Send + Sync + 'static,
@@ -467,8 +467,8 @@
         (Node { address, operator, child, config_file, config, log, log_reader }, unread_log)
     }
 
-    /// Starts a node with an options file (`daleturn.toml`). Unless `read_log_lines` is set its log stays unread, and the
-    /// pipe is returned.
+    /// Starts a node with an options file (`daleturn.toml`). Unless `read_log_lines` is set its log stays unread, and
+    /// the pipe is returned.
     pub fn launch_with_options(
         discovery: SocketAddr,
         options: &std::path::Path,
@@ -674,7 +674,8 @@
         Some(first.trim_end().to_owned())
     }
 
-    /// True if the node has closed the connection already. A client that keeps connections checks this before it reuses one.
+    /// True if the node has closed the connection already. A client that keeps connections checks this before it
+    /// reuses one.
     pub fn is_closed_by_peer(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let peeked = self.stream.peek(&mut [0]);
@@ -720,8 +721,9 @@
         wait_for("a handshake is in progress", || has_tcp_socket(self.address, SYN_SENT));
     }
 
-    /// Lets the handshake complete and returns all bytes that the node then sends on that connection. Returns an empty string
-    /// if the node has given up the handshake by then, which happens when a loaded machine delays this call.
+    /// Lets the handshake complete and returns all bytes that the node then sends on that connection. Returns an
+    /// empty string if the node has given up the handshake by then, which happens when a loaded machine delays this
+    /// call.
     pub fn accept_and_read(self) -> String {
         let (first, _) = self.socket.accept().unwrap();
         drop((first, self.filler));
@@ -748,7 +750,8 @@
     try_call_operator(address, bytes).unwrap()
 }
 
-/// Sends bytes to an operators' address and returns the answer, or None if nothing listens there or the connection breaks.
+/// Sends bytes to an operators' address and returns the answer, or None if nothing listens there or the connection
+/// breaks.
 pub fn try_call_operator(address: SocketAddr, bytes: &[u8]) -> Option<String> {
     let mut stream = TcpStream::connect_timeout(&address, MAX_WAIT).ok()?;
     stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -35,7 +35,8 @@
         (400, format!("DELETE /api HTTP/1.1\r\n{head}X-Qos: other\r\n\r\n")),
         (404, format!("GET /apical HTTP/1.1\r\n{head}X-Qos: page\r\n\r\n")),
         (404, format!("POST / HTTP/1.1\r\n{head}X-Qos: bid\r\nContent-Length: 0\r\n\r\n")),
-        // Two framings in either order, and two lengths. A proxy in front of the node could see a second request in these.
+        // Two framings in either order, and two lengths. A proxy in front of the node could see a second request in
+        // these.
         (
             400,
             format!(
@@ -62,9 +63,9 @@
         assert_eq!(got, Some(status), "{:?}", bytes.get(..100.min(bytes.len())));
     }
     // A request that follows one with two framings is not served.
-    let twice = "POST /api HTTP/1.1\r\nX-Qos: bid\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n";
+    let two_framings = "POST /api HTTP/1.1\r\nX-Qos: bid\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n";
     let mut smuggler = Client::connect(node.address);
-    smuggler.send(&[twice.as_bytes(), &request("page", 900)].concat());
+    smuggler.send(&[two_framings.as_bytes(), &request("page", 900)].concat());
     assert_eq!(smuggler.read_response().map(|a| a.status()), Some(400));
     assert!(smuggler.wait_for_close());
     // A client that closes at once, and one that closes within its request.
@@ -75,10 +76,12 @@
     drop(half_request);
     assert_eq!(traffic.request_count(), 0);
     // A request with an invalid `X-Expires-In-Ms` is served with the time limit of its class.
-    let bad_wait = format!("GET /api HTTP/1.1\r\n{head}X-Qos: page\r\nX-Expires-In-Ms: soon\r\n\r\n");
-    assert_eq!(fetch(node.address, bad_wait.as_bytes()).status(), 200);
-    let wait: u64 = traffic.requests.lock().unwrap()[0].header("x-expires-in-ms").unwrap().parse().unwrap();
-    assert!(wait <= 4000, "{wait}");
+    let with_invalid_limit =
+        format!("GET /api HTTP/1.1\r\n{head}X-Qos: page\r\nX-Expires-In-Ms: soon\r\n\r\n");
+    assert_eq!(fetch(node.address, with_invalid_limit.as_bytes()).status(), 200);
+    let limit_ms: u64 =
+        traffic.requests.lock().unwrap()[0].header("x-expires-in-ms").unwrap().parse().unwrap();
+    assert!(limit_ms <= 4000, "{limit_ms}");
     assert!(node.is_running());
 }
 
@@ -137,8 +140,8 @@
     clients.push(second);
     for (n, mut client) in clients.into_iter().enumerate() {
         // None must mean the end of the stream, not the test's read time-out.
-        let answer = client.read_response().map(|m| m.status());
-        assert!(answer.is_none_or(|s| (400..500).contains(&s)), "{n}: {answer:?}");
+        let response = client.read_response().map(|m| m.status());
+        assert!(response.is_none_or(|s| (400..500).contains(&s)), "{n}: {response:?}");
         assert!(client.wait_for_close(), "{n}: still open after {MAX_WAIT:?}");
     }
     assert_eq!(traffic.request_count(), 1);
--- a/tests/node_clock.rs
+++ b/tests/node_clock.rs
@@ -1,6 +1,6 @@
-//! Steps of the wall clock under a running node, and nodes whose wall clock is wrong. Deadlines, time windows, waits and grace
-//! periods must follow the monotonic clock. The discovery service reports the start of a backend in its own wall-clock time,
-//! which may differ from the node's.
+//! Steps of the wall clock under a running node, and nodes whose wall clock is wrong. Deadlines, time windows, waits
+//! and grace periods must follow the monotonic clock. The discovery service reports the start of a backend in its own
+//! wall-clock time, which may differ from the node's.
 mod node;
 
 use daleturn_faults::{OFFSET_FILE, set_offset};
--- a/tests/node_cold.rs
+++ b/tests/node_cold.rs
@@ -1,5 +1,5 @@
-//! The slow-start budget of a cold backend holds for the whole fleet: for the sum of what all its processes send, however
-//! unevenly clients are spread over them, and also with processes that have just started.
+//! The slow-start budget of a cold backend holds for the whole fleet: for the sum of what all its processes send,
+//! however unevenly clients are spread over them, and also with processes that have just started.
 mod node;
 
 use node::*;
@@ -12,7 +12,8 @@
 const NODES: usize = 20;
 /// The time window `fallMs` of the settings.
 const WINDOW: Duration = Duration::from_millis(1500);
-/// What the settings allow a cold backend within the window up to 5 s after its start, as a multiple of what a warm one gets.
+/// What the settings allow a cold backend within the window up to 5 s after its start, as a multiple of what a warm
+/// one gets.
 const COLD_SHARE: f64 = 2.0 * (0.02 + 0.98 * 5.0 / 200.0);
 
 /// Arrival times of the requests at each backend; the last backend is cold.
@@ -70,8 +71,8 @@
         node
     };
     let mut nodes: Vec<Node> = (0..NODES).map(start).collect();
-    // Uneven traffic: the clients of two nodes pause for 8 ms between requests, those of the others for 80 ms. About half of
-    // all requests therefore reach two nodes.
+    // Uneven traffic: the clients of two nodes pause for 8 ms between requests, those of the others for 80 ms. About
+    // half of all requests therefore reach two nodes.
     let send_requests = |nodes: &[Node], duration: Duration, rate_factor: u64| {
         let end = Instant::now() + duration;
         let clients: Vec<_> = (nodes.iter().enumerate())
--- a/tests/node_discovery.rs
+++ b/tests/node_discovery.rs
@@ -1,5 +1,5 @@
-//! Updates of the list over real sockets. However a call to the discovery service ends, the changes that it missed arrive,
-//! and an older list never overrides a newer one.
+//! Updates of the list over real sockets. However a call to the discovery service ends, the changes that it missed
+//! arrive, and an older list never overrides a newer one.
 mod node;
 
 use node::*;
@@ -42,8 +42,8 @@
     node
 }
 
-/// Checks that a node learns of a drain whose notice it missed. The first watch ends by `end`; the backend starts to drain at
-/// that moment, and all later calls are told.
+/// Checks that a node learns of a drain whose notice it missed. `end` ends the first watch; the backend starts to
+/// drain at that moment, and all later calls report it.
 fn check_drain_during_watch(mode: &str, end: Action) {
     let traffic = Traffic::default();
     let address = start_backends(1, &traffic, |_, _| ok(b"x"))[0];
@@ -70,7 +70,7 @@
 #[test]
 fn a_drain_missed_by_a_watch_arrives_however_the_watch_ends() {
     let half_response = &list(2, false, &[target("s-0", loopback(1), "draining")])[..60];
-    let ends = [
+    let watch_ends = [
         ("no response", Action::Silent),
         ("half a response and no end", Action::Parts(vec![(0, half_response.to_vec())])),
         (
@@ -83,7 +83,7 @@
         ("not a list", Action::Send(http_response("200 OK", "", b"{\"rev\": 2}"))),
         ("a lower version", Action::Send(list(0, false, &[]))),
     ];
-    let threads = ends.into_iter().flat_map(|(what, end)| {
+    let threads = watch_ends.into_iter().flat_map(|(what, end)| {
         MODES.map(|mode| {
             let end = end.clone();
             (what, mode, thread::spawn(move || check_drain_during_watch(mode, end)))
--- a/tests/node_endings.rs
+++ b/tests/node_endings.rs
@@ -1,5 +1,5 @@
-//! Races between the end of one thing and a pending other: drains and key lifetimes that end during a handshake, clients
-//! that disconnect while they wait, connections closed while a request or a response is in flight.
+//! Races between the end of something and work that is still pending: drains and key lifetimes that end during a
+//! handshake, clients that disconnect while they wait, connections closed while a request or a response is in flight.
 mod node;
 
 use node::*;
@@ -26,7 +26,8 @@
     let stalled = StalledBackend::new();
     let may_close = Arc::new(AtomicBool::new(false));
     let may_close_clone = may_close.clone();
-    // The first backend reads the request, which counts as possibly processed, and closes once the node knows the second one.
+    // The first backend reads the request, which counts as possibly processed, and closes once the node knows the
+    // second one.
     let first = start_backend(&traffic, move |_, _| {
         wait_for("the node knows the other backend", || may_close_clone.load(SeqCst));
         Action::SendAndClose(Vec::new())
@@ -186,15 +187,17 @@
     bytes.resize(400_000, b'x');
     let _ = client.write_all(&bytes);
     wait_for("the node has closed the connection", || node.open_descriptors() <= before);
-    let answer = Message::read(&mut BufReader::new(client)).expect("a complete response");
-    assert_eq!(answer.status(), 200);
-    assert!(answer.body == body, "{} bytes of the body", answer.body.len());
+    let response = Message::read(&mut BufReader::new(client)).expect("a complete response");
+    assert_eq!(response.status(), 200);
+    assert!(response.body == body, "{} bytes of the body", response.body.len());
 }
 
 /// Checks that the client gets a valid response, or that its connection is closed and no backend received the request.
 fn check_answered_or_never_sent(client: &mut Client, traffic: &Traffic, before: usize, what: &str) {
     match client.read_response() {
-        Some(answer) => assert!(matches!(answer.status(), 200 | 503), "{what}: {}", answer.first_line),
+        Some(response) => {
+            assert!(matches!(response.status(), 200 | 503), "{what}: {}", response.first_line)
+        }
         None => {
             assert_eq!(traffic.request_count(), before, "{what}: forwarded, and the client got no response")
         }
@@ -268,8 +271,8 @@
         .collect();
     let mut good = Client::connect(node.address);
     for n in 0..200 {
-        let answer = good.fetch(&request("bid", 4000));
-        assert_eq!(answer.status(), 200, "request {n}");
+        let response = good.fetch(&request("bid", 4000));
+        assert_eq!(response.status(), 200, "request {n}");
         assert!(node.open_descriptors() <= limit, "{} descriptors", node.open_descriptors());
     }
     flood.into_iter().for_each(|f| f.join().unwrap());
@@ -301,9 +304,9 @@
         }
         for client in &mut clients {
             // Without a connection nothing was processed: the request is sent elsewhere or refused.
-            let answer = client.read_response().expect("a response");
-            assert!(matches!(answer.status(), 200 | 503), "{}", answer.first_line);
-            served += usize::from(answer.status() == 200);
+            let response = client.read_response().expect("a response");
+            assert!(matches!(response.status(), 200 | 503), "{}", response.first_line);
+            served += usize::from(response.status() == 200);
         }
     }
     assert!(served > 40, "{served} of 80");
@@ -312,7 +315,7 @@
 
 #[test]
 fn no_further_attempt_is_sent_for_a_client_that_disconnected() {
-    // Served requests before, which earn the budget for a further attempt.
+    // Number of requests served before, which earn the budget for a further attempt.
     const SERVED_BEFORE: usize = 30;
     for class in ["page", "pay"] {
         for disconnects in [false, true] {
@@ -341,7 +344,7 @@
                 drop(client);
                 wait_for("the node has noticed the disconnect", || node.open_descriptors() < before);
                 may_close.store(true, SeqCst);
-                wait_for("the attempt is over", || node.call("stats").contains("\"open\":0"));
+                wait_for("the attempt has ended", || node.call("stats").contains("\"open\":0"));
                 assert_eq!(
                     traffic.request_count(),
                     SERVED_BEFORE + 1,
--- a/tests/node_exits.rs
+++ b/tests/node_exits.rs
@@ -1,5 +1,5 @@
-//! Exit of a node's process: at SIGTERM every accepted request gets its response before the process exits. Start of a node
-//! while the discovery service is down, silent or slow.
+//! Exit of a node's process: at SIGTERM every accepted request gets its response before the process exits. Start of a
+//! node while the discovery service is down, silent or slow.
 mod node;
 
 use node::*;
@@ -25,7 +25,7 @@
 
 #[test]
 fn hanging_requests_are_answered_before_exit_for_short_and_long_deadlines() {
-    // The last deadline is longer than the 3 s that the node has until SIGKILL.
+    // The last deadline is longer than the 3 s that the process has until SIGKILL.
     for deadline_ms in [400, 2000, 20_000] {
         let stalled = StalledBackend::new();
         let traffic = Traffic::default();
@@ -44,8 +44,8 @@
             }
             node.terminate();
             for client in &mut clients {
-                let answer = client.read_response().expect("a response to an accepted request");
-                assert!(matches!(answer.status(), 502 | 503), "{}", answer.first_line);
+                let response = client.read_response().expect("a response to an accepted request");
+                assert!(matches!(response.status(), 502 | 503), "{}", response.first_line);
             }
             assert!(node.wait_for_exit().success());
         }
@@ -76,9 +76,9 @@
         node.terminate();
         node.resume();
         match client.read_response() {
-            Some(answer) => {
-                assert!(matches!(answer.status(), 200 | 503), "{state}: {}", answer.first_line);
-                assert_eq!(answer.header("connection"), CONNECTION_CLOSE, "{state}");
+            Some(response) => {
+                assert!(matches!(response.status(), 200 | 503), "{state}: {}", response.first_line);
+                assert_eq!(response.header("connection"), CONNECTION_CLOSE, "{state}");
             }
             None => {
                 assert_eq!(state, "idle", "only an idle connection may be closed without a response");
@@ -120,10 +120,10 @@
     wait_until_not_accepting(&node);
     may_answer.store(true, SeqCst);
     assert!(upload.send(&body[150_000..]));
-    let answer = upload.read_response().expect("a response");
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"whole".as_slice()));
-    let answer = download.read_response().expect("a complete response");
-    assert!(answer.status() == 200 && answer.body == body, "{} bytes", answer.body.len());
+    let response = upload.read_response().expect("a response");
+    assert_eq!((response.status(), response.body.as_slice()), (200, b"whole".as_slice()));
+    let response = download.read_response().expect("a complete response");
+    assert!(response.status() == 200 && response.body == body, "{} bytes", response.body.len());
     assert!(node.wait_for_exit().success());
 }
 
@@ -157,8 +157,8 @@
     node.terminate();
     wait_until_not_accepting(&node);
     may_answer.store(true, SeqCst);
-    let answer = client.read_response().expect("a response");
-    assert_eq!((answer.status(), answer.header("connection")), (200, CONNECTION_CLOSE));
+    let response = client.read_response().expect("a response");
+    assert_eq!((response.status(), response.header("connection")), (200, CONNECTION_CLOSE));
     assert!(node.wait_for_exit().success());
 }
 
@@ -196,7 +196,8 @@
             (class["hardLimitMs"], class["objectiveMs"]) = (600.into(), 60_000.into());
         }
     });
-    // Half a request is read before SIGTERM. The rest comes just before the process exits, when the hanging request fails.
+    // Half a request is read before SIGTERM. The rest comes just before the process exits, when the hanging request
+    // fails.
     let bytes = request("page", 600);
     let mut half = Client::connect(node.address);
     assert!(half.send(&bytes[..40]));
@@ -205,11 +206,11 @@
     assert!(hanging.send(&request("page", 60_000)));
     wait_for("the request hangs", || traffic.request_count() == 1);
     node.terminate();
-    let answer = hanging.read_response().expect("a response to an accepted request");
-    assert_eq!(answer.status(), 502);
+    let response = hanging.read_response().expect("a response to an accepted request");
+    assert_eq!(response.status(), 502);
     half.send(&bytes[40..]);
-    let answer = half.read_response();
-    assert!(answer.as_ref().is_none_or(|a| a.status() == 503), "{answer:?}");
+    let response = half.read_response();
+    assert!(response.as_ref().is_none_or(|a| a.status() == 503), "{response:?}");
     assert!(node.wait_for_exit().success());
     thread::sleep(Duration::from_millis(20));
     assert_eq!(traffic.request_count(), 1, "forwarded by a process that exits");
--- a/tests/node_fleet.rs
+++ b/tests/node_fleet.rs
@@ -110,14 +110,18 @@
     let traffic = Traffic::default();
     let is_back = Arc::new(AtomicBool::new(false));
     let backend_is_back = is_back.clone();
-    let opened = traffic.connections_opened.clone();
+    let connections_opened = traffic.connections_opened.clone();
     let addresses = start_backends(1, &traffic, move |_, _| {
         if !backend_is_back.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(100));
             return ok(b"x");
         }
         // Connections from before the outage are closed; only new ones are served.
-        if opened.load(Ordering::SeqCst) == 2 { Action::SendAndClose(Vec::new()) } else { ok(b"x") }
+        if connections_opened.load(Ordering::SeqCst) == 2 {
+            Action::SendAndClose(Vec::new())
+        } else {
+            ok(b"x")
+        }
     });
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
@@ -267,10 +271,10 @@
                     client.send(&request(class, 900)),
                     "client {n}: the connection was closed without an announcement"
                 );
-                let answer = client.read_response().expect("a response to an accepted request");
-                assert!(matches!(answer.status(), 200 | 503), "{}", answer.first_line);
+                let response = client.read_response().expect("a response to an accepted request");
+                assert!(matches!(response.status(), 200 | 503), "{}", response.first_line);
                 served += 1;
-                let close = answer.header("connection") == Some("close");
+                let close = response.header("connection") == Some("close");
                 if is_over {
                     return (served, close);
                 }
--- a/tests/node_late_lists.rs
+++ b/tests/node_late_lists.rs
@@ -8,10 +8,10 @@
 //!    node closes the call and discards the response.
 //! 3. The next call hangs, or its response is slow. Until it arrives the node sends to the draining backend.
 //!
-//! It was reproduced in 104 runs of 14 s with four real nodes, a slow discovery service and four SIGHUPs for each node. The
-//! nodes sent to eleven departed backends after the grace period: ten departures had been written to a call that SIGHUP ended
-//! within 45 ms, one to a call whose time limit had passed. In each case the last wrong request was sent at the moment at which
-//! a later response was read.
+//! It was reproduced in 104 runs of 14 s with four real nodes, a slow discovery service and four SIGHUPs for each
+//! node. The nodes sent to eleven departed backends after the grace period: ten departures had been written to a call
+//! that SIGHUP ended within 45 ms, one to a call whose time limit had passed. In each case the last wrong request was
+//! sent at the moment at which a later response was read.
 mod node;
 
 use node::*;
@@ -53,8 +53,8 @@
     }
 }
 
-/// Starts a discovery service that answers calls for the full list until the first watch, which sets `watched`. That watch
-/// is answered with `late_list` once `asked_again` is set. All later calls set `asked_again` and hang.
+/// Starts a discovery service that answers calls for the full list until the first watch, which sets `watched`. That
+/// watch is answered with `late_list` once `asked_again` is set. All later calls set `asked_again` and hang.
 fn start_discovery_with_late_answer(
     addresses: &[SocketAddr],
     late_list: Vec<u8>,
@@ -168,8 +168,8 @@
     let draining = [target("s-0", addresses[0], "draining"), target("s-1", addresses[1], "up")];
     let discovery_traffic = Traffic::default();
     let call_traffic = discovery_traffic.clone();
-    // The first call is never answered. Each other one is answered only once the next has been made, so that every answer
-    // takes longer than one attempt may.
+    // The first call is never answered. Each other one is answered only once the next has been made, so that every
+    // answer takes longer than one attempt may.
     let discovery = start_backend(&discovery_traffic, move |n, _| {
         if n == 0 {
             return Action::Silent;
--- a/tests/node_long.rs
+++ b/tests/node_long.rs
@@ -59,9 +59,9 @@
         let node = Node::start(discovery.address, |_| {});
         let mut client = Client::connect(node.address);
         for _ in 0..2 {
-            let answer = client.fetch(&request("page", 4000));
-            assert_eq!((answer.status(), answer.header("content-type")), (200, Some("x/y")));
-            assert!(answer.body == body, "{} bytes", answer.body.len());
+            let response = client.fetch(&request("page", 4000));
+            assert_eq!((response.status(), response.header("content-type")), (200, Some("x/y")));
+            assert!(response.body == body, "{} bytes", response.body.len());
         }
     }
 }
@@ -82,17 +82,17 @@
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let sent_at = Instant::now();
-    let answer = fetch(node.address, &request("bid", 600));
+    let response = fetch(node.address, &request("bid", 600));
     assert!(sent_at.elapsed() > Duration::from_millis(1400));
-    assert!(answer.body == body, "{} bytes", answer.body.len());
+    assert!(response.body == body, "{} bytes", response.body.len());
     // A response of unknown length with a pause in it: its first bytes are forwarded at once.
     let mut client = Client::connect(node.address);
     let sent_at = Instant::now();
     client.send(&request("page", 1200));
     assert!(client.wait_for_data());
     assert!(sent_at.elapsed() < Duration::from_millis(1200), "{:?}", sent_at.elapsed());
-    let answer = client.read_response().unwrap();
-    assert!(answer.body == [b"first".as_slice(), &body].concat(), "{} bytes", answer.body.len());
+    let response = client.read_response().unwrap();
+    assert!(response.body == [b"first".as_slice(), &body].concat(), "{} bytes", response.body.len());
     assert_eq!(traffic.request_count(), 2);
 }
 
@@ -134,8 +134,8 @@
             assert!(client.send(part));
             thread::sleep(Duration::from_millis(100));
         }
-        let answer = client.read_response().expect("a response");
-        assert_eq!((answer.status(), answer.body.as_slice()), (200, b"done".as_slice()));
+        let response = client.read_response().expect("a response");
+        assert_eq!((response.status(), response.body.as_slice()), (200, b"done".as_slice()));
         let requests = traffic.requests.lock().unwrap();
         assert_eq!(requests.len(), n + 1);
         assert!(requests[n].body == body, "{} bytes", requests[n].body.len());
@@ -171,7 +171,8 @@
     let traffic = Traffic::default();
     let handler = move |_: usize, _: &Message| ok(b"never");
     let addresses = start_backends(1, &traffic, handler);
-    // The listed backend closes the connection within the body. The node must read and drop the rest, then answer the client.
+    // The listed backend closes the connection within the body. The node must read and drop the rest, then answer the
+    // client.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -191,8 +192,8 @@
         assert!(client.send(part), "the node reads the request to its end");
         thread::sleep(Duration::from_millis(5));
     }
-    let answer = client.read_response().expect("a response");
-    assert!(matches!(answer.status(), 502 | 503), "{}", answer.first_line);
+    let response = client.read_response().expect("a response");
+    assert!(matches!(response.status(), 502 | 503), "{}", response.first_line);
     drop((addresses, discovery));
     assert_eq!(traffic.request_count(), 0);
 }
@@ -313,8 +314,8 @@
                     client.send(&request("page", 4000));
                     // A slow reader.
                     thread::sleep(Duration::from_millis(500));
-                    let answer = client.read_response().expect("a response");
-                    (answer.status(), answer.status() != 200 || answer.body == pattern(LENGTH))
+                    let response = client.read_response().expect("a response");
+                    (response.status(), response.status() != 200 || response.body == pattern(LENGTH))
                 } else {
                     client.send(&upload_head("pay", 4000, &format!("Content-Length: {LENGTH}")));
                     let sent = client.stream.write_all(&pattern(LENGTH)).is_ok();
--- a/tests/node_operator.rs
+++ b/tests/node_operator.rs
@@ -66,7 +66,8 @@
     assert!(node.open_descriptors() <= 64, "{}", node.open_descriptors());
     for stream in &mut silent {
         stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
-        // The node sends a short answer or closes the connection. A connection that stays open fails the read by its time-out.
+        // The node sends a short answer or closes the connection. A connection that stays open fails the read by its
+        // time-out.
         let end = std::io::Read::read_to_end(stream, &mut Vec::new());
         assert!(end.is_ok_and(|n| n < 100));
     }
@@ -165,8 +166,8 @@
     let mut idle = Client::connect(node.address);
     assert_eq!(idle.fetch(&request("page", 900)).status(), 200);
     let mut arriving = Client::connect(node.address);
-    let whole = request("page", 900);
-    assert!(arriving.send(&whole[..20]));
+    let request_bytes = request("page", 900);
+    assert!(arriving.send(&request_bytes[..20]));
     let mut in_flight = Client::connect(node.address);
     assert!(in_flight.send(&request("bid", 900)));
     wait_for("the request is in flight", || traffic.request_count() == 2);
@@ -176,14 +177,14 @@
     assert!(is_ok(&node.call("health")));
     assert_eq!(node.up_status(), 503);
     assert!(idle.wait_for_close());
-    assert!(arriving.send(&whole[20..]));
+    assert!(arriving.send(&request_bytes[20..]));
     for client in [&mut in_flight, &mut arriving] {
         let answer = client.read_response().unwrap();
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
         assert!(client.wait_for_close());
     }
-    let late = fetch(node.address, &request("page", 900));
-    assert_eq!((late.status(), late.header("connection")), (200, Some("close")));
+    let response = fetch(node.address, &request("page", 900));
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
 
     assert!(is_ok(&node.call("resume")));
     assert!(is_ok(&node.call("resume")), "a repeated call is valid");
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -20,37 +20,37 @@
         X-Qos: pay\r\nX-Expires-In-Ms: 2000\r\nIdempotency-Key: 5c0f\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n";
     let mut client = Client::connect(node.address);
     for _ in 0..3 {
-        let answer = client.fetch(request);
-        assert_eq!(answer.status(), 200);
-        assert!(answer.body == body, "the body was changed");
+        let response = client.fetch(request);
+        assert_eq!(response.status(), 200);
+        assert!(response.body == body, "the body was changed");
     }
-    let seen = traffic.requests.lock().unwrap();
-    assert_eq!(seen[0].first_line, "POST /api?lot=7&x=%20y HTTP/1.1");
-    assert_eq!(seen[0].body, b"\x00\xff\r\n\r\n");
-    assert_eq!(seen[0].header("x-trace-id"), Some("9b1f03aa5c7e2d41"));
-    assert_eq!(seen[0].header("idempotency-key"), Some("5c0f"));
-    let wait: u64 = seen[0].header("x-expires-in-ms").unwrap().parse().unwrap();
-    assert!((1..2000).contains(&wait), "the backend received a time limit of {wait} ms");
+    let requests = traffic.requests.lock().unwrap();
+    assert_eq!(requests[0].first_line, "POST /api?lot=7&x=%20y HTTP/1.1");
+    assert_eq!(requests[0].body, b"\x00\xff\r\n\r\n");
+    assert_eq!(requests[0].header("x-trace-id"), Some("9b1f03aa5c7e2d41"));
+    assert_eq!(requests[0].header("idempotency-key"), Some("5c0f"));
+    let limit_ms: u64 = requests[0].header("x-expires-in-ms").unwrap().parse().unwrap();
+    assert!((1..2000).contains(&limit_ms), "the backend received a time limit of {limit_ms} ms");
     assert_eq!(traffic.open_connections(), 1, "the connection must be reused");
 }
 
-/// Sends one request whose first attempt ends by `first_action`; any further attempt would succeed. Returns the client's
-/// status and the number of attempts that reached a backend.
+/// Sends one request whose first attempt ends by `first_action`; any further attempt would succeed. Returns the
+/// client's status and the number of attempts that reached a backend.
 fn send_once(class: &str, first_action: Action) -> (u16, usize) {
     let traffic = Traffic::default();
     let addresses =
         start_backends(3, &traffic, move |n, _| if n == 0 { first_action.clone() } else { ok(b"second") });
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    let answer = fetch(node.address, &request(class, 900));
-    if answer.status() == 200 {
-        assert_eq!(answer.body, b"second");
+    let response = fetch(node.address, &request(class, 900));
+    if response.status() == 200 {
+        assert_eq!(response.body, b"second");
     }
-    (answer.status(), traffic.request_count())
+    (response.status(), traffic.request_count())
 }
 
 /// Returns actions of a backend after which it may have processed the request, with a description of each.
-fn ends_that_may_have_run() -> Vec<(&'static str, Action)> {
+fn actions_that_may_have_run() -> Vec<(&'static str, Action)> {
     vec![
         ("500", Action::Send(http_response("500 Internal Server Error", "", b""))),
         ("500 with X-Never-Ran", Action::Send(http_response("500 No", "X-Never-Ran: 1\r\n", b""))),
@@ -108,13 +108,13 @@
     ] {
         for is_immediate in [true, false] {
             let traffic = Traffic::default();
-            let answer = http_response("200 OK", "", b"first");
-            let response_and_more = [answer.clone(), unrequested.to_vec()].concat();
+            let response = http_response("200 OK", "", b"first");
+            let response_and_unrequested = [response.clone(), unrequested.to_vec()].concat();
             // The unrequested bytes follow the response at once, or 30 ms later.
             let parts = if is_immediate {
-                vec![(0, response_and_more)]
+                vec![(0, response_and_unrequested)]
             } else {
-                vec![(0, answer), (30, unrequested.to_vec())]
+                vec![(0, response), (30, unrequested.to_vec())]
             };
             let address =
                 start_backend(
@@ -173,8 +173,8 @@
         });
         index.unwrap()
     };
-    // If the node is not scheduled for 20 ms in between, the first connection has become idle again and the run proves nothing.
-    // That does not happen five times in a row.
+    // If the node is not scheduled for 20 ms in between, the first connection has become idle again and the run
+    // proves nothing. That does not happen five times in a row.
     for _ in 0..5 {
         assert!(clients[0].send(&request("bid", 60_000)));
         let first = connection_with_request(&connections);
@@ -226,7 +226,7 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_and_never_sent_twice() {
-    for (what, action) in ends_that_may_have_run() {
+    for (what, action) in actions_that_may_have_run() {
         let (status, attempts) = send_once("bid", action);
         assert_eq!((status, attempts), (502, 1), "{what}");
     }
@@ -234,7 +234,7 @@
 
 #[test]
 fn a_safe_or_keyed_request_that_may_have_run_is_sent_again() {
-    for (what, action) in ends_that_may_have_run() {
+    for (what, action) in actions_that_may_have_run() {
         for class in ["page", "pay"] {
             assert_eq!(send_once(class, action.clone()), (200, 2), "{what}, {class}");
         }
@@ -285,8 +285,8 @@
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let sent_at = Instant::now();
-    let answer = fetch(node.address, &request("bid", 300));
-    assert_eq!(answer.status(), 502);
+    let response = fetch(node.address, &request("bid", 300));
+    assert_eq!(response.status(), 502);
     // The deadline of 300 ms, plus the slack that the rule allows and a margin for a loaded machine.
     assert!(sent_at.elapsed() < Duration::from_millis(370), "the client has given up by then");
     assert_eq!(traffic.request_count(), 1);
@@ -335,10 +335,10 @@
     wait_for("the node knows of the drain", || node.up_status() == 503);
     for class in ["page", "bid", "pay", "unheard-of"] {
         let sent_at = Instant::now();
-        let answer = fetch(node.address, &request(class, 900));
-        assert_eq!(answer.status(), 503, "{class}");
-        let wait: f64 = answer.header("retry-after").expect("Retry-After").parse().unwrap();
-        assert!(wait > 0.0 && wait <= 2.0, "{wait} s");
+        let response = fetch(node.address, &request(class, 900));
+        assert_eq!(response.status(), 503, "{class}");
+        let retry_after_s: f64 = response.header("retry-after").expect("Retry-After").parse().unwrap();
+        assert!(retry_after_s > 0.0 && retry_after_s <= 2.0, "{retry_after_s} s");
         assert!(sent_at.elapsed() < Duration::from_millis(450), "refused late");
     }
     assert_eq!(traffic.request_count(), 0);
--- a/tests/node_settings.rs
+++ b/tests/node_settings.rs
@@ -109,7 +109,7 @@
     good["discovery"] = other_discovery.address.to_string().into();
     class_named(&mut good, "page")["semantics"] = "at_most_once".into();
     let text = good.to_string();
-    let with = |pointer: &str, value: Value| {
+    let with_value = |pointer: &str, value: Value| {
         let mut bad = good.clone();
         *bad.pointer_mut(pointer).unwrap() = value;
         bad.to_string()
@@ -122,15 +122,15 @@
         text[..text.len() - 1].to_owned(),
         "[]".to_owned(),
         without_rules.to_string(),
-        with("/settings/classes/0/hardLimitMs", json!(0)),
-        with("/settings/classes/1/hardLimitMs", json!("900")),
-        with("/settings/limits/attemptsCap", json!(null)),
-        with("/settings/limits/attemptsCap", json!(-1)),
-        with("/settings/rules/drainGraceMs", json!(1e300)),
-        with("/settings/classes/2/keyTtlMs", json!(-5)),
-        with("/settings/classes/0/semantics", json!("sometimes")),
-        with("/settings/membershipMode", json!("shouted")),
-        with("/discovery", json!("nowhere")),
+        with_value("/settings/classes/0/hardLimitMs", json!(0)),
+        with_value("/settings/classes/1/hardLimitMs", json!("900")),
+        with_value("/settings/limits/attemptsCap", json!(null)),
+        with_value("/settings/limits/attemptsCap", json!(-1)),
+        with_value("/settings/rules/drainGraceMs", json!(1e300)),
+        with_value("/settings/classes/2/keyTtlMs", json!(-5)),
+        with_value("/settings/classes/0/semantics", json!("sometimes")),
+        with_value("/settings/membershipMode", json!("shouted")),
+        with_value("/discovery", json!("nowhere")),
         text.replacen("4000", "NaN", 1),
         text.replacen("4000", "1e999", 1),
     ];
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -1,11 +1,13 @@
-//! Stored state: operators' orders and what the node has learned survive SIGKILL, damaged files and files of a later format.
+//! Stored state: operators' orders and what the node has learned survive SIGKILL, damaged files and files of a later
+//! format.
 mod node;
 
 use node::*;
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 
-/// Writes an options file that names a state directory for one test. Returns the paths of the file and of the directory.
+/// Writes an options file that names a state directory for one test. Returns the paths of the file and of the
+/// directory.
 fn write_options(name: &str) -> (PathBuf, PathBuf) {
     let dir = scratch_dir(name);
     let (file, state) = (dir.join("daleturn.toml"), dir.join("state"));
@@ -67,11 +69,12 @@
     for _ in 0..30 {
         assert_eq!(fetch(first.address, &request("page", 3000)).status(), 200);
     }
-    // The node stores what it has learned 1 to 1.5 s after its start and then every 3 to 4.5 s, so 6.5 s include two writes.
+    // The node stores what it has learned 1 to 1.5 s after its start and then every 3 to 4.5 s, so 6.5 s include two
+    // writes.
     std::thread::sleep(std::time::Duration::from_millis(6500));
     first.kill();
-    let nobody = free_address();
-    let (second, _) = Node::launch_with_options(nobody, &file, true);
+    let unused_address = free_address();
+    let (second, _) = Node::launch_with_options(unused_address, &file, true);
     wait_for("the node has the stored list", || {
         second.try_call("health").is_some_and(|a| a.starts_with("OK"))
     });
@@ -117,7 +120,8 @@
     assert_eq!(std::fs::read(&path).unwrap(), header);
 }
 
-/// The checksum of the files (CRC-32), written here a second time so that the test doesn't depend on the store's own code.
+/// The checksum of the files (CRC-32), written here a second time so that the test doesn't depend on the store's own
+/// code.
 fn crc32(bytes: &[u8]) -> u32 {
     !bytes.iter().fold(!0_u32, |crc, b| {
         (0..8).fold(crc ^ u32::from(*b), |c, _| if c & 1 == 1 { (c >> 1) ^ 0xedb8_8320 } else { c >> 1 })
@@ -158,8 +162,8 @@
     assert_eq!(states(&node), ["up", "up"]);
 }
 
-/// Writes an options file for a node whose disk has scripted faults. Returns the paths of the file, of the state directory
-/// and of the directory for the faults.
+/// Writes an options file for a node whose disk has scripted faults. Returns the paths of the file, of the state
+/// directory and of the directory for the faults.
 fn write_options_with_faults(name: &str) -> (PathBuf, PathBuf, PathBuf) {
     let (file, state) = write_options(name);
     let fault_dir = scratch_dir(name).join("drill");
@@ -230,8 +234,8 @@
     let (file, state, _) = write_options_with_faults("deleted");
     let mut first = start_node(&file, &discovery);
     std::fs::remove_dir_all(&state).unwrap();
-    // The journal is still open and accepts the order, but the next start would not find the file. Either answer is right
-    // only if the next start agrees with it.
+    // The journal is still open and accepts the order, but the next start would not find the file. Either answer is
+    // right only if the next start agrees with it.
     let answer = first.call("cordon s-1");
     assert_eq!(fetch(first.address, &request("page", 3000)).status(), 200);
     first.kill();
--- a/tests/node_subset.rs
+++ b/tests/node_subset.rs
@@ -1,5 +1,5 @@
-//! Lists that are longer than a node's subset, over real sockets. The node works with its subset, and drains, cordons and
-//! starts work as with a short list.
+//! Lists that are longer than a node's subset, over real sockets. The node works with its subset, and drains, cordons
+//! and starts work as with a short list.
 mod node;
 
 use node::*;
@@ -223,7 +223,8 @@
                 message.first_line.split("after=").nth(1).and_then(|t| t.split('&').next()?.parse().ok());
             match after.unwrap_or(0_u64) {
                 after if after >= last_version => Action::Silent,
-                // Versions 1, 2, 4 and 6 have the same content, with a change in version 3 and another list in version 5.
+                // Versions 1, 2, 4 and 6 have the same content, with a change in version 3 and another list in
+                // version 5.
                 2 => list(3, false, &[target("s-7", a, "draining")]),
                 4 => list(5, true, &list_with("draining")),
                 after => list(after + 1, true, &list_with("up")),
--- a/tests/node_upgrade.rs
+++ b/tests/node_upgrade.rs
@@ -9,16 +9,16 @@
 use std::time::{Duration, Instant};
 
 /// A directory for `$TMPDIR`, which is removed when the value is dropped.
-struct Tmp(PathBuf);
+struct TempDir(PathBuf);
 
-impl Tmp {
+impl TempDir {
     /// Returns the shell command that starts a node with this `$TMPDIR`.
     fn command(&self) -> String {
         format!("TMPDIR='{}' exec \"$0\"", self.0.display())
     }
 }
 
-impl Drop for Tmp {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -31,7 +31,7 @@
 
 /// A serving node with four backends.
 struct Fixture {
-    tmp: Tmp,
+    tmp: TempDir,
     discovery: Discovery,
     traffic: Vec<Traffic>,
     old: Node,
@@ -39,7 +39,7 @@
 
 /// Starts a node with four backends that answer after 20 ms.
 fn start_fixture(name: &str) -> Fixture {
-    let tmp = Tmp(scratch_dir(name));
+    let tmp = TempDir(scratch_dir(name));
     let traffic: Vec<Traffic> = (0..4).map(|_| Traffic::default()).collect();
     let handler = |_: usize, _: &Message| {
         thread::sleep(Duration::from_millis(20));
@@ -70,8 +70,8 @@
                         client = Client::connect(address);
                     }
                     let bytes = request(if n % 2 == 0 { "page" } else { "bid" }, 900);
-                    let answer = if client.send(&bytes) { client.read_response() } else { None };
-                    let Some(answer) = answer else {
+                    let response = if client.send(&bytes) { client.read_response() } else { None };
+                    let Some(response) = response else {
                         // The node closed the connection while the request was in flight. The protocol lets the client
                         // ask once more, and the process that it reaches then stays. How many clients this happens to
                         // depends on the machine.
@@ -83,9 +83,9 @@
                         client = Client::connect(address);
                         continue;
                     };
-                    assert_eq!(answer.status(), 200, "{}", answer.first_line);
+                    assert_eq!(response.status(), 200, "{}", response.first_line);
                     served.fetch_add(1, Ordering::SeqCst);
-                    if answer.header("connection") == Some("close") {
+                    if response.header("connection") == Some("close") {
                         client = Client::connect(address);
                     }
                     thread::sleep(Duration::from_millis(n));
@@ -97,9 +97,9 @@
         let is_over = is_over.clone();
         thread::spawn(move || {
             while !is_over.load(Ordering::SeqCst) {
-                let answer = try_fetch(address, b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n");
+                let response = try_fetch(address, b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n");
                 assert!(
-                    answer.is_none_or(|a| a.status() == 200),
+                    response.is_none_or(|a| a.status() == 200),
                     "the proxy in front received a status other than 200"
                 );
                 thread::sleep(Duration::from_millis(5));
@@ -166,9 +166,9 @@
     let mut old = old;
     let mut kept_client = Client::connect(old.address);
     old.terminate();
-    let up = b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n";
+    let up_request = b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n";
     wait_for("the proxy in front receives 503", || {
-        kept_client.send(up) && kept_client.read_response().is_none_or(|a| a.status() == 503)
+        kept_client.send(up_request) && kept_client.read_response().is_none_or(|a| a.status() == 503)
             || kept_client.wait_for_close()
     });
     assert!(old.wait_for_exit().success());
@@ -176,7 +176,7 @@
 
 #[test]
 fn two_processes_together_keep_the_descriptor_limit() {
-    let tmp = Tmp(scratch_dir("descriptors"));
+    let tmp = TempDir(scratch_dir("descriptors"));
     let traffic = Traffic::default();
     let addresses = start_backends(1, &traffic, |_, _| ok(b"x"));
     let discovery = Discovery::start(all_up(&addresses));
