--- a/tests/node_discovery.rs
+++ b/tests/node_discovery.rs
@@ -251,6 +251,8 @@
             });
             node.set_discovery(Some(new));
             wait_for("the node knows of the drain", || node.up_status() == 503);
+            // The log has a thread of its own, so the line may be written after the drain took effect.
+            wait_for("the failure is logged", || node.count_log_lines("discovery.failed") > 0);
             assert_eq!(
                 node.count_log_lines("discovery.failed"),
                 1,
