--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,7 +9,7 @@
 pub(super) const TARGET_STRAIN: f64 = 0.2;
 /// Lowest mean reported pressure that admission counts as strain.
 pub(super) const MIN_FULL_PRESSURE: f64 = 0.85;
-/// Requests of all nodes together that any backend is assumed to hold in flight.
+/// Requests in flight, of all nodes together, that even the smallest backend is assumed to handle.
 const MIN_BACKEND_IN_FLIGHT: f64 = 4.0;
 
 /// State of admission control.
@@ -50,8 +50,8 @@
         let keep = (-seconds / 2.0_f64).exp();
         let a = &mut self.admission;
         a.tenant_rates.tick(seconds);
-        // The estimate shrinks with the number of outcomes: a node that admits next to nothing would otherwise
-        // keep the strain that closed it.
+        // Few outcomes are weak evidence and count for less. Otherwise a node that admits next to nothing would keep
+        // the strain that closed its admission.
         a.strain = a.outcomes.bad_share();
         // Load reports show that the fleet is filling up before answers become late, and some backends stay slow
         // long after one or two seconds of overload. High pressure therefore counts as strain. Where a full
@@ -142,7 +142,8 @@
     }
 
     /// Counts a tenant's request and decides by chance whether it is over the tenant's share, as often as the
-    /// tenant's traffic exceeds its quota at this node. The share known of the whole fleet goes first.
+    /// tenant's traffic exceeds this node's part of its quota. Where the part within the share is known for the whole
+    /// fleet, that part decides instead.
     pub(super) fn is_over_share(&mut self, tenant: Option<usize>) -> bool {
         let Some((i, quota)) = tenant.and_then(|t| self.settings.tenants.get(t).map(|q| (t, q.quota_rps)))
         else {
--- a/src/policy/concurrency_cap.rs
+++ b/src/policy/concurrency_cap.rs
@@ -41,7 +41,7 @@
         let step = ConcurrencyCap::GROWTH_STEP * self.limit.min(1.0) * (1.0 - strain / TARGET_STRAIN);
         if step < 0.0 && now - elapsed >= self.cut_at {
             // The part of the limit that was unused when strain showed is unproven. Some of it goes at once, the
-            // more the more the fleet is strained; one late answer in a fleet at ease removes next to nothing.
+            // more the more the fleet is strained; one late answer in an unstrained fleet removes next to nothing.
             let unused = (self.limit - f64::from(in_flight) - 1.0).max(0.0);
             self.limit = (self.limit + step - shrink * unused).max(floor.min(self.limit));
             self.reduced -= step;
@@ -59,7 +59,7 @@
 }
 
 /// Initial cap of a backend without history: 8 over all nodes where they are few, 2 where there are more. Many nodes
-/// share 32, because 2 from each would overload the backend before any node has learned.
+/// share 32, at least 0.4 each, because 2 from each would overload the backend before any node has learned.
 pub(super) fn initial_cap(nodes_per_backend: u32) -> f64 {
     let nodes = f64::from(nodes_per_backend.max(1));
     (32.0 / nodes).clamp(0.4, 2.0).max(8.0 / nodes)
--- a/src/policy/failure_record.rs
+++ b/src/policy/failure_record.rs
@@ -1,6 +1,6 @@
 //! The failure record of a backend: failures and tries in a sliding window, the congested state with its PRAT, and
-//! the trials that end that state. PRAT (proxy retry-after time) is the congestion paper's term for the time at which a
-//! node may try a congested backend again.
+//! the trials that end that state. The record sees outcomes of attempts, not requests. PRAT (proxy retry-after time) is
+//! the congestion paper's term for the time at which a node may try a congested backend again.
 
 use super::Balancer;
 use crate::interface::{Action, LogNote};
--- a/src/policy/locality.rs
+++ b/src/policy/locality.rs
@@ -8,8 +8,8 @@
 
 /// Lowest weight of other zones: enough traffic to keep measuring their strain.
 const MIN_REMOTE_WEIGHT: f64 = 0.01;
-/// Strain that one more request adds to a zone, over the zone's own strain, near its capacity: strain grows with
-/// about the cube of the load there.
+/// Strain that one more request causes for the other requests of a zone near its capacity, as a multiple of the strain
+/// that it meets itself: strain grows with about the cube of the load there.
 const MARGINAL_STRAIN: f64 = 3.0;
 /// Largest growth of the weight, as an exponent per second. Traffic moves within the time in which strain shows.
 const GROWTH_PER_S: f64 = 2.0;
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -23,8 +23,8 @@
         let mut age = 0.0;
         if let Some(stats) = self.class_statistics.get_mut(request.class) {
             // A client with a short time limit looks like one at its last try. Where a late answer still has worth,
-            // the request counts as a first try: otherwise these clients would all be refused, even by a fleet at
-            // ease.
+            // the request counts as a first try: otherwise these clients would all be refused, even by an unstrained
+            // fleet.
             age = if late_worth > 0.0 { 0.0 } else { stats.request_age(given_ms, deadline) };
             stats.requests += if age > 0.0 { 0.0 } else { 1.0 };
         }
@@ -42,7 +42,7 @@
         if let Some(key) = request.key {
             self.key_counts.record(mix_bits(key));
         }
-        // The budgets for retries and spills grow more slowly under strain: a fleet at ease can bear more of both.
+        // The budgets for retries and spills grow more slowly under strain: an unstrained fleet can bear more of both.
         let a = &mut self.admission;
         let share = 0.1 + 0.2 * (1.0 - a.strain / TARGET_STRAIN).max(0.0);
         (a.retry_tokens, a.spill_tokens) =
@@ -74,6 +74,8 @@
         let gained = self.cold_tokens_gained(now, index);
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         let class = self.settings.classes.get(open.request.class);
+        // Where a late answer still has worth, the attempt may last until the deadline, but only while nearly all work
+        // is admitted.
         let late = class.is_some_and(|c| c.late_worth > 0.0);
         let end = if late && self.admission.level > 0.95 { open.request.deadline_ms } else { open.aim_at };
         let mut timeout_ms = end.min(open.request.deadline_ms) - now;
--- a/src/policy/shared_state.rs
+++ b/src/policy/shared_state.rs
@@ -7,7 +7,7 @@
 
 /// Most nodes whose report on one backend is kept. More would add nothing.
 const MAX_PEER_REPORTS: usize = 6;
-/// Reports that count without a failure of this node's own. A single report never does.
+/// Fewest nodes whose reports count without a failure of this node's own. A single report never does.
 const MIN_REPORTS_WITHOUT_FAILURE: usize = 3;
 /// Time over which nodes spread their next trial of a backend that serves another node again.
 const RETRY_SPREAD_MS: f64 = 1000.0;
