--- a/src/interface.rs
+++ b/src/interface.rs
@@ -98,7 +98,7 @@
     pub full_at_nines: f64,
 }
 
-/// Prices in the operators' points, for each unit.
+/// Points that the operators deduct for each unit of a resource or a failure.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
     /// An attempt that crosses zones, per first try.
@@ -113,7 +113,7 @@
     pub waste: f64,
     /// A probe, per first try.
     pub probe: f64,
-    /// A message between nodes of 256 bytes, per first try.
+    /// A message of 256 bytes between nodes, per first try.
     pub peer: f64,
 }
 
@@ -126,7 +126,7 @@
     Nominal,
     /// Approximately the size.
     Rough,
-    /// The size divided by 1 + requests per core, as of some time ago.
+    /// The size divided by 1 + requests held per core, as of some time ago.
     Live,
 }
 
@@ -227,7 +227,7 @@
     pub drain_close_ms: Option<f64>,
     /// With discovery on request: time without a call after which a node counts as informed of every change.
     pub must_ask_in_ms: f64,
-    /// Least time between the host's batches.
+    /// Least time between the host's batches of events.
     pub tick_ms: f64,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 //!     Action, BackendId, AttemptEnded, ListEntry, Event, Health, ListKind, Outcome, Request, RequestId,
 //! };
 //!
-//! // The codec parses settings from JSON and fills in defaults.
+//! // Settings can be built in code; the codec parses them from JSON and fills in defaults.
 //! let text = r#"{"classes": [{"name": "page", "semantics": "idempotent", "objectiveMs": 300, "hardLimitMs": 900}],
 //!                "rules": {"coldMs": 20000, "startCapacity": 0.2, "fallMultiple": 3, "fallMs": 2000}}"#;
 //! let (settings, _names) = daleturn::wire::settings(text)?;
--- a/src/operator_call.rs
+++ b/src/operator_call.rs
@@ -215,9 +215,9 @@
     /// # Errors
     /// Returns [`OperatorCallError::InvalidTime`] if the text is no time, or the time is below a second or above a day.
     pub fn parse_time_s(text: &str) -> Result<u32, OperatorCallError> {
-        let read = humantime::parse_duration(text).ok().map(|d| d.as_secs());
-        let read = read.and_then(|s| u32::try_from(s).ok()).filter(|s| (1..=86_400).contains(s));
-        read.ok_or_else(|| OperatorCallError::InvalidTime(text.to_owned()))
+        let seconds = humantime::parse_duration(text).ok().map(|d| d.as_secs());
+        let seconds = seconds.and_then(|s| u32::try_from(s).ok()).filter(|s| (1..=86_400).contains(s));
+        seconds.ok_or_else(|| OperatorCallError::InvalidTime(text.to_owned()))
     }
 }
 
@@ -259,7 +259,8 @@
     /// The connection failed, or the time was over.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// The answer is too long, or begins with neither `OK` nor `ERR`. Holds its first characters.
+    /// The answer is too long, which the text then says, or begins with neither `OK` nor `ERR`: the text is its
+    /// beginning.
     #[error("the answer is neither OK nor ERR: {0:?}")]
     Unreadable(String),
 }
@@ -275,7 +276,7 @@
     limit: Duration,
 ) -> Result<Result<String, String>, CallFailure> {
     let end = Instant::now() + limit;
-    // A socket timeout of zero would mean none.
+    // The standard library rejects a socket timeout of zero.
     let left = || end.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
     let mut stream = TcpStream::connect_timeout(&address, left())?;
     stream.set_write_timeout(Some(left()))?;
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -79,10 +79,13 @@
         self.attempts.iter().any(|a| a.in_flight)
     }
 
-    /// Returns the actions that cancel the attempts in flight for which `which` is true.
-    pub(crate) fn cancel_attempts(&self, which: impl Fn(&Attempt) -> bool) -> impl Iterator<Item = Action> {
+    /// Returns the actions that cancel the attempts in flight for which `condition` is true.
+    pub(crate) fn cancel_attempts(
+        &self,
+        condition: impl Fn(&Attempt) -> bool,
+    ) -> impl Iterator<Item = Action> {
         let id = self.request.id;
-        let attempts = self.attempts.iter().enumerate().filter(move |(_, a)| a.in_flight && which(a));
+        let attempts = self.attempts.iter().enumerate().filter(move |(_, a)| a.in_flight && condition(a));
         attempts.map(move |(n, _)| Action::Cancel { id, attempt: n as u32 })
     }
 
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -3,7 +3,8 @@
 
 use crate::interface::Load;
 
-/// Buckets of a failure window. The window spans all of them; the newest one is being filled.
+/// Buckets of a failure window. The window spans all of them; the newest one is being filled. The congestion paper
+/// keeps 16 complete buckets besides that one.
 const BUCKETS: usize = 16;
 
 /// Failures and tries within a sliding window of buckets.
@@ -86,6 +87,7 @@
 }
 
 impl KeyCounts {
+    /// Counters of each row.
     const SLOTS: usize = 2048;
     /// Time constant of the decay, in milliseconds: long enough for a node with few requests per second to see a hot
     /// key again.
