--- a/src/lib.rs
+++ b/src/lib.rs
@@ -58,7 +58,7 @@
 
 pub use policy::Balancer;
 
-/// Compiles and runs the example of the README as a test.
+/// Compiles and runs Rust examples in the README as tests.
 #[doc = include_str!("../README.md")]
 #[cfg(doctest)]
 pub struct Readme;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,13 @@
-//! Test harness around one balancer. It keeps the clock, the list and the open requests, and checks the operators' four
+//! Test harness around one balancer. It keeps the clock, the list and the open requests, and checks the operators'
 //! rules at every action of the balancer. It simulates no backends: each test decides how an attempt ends.
+//!
+//! The messages of its checks number the rules:
+//! 1. Each request gets one result, at most `ANSWER_SLACK_MS` after its deadline.
+//! 2. No attempt repeats one that may have run, and no refusal invites such a repeat, unless the class allows it. Two
+//!    attempts of a request are in flight at once only where the settings allow second copies.
+//! 3. A backend that drains or is gone gets no requests, and the idle connections to it are closed in time.
+//!
+//! The limits of the settings on attempts, cancelling, probes, messages and Retry-After are checked too.
 #![allow(dead_code)]
 
 use daleturn::Balancer;
@@ -434,11 +442,11 @@
         for (id, request) in &self.requests {
             for (n, attempt) in request.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none()) {
                 for at_ms in [0.0, 150.3, 1200.7].map(|later_ms| self.now_ms + later_ms) {
-                    let is_held = self
+                    let is_in_subset = self
                         .subset
                         .as_ref()
                         .is_none_or(|(_, members_up)| members_up.contains(&attempt.backend));
-                    let is_up = is_held && self.list[&attempt.backend].health == Health::Up;
+                    let is_up = is_in_subset && self.list[&attempt.backend].health == Health::Up;
                     let may_send = is_up
                         && request.result.is_none()
                         && at_ms < request.request.deadline_ms
@@ -449,7 +457,8 @@
                         may_send,
                         "{id:?}, attempt {n}, at {at_ms}: {obstacle:?}"
                     );
-                    // Both outcomes mean that the attempt was not sent; only a backend that leaves is blamed for it.
+                    // Both outcomes mean that the attempt was not sent. `NotConnected` counts as a failure of the
+                    // backend, so it must come only where the backend is not up.
                     let unsent = if is_up { Outcome::Skipped } else { Outcome::NotConnected };
                     assert!(obstacle.is_none_or(|outcome| outcome == unsent), "{obstacle:?}, up {is_up}");
                 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Property tests with random sequences of events. The harness in `tests/common` checks the operators' four rules at
-//! every action.
+//! Property tests with random sequences of events. The harness in `tests/common` checks the operators' rules at every
+//! action.
 mod common;
 
 use common::{Harness, settings, up_entry};
@@ -72,17 +72,17 @@
         let open: Vec<RequestId> = harness
             .requests
             .iter()
-            .filter(|(_, a)| a.attempts.iter().any(|t| t.outcome.is_none()))
-            .map(|(i, _)| *i)
+            .filter(|(_, request)| request.attempts.iter().any(|attempt| attempt.outcome.is_none()))
+            .map(|(id, _)| *id)
             .collect();
         let nth = |n: usize| open.get(n % open.len().max(1)).copied();
         match step {
-            Step::Request(c, k, d) => {
-                harness.send_request_within(*c, *k, *d);
+            Step::Request(class, key, limit_ms) => {
+                harness.send_request_within(*class, *key, *limit_ms);
             }
-            Step::AttemptEnd(n, o) => {
+            Step::AttemptEnd(n, outcome) => {
                 if let Some(id) = nth(*n) {
-                    harness.end_attempt(id, *o);
+                    harness.end_attempt(id, *outcome);
                 }
             }
             Step::ClientLeave(n) => {
@@ -105,7 +105,7 @@
                     .collect();
                 harness.update_list(*kind, entries);
             }
-            Step::ProbeEnd(o) => harness.end_probes(*o),
+            Step::ProbeEnd(outcome) => harness.end_probes(*outcome),
             Step::Unknown(n) => {
                 // Such events are ignored.
                 harness.feed(Event::Timer(n.wrapping_add(100)));
@@ -129,8 +129,8 @@
         }
     }
     harness.advance(3000.0);
-    for (id, a) in &harness.requests {
-        assert!(a.result.is_some(), "rule 1: {id:?} was never answered");
+    for (id, request) in &harness.requests {
+        assert!(request.result.is_some(), "rule 1: {id:?} was never answered");
     }
     harness.trace
 }
@@ -187,14 +187,14 @@
             let first = run_steps(s.clone(), seed, &steps, Some(size));
             actions.fetch_add(first.len() as u64, Ordering::Relaxed);
             assert_eq!(first, run_steps(s.clone(), seed, &steps, Some(size)));
-            // The nodes that hold a backend load it as a whole fleet of that size would.
+            // Where 29 of 4200 nodes send to a backend, each acts as a node of a fleet of 29 would.
             let part = Settings { instances: 4200, held_by: Some(29), ..s.clone() };
             let small = Settings { instances: 29, ..s };
-            // Calls to discovery are excluded: they depend on the number of all nodes.
-            let asks = |a: &Action| matches!(a, Action::Timer { token: 2, .. } | Action::Watch(_));
+            // Calls to discovery and their timer, token 2, are excluded: they depend on the number of all nodes.
+            let is_list_call = |a: &Action| matches!(a, Action::Timer { token: 2, .. } | Action::Watch(_));
             let [part, small] = [part, small].map(|s| {
                 let actions = run_steps(s, seed, &steps, Some(size)).into_iter();
-                actions.filter(|a| !asks(a)).collect::<Vec<_>>()
+                actions.filter(|a| !is_list_call(a)).collect::<Vec<_>>()
             });
             assert_eq!(part, small);
             Ok(())
