--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_fleet_at_ease_serves_the_second_attempts_of_broken_ones() {
+fn an_unstrained_fleet_serves_the_second_attempts_of_broken_ones() {
     let mut harness = safe_harness(12);
     harness.warm_up(50, 0, 20.0);
     let broken: Vec<RequestId> = (0..400)
@@ -653,7 +653,7 @@
 
 #[test]
 fn a_time_of_few_requests_does_not_shrink_the_cold_budget() {
-    // Counts the requests sent to a new backend, of 300 within three seconds, in twenty worlds.
+    // Counts the requests sent to a new backend, of 300 within three seconds, in runs with twenty seeds.
     let classes = vec![class(400.0, 1000.0, Effect::Safe)];
     let sent = |quiet_requests: u64| {
         let mut sent = 0;
@@ -750,10 +750,12 @@
 
 // ---- messages between nodes ----
 
-const FAILED: u8 = 1;
-const ANSWERED: u8 = 2;
+// Kinds of messages: the first byte of each. They are written here a second time, so that the tests don't check the
+// encoding against itself.
+const ATTEMPT_FAILED: u8 = 1;
+const ATTEMPT_ANSWERED: u8 = 2;
 const TRIAL_FAILED: u8 = 3;
-const LIVE: u8 = 4;
+const TRIAL_SUCCEEDED: u8 = 4;
 
 /// Delivers a message of another node about a backend.
 fn receive(harness: &mut Harness, kind: u8, backend: BackendId) {
@@ -780,7 +782,7 @@
     let bad = up_entry(1).backend;
     for _ in 0..8 {
         harness.advance(20.0);
-        receive(&mut harness, FAILED, bad);
+        receive(&mut harness, ATTEMPT_FAILED, bad);
     }
     assert_eq!(congested(&harness), 1, "{:?}", harness.logs);
     let sent_there = |harness: &mut Harness| {
@@ -798,7 +800,7 @@
     receive(&mut harness, TRIAL_FAILED, bad);
     harness.advance(300.0);
     assert!(harness.pending_probes.is_empty(), "the next trial is postponed");
-    receive(&mut harness, LIVE, bad);
+    receive(&mut harness, TRIAL_SUCCEEDED, bad);
     assert!(harness.logs.iter().any(|l| l.starts_with("live")), "{:?}", harness.logs);
 }
 
@@ -807,7 +809,11 @@
     let mut harness = node_of_fleet(100);
     for n in 0..200 {
         harness.advance(10.0);
-        receive(&mut harness, if n % 2 == 0 { ANSWERED } else { FAILED }, up_entry(1).backend);
+        receive(
+            &mut harness,
+            if n % 2 == 0 { ATTEMPT_ANSWERED } else { ATTEMPT_FAILED },
+            up_entry(1).backend,
+        );
     }
     assert_eq!(congested(&harness), 0, "{:?}", harness.logs);
 }
@@ -826,7 +832,7 @@
         harness.end_attempt(id, Outcome::Reset);
         let expected = Action::SendPeerMessage {
             to: None,
-            bytes: [&[FAILED][..], &at.short().to_be_bytes()].concat(),
+            bytes: [&[ATTEMPT_FAILED][..], &at.short().to_be_bytes()].concat(),
         };
         assert_eq!(harness.trace.contains(&expected), reports, "{instances} nodes: {:?}", harness.trace);
     }
@@ -838,10 +844,16 @@
     let backend = up_entry(1).backend.short().to_be_bytes();
     harness.trace.clear();
     for _ in 0..50 {
-        for bytes in [vec![], vec![FAILED], vec![200, 1, 2, 3, 4], vec![FAILED, 1, 2, 3, 4], vec![1; 256]] {
+        for bytes in [
+            vec![],
+            vec![ATTEMPT_FAILED],
+            vec![200, 1, 2, 3, 4],
+            vec![ATTEMPT_FAILED, 1, 2, 3, 4],
+            vec![1; 256],
+        ] {
             harness.feed(Event::PeerMessage { from: 7, bytes });
         }
-        harness.feed(Event::PeerMessage { from: 7, bytes: [&backend[..], &[FAILED]].concat() });
+        harness.feed(Event::PeerMessage { from: 7, bytes: [&backend[..], &[ATTEMPT_FAILED]].concat() });
     }
     assert!(harness.trace.is_empty(), "{:?}", harness.trace);
 }
@@ -1163,20 +1175,21 @@
     assert_eq!(refused, 0);
 }
 
-/// Sends requests for `ms`, answers each after `elapsed` with a load report, and returns the refused share.
-fn refused_share(harness: &mut Harness, ms: f64, busy: f64, elapsed: f64) -> f64 {
-    let (until, mut asked, mut refused) = (harness.now_ms + ms, 0.0, 0.0);
+/// Sends requests for `ms` milliseconds, answers each after `elapsed_ms` with a load report of `busy`, and returns the
+/// refused share.
+fn refused_share(harness: &mut Harness, ms: f64, busy: f64, elapsed_ms: f64) -> f64 {
+    let (until_ms, mut total, mut refused) = (harness.now_ms + ms, 0.0, 0.0);
     let mut n = 0;
-    while harness.now_ms < until {
+    while harness.now_ms < until_ms {
         n += 1;
         let id = harness.send_request(0, Some(n));
-        asked += 1.0;
+        total += 1.0;
         refused += f64::from(u8::from(harness.current_backend(id).is_none()));
-        harness.advance(elapsed);
+        harness.advance(elapsed_ms);
         harness.end_attempt_with_load(id, Outcome::Done, Load { busy: Some(busy), ..Load::default() });
         harness.advance(20.0);
     }
-    refused / asked
+    refused / total
 }
 
 #[test]
@@ -1225,7 +1238,7 @@
 }
 
 #[test]
-fn a_zone_at_ease_keeps_its_traffic_where_crossing_is_priced() {
+fn an_unstrained_zone_keeps_its_traffic_where_crossing_is_priced() {
     let crossings = |cross_zone| {
         let prices = Prices { cross_zone, ..Prices::default() };
         let mut harness =
