--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -66,8 +66,9 @@
 }
 
 /// A balancer that has served requests for some seconds, and the requests in flight.
-struct World {
+struct Workload {
     balancer: Balancer,
+    /// Time in milliseconds.
     now: f64,
     /// Requests so far.
     requests: u64,
@@ -75,17 +76,17 @@
     in_flight: std::collections::VecDeque<(RequestId, BackendId)>,
 }
 
-impl World {
-    fn new(servers: u32) -> World {
+impl Workload {
+    fn new(servers: u32) -> Workload {
         let balancer = Balancer::new(settings(), 7).unwrap_or_else(|e| panic!("{e}"));
-        let mut world = World {
+        let mut workload = Workload {
             balancer,
             now: 1000.0,
             requests: 0,
             actions: Vec::new(),
             in_flight: std::collections::VecDeque::new(),
         };
-        world.handle(Event::Start);
+        workload.handle(Event::Start);
         let entry = |n: u32| ListEntry {
             backend: BackendId(u64::from(n)),
             zone: (n % 4) as u16,
@@ -94,11 +95,11 @@
             units: 1.0,
             ready_at_ms: 0.0,
         };
-        world.handle(Event::List { kind: ListKind::Full, entries: (0..servers).map(entry).collect() });
+        workload.handle(Event::List { kind: ListKind::Full, entries: (0..servers).map(entry).collect() });
         for _ in 0..20_000 {
-            world.request();
+            workload.request();
         }
-        world
+        workload
     }
 
     fn handle(&mut self, event: Event) {
@@ -147,11 +148,11 @@
     let mut group = c.benchmark_group("request");
     group.throughput(Throughput::Elements(1));
     for servers in [24, 200, 1000] {
-        let mut world = World::new(servers);
+        let mut workload = Workload::new(servers);
         group.bench_function(BenchmarkId::from_parameter(format!("{servers} servers")), |b| {
             b.iter(|| {
-                world.request();
-                black_box(world.requests)
+                workload.request();
+                black_box(workload.requests)
             });
         });
     }
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -167,13 +167,15 @@
     output: BufReader<ChildStdout>,
     input_text: String,
     output_text: String,
+    /// Events to come, by their time in microseconds and their number.
     queue: BTreeMap<(u64, u64), Scheduled>,
     /// Number of scheduled events.
     scheduled_count: u64,
+    /// Time in milliseconds.
     now: f64,
     /// Number of attempts of each request so far, and whether it is finished.
     request_states: HashMap<(u64, u64), (u64, bool)>,
-    /// Latest start of each server that restarts.
+    /// Time of the latest start of each server that restarts.
     restarted_at_ms: HashMap<u64, f64>,
 }
 
@@ -210,7 +212,10 @@
 
     /// True if a fault for which `wanted` is true is active now.
     fn has_fault(&self, wanted: impl Fn(&Fault) -> bool) -> bool {
-        self.run.faults.iter().any(|(at, len, t)| self.now >= *at && self.now < at + len && wanted(t))
+        self.run
+            .faults
+            .iter()
+            .any(|(start, length, fault)| self.now >= *start && self.now < start + length && wanted(fault))
     }
 
     /// Returns the lines of a full list.
@@ -279,10 +284,10 @@
                 self.schedule(now + after.min(100.0), Scheduled::ProbeEnd(node, server, outcome));
             }
             "watch" if fields.get("want") == Some(&"1") => {
-                let list = if self.has_fault(|t| matches!(t, Fault::DiscoveryDown)) {
+                let list = if self.has_fault(|fault| matches!(fault, Fault::DiscoveryDown)) {
                     format!("update who={node} form=error\n")
                 } else {
-                    let drains = |s| self.has_fault(|t| matches!(t, Fault::Drains(d) if *d == s));
+                    let drains = |s| self.has_fault(|fault| matches!(fault, Fault::Drains(d) if *d == s));
                     let entries = self.backends(|s| if drains(s) { "L" } else { "U" });
                     format!("update who={node} form=snapshot elements={}\n{entries}", self.run.servers)
                 };
@@ -303,19 +308,19 @@
 
     /// Returns after how many milliseconds an attempt that is sent now ends, and with which outcome.
     fn outcome_at_server(&mut self, server: u64, timeout: f64) -> (f64, &'static str) {
-        let is = |wanted: fn(&Fault) -> Option<u64>| self.has_fault(|t| wanted(t) == Some(server));
-        let silent = is(|t| if let Fault::Silent(s) = t { Some(*s) } else { None });
-        let errs = is(|t| if let Fault::Errors(s) = t { Some(*s) } else { None });
-        let refuses = is(|t| if let Fault::Refuses(s) = t { Some(*s) } else { None });
-        let resets = is(|t| if let Fault::Resets(s) = t { Some(*s) } else { None });
-        let full = is(|t| if let Fault::Full(s) = t { Some(*s) } else { None });
-        let half_fail = self.has_fault(|t| matches!(t, Fault::EverySecondFails));
+        let is = |wanted: fn(&Fault) -> Option<u64>| self.has_fault(|fault| wanted(fault) == Some(server));
+        let silent = is(|fault| if let Fault::Silent(s) = fault { Some(*s) } else { None });
+        let errs = is(|fault| if let Fault::Errors(s) = fault { Some(*s) } else { None });
+        let refuses = is(|fault| if let Fault::Refuses(s) = fault { Some(*s) } else { None });
+        let resets = is(|fault| if let Fault::Resets(s) = fault { Some(*s) } else { None });
+        let full = is(|fault| if let Fault::Full(s) = fault { Some(*s) } else { None });
+        let half_fail = self.has_fault(|fault| matches!(fault, Fault::EverySecondFails));
         let mut slow = 1.0;
-        for (at, len, t) in &self.run.faults {
-            if let Fault::Slow(s, x) = t
+        for (start, length, fault) in &self.run.faults {
+            if let Fault::Slow(s, x) = fault
                 && *s == server
-                && self.now >= *at
-                && self.now < at + len
+                && self.now >= *start
+                && self.now < start + length
             {
                 slow = *x;
             }
@@ -341,8 +346,8 @@
         let now = self.now;
         Some(match event {
             Scheduled::Arrival(n) => {
-                let burst = self.run.faults.iter().find_map(|(at, len, t)| match t {
-                    Fault::Burst(x) if now >= *at && now < at + len => Some(*x),
+                let burst = self.run.faults.iter().find_map(|(start, length, fault)| match fault {
+                    Fault::Burst(x) if now >= *start && now < start + length => Some(*x),
                     _ => None,
                 });
                 if n + 1 < self.run.requests {
@@ -430,8 +435,8 @@
         }
         self.send_batch(&first);
         self.schedule(5.0, Scheduled::Arrival(0));
-        // Updates of the list about faults, without a request.
-        for (at, len, t) in self.run.faults.clone() {
+        // Updates of the list that discovery sends unasked when a fault begins and when it ends.
+        for (start, length, fault) in self.run.faults.clone() {
             for node in 0..self.run.nodes {
                 let update = |s: u64, health: &str, ready: f64| {
                     let zone = if s.is_multiple_of(3) { "y" } else { "x" };
@@ -441,15 +446,18 @@
                         s % 2
                     )
                 };
-                match t {
+                match fault {
                     Fault::Drains(s) => {
-                        self.schedule(at, Scheduled::ListUpdate(update(s, "L", 0.0)));
-                        self.schedule(at + len, Scheduled::ListUpdate(update(s, "U", 0.0)));
+                        self.schedule(start, Scheduled::ListUpdate(update(s, "L", 0.0)));
+                        self.schedule(start + length, Scheduled::ListUpdate(update(s, "U", 0.0)));
                     }
                     Fault::Restarts(s) => {
-                        self.schedule(at, Scheduled::ListUpdate(update(s, "D", 0.0)));
-                        self.schedule(at + len, Scheduled::ListUpdate(update(s, "U", at + len)));
-                        self.restarted_at_ms.insert(s, at + len);
+                        self.schedule(start, Scheduled::ListUpdate(update(s, "D", 0.0)));
+                        self.schedule(
+                            start + length,
+                            Scheduled::ListUpdate(update(s, "U", start + length)),
+                        );
+                        self.restarted_at_ms.insert(s, start + length);
                     }
                     _ => {}
                 }
@@ -459,7 +467,7 @@
         while let Some(((at, _), event)) = self.queue.pop_first() {
             arrived += usize::from(matches!(event, Scheduled::Arrival(_)));
             // After all requests have ended only timers remain, which set each other without end.
-            let open = self.queue.values().any(|n| !matches!(n, Scheduled::TimerExpiry(..)));
+            let open = self.queue.values().any(|e| !matches!(e, Scheduled::TimerExpiry(..)));
             if arrived == self.run.requests && !open && matches!(event, Scheduled::TimerExpiry(..)) {
                 break;
             }
