--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -49,7 +49,7 @@
     Attempts,
     /// A request was sent to a server too long after the node had learned that the server drains.
     Drain,
-    /// A cold server received more work than it can bear and fell over.
+    /// A cold server received more work than it can serve and stopped working.
     PushedOver,
     /// A request was refused without a Retry-After header.
     NoRetryAfter,
@@ -187,12 +187,15 @@
     attempts: u64,
     tries_sent: u64,
     tries_with_attempts: u64,
+    /// Attempts that crossed zones.
     crossings: u64,
     asked: u64,
     refused: u64,
     failed: u64,
+    /// Requests whose connection closed before anything arrived.
     crossed: u64,
     wasted: u64,
+    /// Requests with a key, and those of them whose key the server knew.
     keys: [u64; 2],
     release: Option<Release>,
     probes: u64,
@@ -235,9 +238,10 @@
 /// Time for which a restarted node is compared with the others, in milliseconds.
 const RETURN_WINDOW_MS: f64 = 2000.0;
 
-fn histogram(most: u64) -> Histogram<u32> {
+/// Returns an empty histogram of times in microseconds, up to `max_us`.
+fn histogram(max_us: u64) -> Histogram<u32> {
     // Cannot fail: the bounds are valid constants.
-    Histogram::new_with_bounds(1, most, 3).unwrap_or_else(|_| unreachable!("bounds"))
+    Histogram::new_with_bounds(1, max_us, 3).unwrap_or_else(|_| unreachable!("bounds"))
 }
 
 impl Checker {
@@ -391,7 +395,7 @@
         let zone = self.plan.machines.get(server)?.zone;
         let node_zone = self.plan.node_zones.get(node).copied().unwrap_or(zone);
         let rules = &self.plan.scenario.rules;
-        let (max_attempts, copies, drain_ms) =
+        let (max_attempts, copies_allowed, drain_ms) =
             (rules.attempts as usize, rules.second_copies, rules.drain_ms);
         let Some(state) = self.tries.get_mut(&id).filter(|state| state.node == node) else {
             self.record_violation(
@@ -418,7 +422,7 @@
                 ));
             }
         }
-        if !copies {
+        if !copies_allowed {
             // Only the end of the earlier attempt shows whether it had been given up: the cancellation may
             // still be on its way.
             state
@@ -489,8 +493,8 @@
         }
     }
 
-    /// Records that a node was restarted.
-    pub fn node_returned(&mut self, now: f64, node: usize) {
+    /// Records that a node was restarted, from which on it is compared with the other nodes.
+    pub fn node_return_begun(&mut self, now: f64, node: usize) {
         self.returns.push(NodeReturn {
             node,
             restarted_ms: now,
@@ -513,7 +517,7 @@
         state.answered = true;
         let (sent_at_ms, at_node) = (state.sent_at_ms, state.node);
         if !matches!(answer, Answer::Cut | Answer::Nowhere) {
-            // Earlier restarts need no look: a try takes some seconds at most.
+            // Older restarts have no unanswered tries left: a try takes a few seconds at most.
             for r in self
                 .returns
                 .iter_mut()
@@ -626,7 +630,7 @@
 
     /// Records that a node restarted: it knows nothing about the servers, except the operators' cordons if
     /// it keeps state.
-    pub fn node_restarted(&mut self, node: usize) {
+    pub fn node_lost_knowledge(&mut self, node: usize) {
         let keeps_state = self.plan.scenario.product.contains_key("state");
         let operator_cordons = &self.operator_cordons;
         self.unavailable_since
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -205,9 +205,9 @@
         unit_interval(mix_bits(self.plan.seed ^ mix_bits(n)))
     }
 
-    /// Returns a random number in [0, 1) that depends only on the seed and `of`.
-    pub fn seeded_fraction(&self, of: u64) -> f64 {
-        unit_interval(mix_bits(self.plan.seed.wrapping_add(mix_bits(of))))
+    /// Returns a random number in [0, 1) that depends only on the seed and `key`.
+    pub fn seeded_fraction(&self, key: u64) -> f64 {
+        unit_interval(mix_bits(self.plan.seed.wrapping_add(mix_bits(key))))
     }
 
     /// Returns true once the run is over and its processes are being stopped.
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Returns the current Unix time, in milliseconds.
+    /// Returns the boot time of a server that starts now: the current Unix time, in milliseconds.
     fn boot_ms() -> u64 {
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
     }
@@ -593,9 +593,10 @@
                 faults_here().filter(|f| f.kind == kind).map(|f| f.size).fold(0.0, f64::max)
             };
             let release = &world.plan.scenario.release;
-            let bad = world.releases.on_new(n)
+            let release_is_bad = world.releases.on_new(n)
                 && (0..world.hosts.len()).filter(|s| world.releases.on_new(*s)).count() >= release.bad_from;
-            let (slower, errors) = if bad { (release.slower, release.errors) } else { (1.0, 0.0) };
+            let (slower, errors) =
+                if release_is_bad { (release.slower, release.errors) } else { (1.0, 0.0) };
             host.model(|m| {
                 m.speed_factor = 1.0 / max_size(FaultKind::ServerSlow).max(1.0).max(slower);
                 m.neighbour_share = max_size(FaultKind::ServerNeighbour).clamp(0.0, 0.99);
@@ -904,8 +905,8 @@
     let (n, now) = (node.number, world.now());
     {
         let mut checker = lock(&world.checker);
-        checker.node_restarted(n);
-        checker.node_returned(now, n);
+        checker.node_lost_knowledge(n);
+        checker.node_return_begun(now, n);
     }
     let started = Instant::now();
     match node.start(world) {
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -391,7 +391,8 @@
 
     /// Starts the nodes and schedules the faults.
     fn begin(&mut self) -> Result<(), SimError> {
-        // Nodes start before the clients arrive, as in runs with real processes.
+        // Nodes start before the first client arrives, as in runs with real processes, so that all of them
+        // know the servers by then.
         for node in 0..self.nodes.len() {
             self.start(node)?;
         }
@@ -560,6 +561,7 @@
         let (ms, request_passes, _) = self.network_path(node, server);
         let links_emulated = self.plan.scenario.net.relays;
         let Some(sim_node) = &mut self.nodes[node] else { return };
+        // Servers close connections that have been idle for 15 s.
         let is_open = now - sim_node.last_answer_ms[server] < 15_000.0;
         let Some(open) = sim_node.open.get_mut(&id) else { return };
         let attempt = open.attempts.len() as u32;
@@ -829,7 +831,7 @@
     }
 
     /// Chooses a node for a client: one in its zone if any is ready, otherwise any.
-    fn pick(&mut self, zone: usize) -> Option<usize> {
+    fn choose_node(&mut self, zone: usize) -> Option<usize> {
         let ready = |n: &usize| {
             let node = self.nodes[*n].as_ref();
             node.map_or(self.now < self.front_until_ms[*n], |h| {
@@ -858,7 +860,7 @@
             self.clients.remove(&client);
             return;
         }
-        let Some(node) = self.pick(arrival.zone) else { return self.schedule_retry(client, None) };
+        let Some(node) = self.choose_node(arrival.zone) else { return self.schedule_retry(client, None) };
         let trace = mix_bits(self.plan.seed ^ mix_bits((arrival.number << 8) | (u64::from(number) + 1)));
         let faults = self.faults();
         let link = link_state(&faults, node, &|e: &Parties| e.clients.contains(&arrival.zone));
@@ -887,7 +889,7 @@
         self.handle_event(node, Event::Request(request));
     }
 
-    /// Ends a request whose time is over without consulting the decision logic.
+    /// Answers a request whose time is over, without consulting the decision logic.
     fn time_out(&mut self, node: usize, id: RequestId) {
         let open = self.nodes[node].as_ref().and_then(|h| h.open.get(&id));
         if open.is_some_and(|o| !o.answered) {
@@ -948,7 +950,7 @@
                         self.push(at, SimEvent::Datagram { from: node, to, bytes });
                     }
                 }
-                gossip::Action::Verdict { server, start, node: observer, failing: is_failing, age } => {
+                gossip::Action::Verdict { server, start, node: observer, failing, age } => {
                     let Some(n) = self.servers_by_short_id.get(&server).copied() else { continue };
                     if short_start(self.machines[n].listed.1) == start {
                         let backend = BackendId(stable_hash(&self.plan.machines[n].name));
@@ -958,7 +960,7 @@
                             Event::Shared(SharedUpdate::Verdict {
                                 backend,
                                 node: observer,
-                                failing: is_failing,
+                                failing,
                                 until_ms,
                             }),
                         );
@@ -973,18 +975,18 @@
                         Event::Shared(SharedUpdate::KeyLocation { key, backend, until_ms }),
                     );
                 }
-                gossip::Action::OperatorOrder { subject: name, cordoned: is_cordoned, .. } => {
-                    self.apply_operator_order(node, &name, is_cordoned)
+                gossip::Action::OperatorOrder { subject, cordoned, .. } => {
+                    self.apply_operator_order(node, &subject, cordoned)
                 }
             }
         }
     }
 
     /// Applies an operator's order at a node.
-    fn apply_operator_order(&mut self, node: usize, name: &str, is_cordoned: bool) {
-        if let Some(zone) = name.strip_prefix("zone:") {
+    fn apply_operator_order(&mut self, node: usize, subject: &str, cordoned: bool) {
+        if let Some(zone) = subject.strip_prefix("zone:") {
             let number = self.plan.scenario.fleet.zones.iter().position(|z| z == zone);
-            let (now, order) = (self.now, is_cordoned.then_some(ZoneOrder::Leave(None)));
+            let (now, order) = (self.now, cordoned.then_some(ZoneOrder::Leave(None)));
             if let (Some(number), Some(zones)) =
                 (number, self.nodes[node].as_mut().and_then(|h| h.zones.as_mut()))
             {
@@ -992,19 +994,19 @@
             }
             return;
         }
-        let Some(server) = self.plan.machines.iter().position(|m| m.name == name) else { return };
+        let Some(server) = self.plan.machines.iter().position(|m| m.name == subject) else { return };
         if !self.options.state.dir.is_empty() {
             // The node saves an order before it answers.
             let saved_cordons = &mut self.stores[node].cordoned;
-            let _ = if is_cordoned { saved_cordons.insert(server) } else { saved_cordons.remove(&server) };
+            let _ = if cordoned { saved_cordons.insert(server) } else { saved_cordons.remove(&server) };
         }
         let Some(sim_node) = &mut self.nodes[node] else { return };
-        if is_cordoned {
+        if cordoned {
             sim_node.cordoned.insert(server);
         } else {
             sim_node.cordoned.remove(&server);
         }
-        self.checker.operator_order(self.now, node, server, is_cordoned);
+        self.checker.operator_order(self.now, node, server, cordoned);
         let entries = self.entries(node, 0, true);
         self.handle_event(node, Event::List { kind: ListKind::Changes, entries });
     }
@@ -1012,11 +1014,11 @@
     /// Shares what the decision logic of a node observed.
     fn publish_observation(&mut self, node: usize, found: Observation) {
         match found {
-            Observation::Backend { backend, failing: is_failing } => {
+            Observation::Backend { backend, failing } => {
                 let start = self.ids.get(&backend).map_or(0, |n| short_start(self.machines[*n].listed.1));
                 self.handle_gossip(
                     node,
-                    gossip::Event::Verdict { server: backend.short(), start, failing: is_failing },
+                    gossip::Event::Verdict { server: backend.short(), start, failing },
                 );
             }
             Observation::Key { key, backend } => {
@@ -1089,15 +1091,13 @@
         let mut reports = Vec::new();
         for change in changes {
             sim_node.zone_weights.insert(change.zone, change.weight);
-            reports.extend(
-                change.report.map(|is_failing| (short(&names[usize::from(change.zone)]), is_failing)),
-            );
+            reports.extend(change.report.map(|failing| (short(&names[usize::from(change.zone)]), failing)));
         }
         let weights = (0..names.len() as u16)
             .map(|z| sim_node.zone_weights.get(&z).copied().unwrap_or(1.0))
             .collect();
-        for (server, is_failing) in reports {
-            self.handle_gossip(node, gossip::Event::Verdict { server, start: 0, failing: is_failing });
+        for (server, failing) in reports {
+            self.handle_gossip(node, gossip::Event::Verdict { server, start: 0, failing });
         }
         self.handle_event(node, Event::ZoneWeights(weights));
     }
@@ -1296,17 +1296,17 @@
     /// Applies an operator's call to a node, and shares it if it is for the whole fleet.
     fn operator_call(&mut self, node: usize, say: &str) {
         let words: Vec<&str> = say.split_whitespace().collect();
-        let (name, is_cordoned, whole_fleet) = match words[..] {
+        let (subject, cordoned, whole_fleet) = match words[..] {
             ["zone", word, zone, ..] => (format!("zone:{zone}"), word != "return", true),
             [word, "--fleet", id] => (id.to_owned(), word == "cordon", true),
             [word, id] => (id.to_owned(), word == "cordon", false),
             _ => return,
         };
-        self.apply_operator_order(node, &name, is_cordoned);
+        self.apply_operator_order(node, &subject, cordoned);
         if whole_fleet {
             self.handle_gossip(
                 node,
-                gossip::Event::OperatorOrder { subject: &name, cordoned: is_cordoned, for_s: 0 },
+                gossip::Event::OperatorOrder { subject: &subject, cordoned, for_s: 0 },
             );
         }
     }
@@ -1344,7 +1344,7 @@
         }
         for &node in &fault.on.nodes {
             if matches!(fault.kind, FaultKind::NodeKill | FaultKind::NodePowerLoss) {
-                self.checker.node_restarted(node);
+                self.checker.node_lost_knowledge(node);
                 self.start(node)?;
             }
         }
