--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -66,18 +66,19 @@
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     in_flight: RefCell<HashMap<SocketAddr, u32>>,
     turn: Cell<usize>,
-    draws: Cell<u64>,
+    /// State of the random generator.
+    random_state: Cell<u64>,
 }
 
 impl Proxy {
     /// Returns a random index below `of`.
     fn random_index(&self, of: usize) -> usize {
         // The xorshift generator is good enough for choosing a random server.
-        let mut x = self.draws.get();
+        let mut x = self.random_state.get();
         x ^= x << 13;
         x ^= x >> 7;
         x ^= x << 17;
-        self.draws.set(x);
+        self.random_state.set(x);
         (x % of.max(1) as u64) as usize
     }
 
@@ -215,7 +216,7 @@
         idle: RefCell::default(),
         in_flight: RefCell::default(),
         turn: Cell::new(config.settings.slot as usize),
-        draws: Cell::new(seed),
+        random_state: Cell::new(seed),
     });
     // Until discovery answers, the list in the configuration is used.
     proxy.apply_list(&config.known);
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`server`] models a config server, and [`checker`] checks the operators' rules and computes the
 //!   figures. Neither does I/O or reads a clock; real and simulated runs share both.
 //! - [`sim`] runs a scenario in virtual time with the real decision logic, and [`hunt`] searches for faults
-//!   that break a rule.
+//!   that break a rule or after which service does not recover.
 //! - [`capacity`] measures what each role costs at increasing sizes.
 //! - [`real`] runs a scenario with real processes on loopback, and [`report`] writes its results. [`load`]
 //!   generates load alone.
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -1,5 +1,5 @@
-//! Emulated clients: an open loop by class and tenant, with retries, behind a front end that distributes
-//! them over the nodes.
+//! Emulated clients by class and tenant, in an open loop and with retries, behind a front end that
+//! distributes them over the nodes.
 
 use super::World;
 use super::links::{Link, LinkStream, StreamEnd, lock};
@@ -164,7 +164,7 @@
     }
 
     /// Chooses a node for a client: one in the client's zone if any is ready, otherwise any.
-    fn pick(&self, world: &World, zone: usize) -> Option<usize> {
+    fn choose_node(&self, world: &World, zone: usize) -> Option<usize> {
         let ready_nodes = |same_zone: bool| {
             let fits = |n: &usize| self.is_ready(*n) && (!same_zone || world.plan.node_zones[*n] == zone);
             (0..self.ready.len()).filter(fits).collect::<Vec<usize>>()
@@ -195,7 +195,7 @@
         Some(sender)
     }
 
-    /// Opens a connection from a client directly to a server.
+    /// Opens a connection from a client directly to a server, without a node in between.
     async fn open_direct(world: &World, node: usize, server: usize) -> Option<Connection> {
         let stream = TcpStream::connect(world.host(server)?.address(node)?).await.ok()?;
         let _ = stream.set_nodelay(true);
@@ -247,7 +247,7 @@
             }
             let wait_share = if number < scenario.load.retries { scenario.load.try_share } else { 1.0 };
             let wait_ms = left_ms.min(class.deadline_ms * wait_share);
-            let retry_after = match world.clients.pick(&world, arrival.zone) {
+            let retry_after = match world.clients.choose_node(&world, arrival.zone) {
                 None => None,
                 Some(node) => {
                     let client_try = Try { world: &world, arrival: &arrival, number, node, wait_ms };
@@ -417,7 +417,7 @@
     }
 
     /// Sends the request and waits for the answer. If an idle connection is closed while the request is
-    /// sent, the request is sent again on another one.
+    /// sent, the request is sent again on a new one.
     async fn exchange(&self, id: u64, slow_ms: f64) -> (Answer, Option<f64>) {
         let (world, node, zone) = (self.world, self.node, self.arrival.zone);
         let limit = Duration::from_secs_f64((self.wait_ms + slow_ms + ANSWER_SLACK_MS) / 1000.0);
--- a/crates/lab/src/real/links.rs
+++ b/crates/lab/src/real/links.rs
@@ -65,11 +65,13 @@
         self.wake();
     }
 
+    /// Wakes all registered tasks.
     fn wake(&self) {
         let wakers = std::mem::take(&mut *lock(&self.wakers));
         wakers.into_iter().for_each(Waker::wake);
     }
 
+    /// Registers a task to be woken when the link changes or its connections are reset.
     fn register(&self, waker: &Waker) {
         let mut wakers = lock(&self.wakers);
         if !wakers.iter().any(|w| w.will_wake(waker)) {
@@ -83,7 +85,7 @@
 pub enum StreamEnd {
     /// At the party that nodes connect to: data read comes from the node.
     Party,
-    /// At a client of the node: data read comes from the node's listening side.
+    /// At a client of the node, which the lab emulates: data read comes from the node's listening side.
     Client,
 }
 
@@ -92,6 +94,7 @@
     stream: TcpStream,
     link: Arc<Link>,
     end: StreamEnd,
+    /// Value of [`Link::resets`] when the stream was opened.
     resets: u64,
 }
 
--- a/crates/lab/src/real/nodes.rs
+++ b/crates/lab/src/real/nodes.rs
@@ -131,8 +131,8 @@
             let dir = self.state_dir().to_string_lossy().into_owned();
             state.insert("dir".to_owned(), toml::Value::String(dir));
             if world.has_disk_faults() {
-                let place = self.disk_faults_dir().to_string_lossy().into_owned();
-                state.insert("rehearse".to_owned(), toml::Value::String(place));
+                let faults_dir = self.disk_faults_dir().to_string_lossy().into_owned();
+                state.insert("rehearse".to_owned(), toml::Value::String(faults_dir));
             }
         }
         std::fs::write(self.dir.join("daleturn.toml"), product.to_string())
--- a/crates/lab/src/real/releases.rs
+++ b/crates/lab/src/real/releases.rs
@@ -198,7 +198,7 @@
     /// # Errors
     /// Returns an error if the command fails.
     pub async fn send_order(&self, word: &str) -> Result<(), String> {
-        let program = self.program.as_ref().ok_or("no operators' command")?;
+        let program = self.program.as_ref().ok_or("the daleturn command was not found")?;
         let mut command = Command::new(program);
         command.args(["release", word, "--state"]).arg(&self.dir).arg(self.dir.join("plan.toml"));
         let done = command.stdin(Stdio::null()).stdout(Stdio::null()).status().await;
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -241,7 +241,7 @@
     Safe,
     /// At most once.
     Once,
-    /// Repeatedly: the servers of a zone drop repeats for a time.
+    /// Any number of times in one zone within `key_ttl_ms`, because its servers drop the repeats.
     Keyed,
 }
 
