--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -9,7 +9,7 @@
 
 /// Returns the path of a program of this build; integration tests are in a directory below it.
 fn program(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("known");
+    let own = std::env::current_exe().expect("the path of this program");
     find_program(&own, name)
         .unwrap_or_else(|| panic!("{name} is not built: cargo test builds it for the workspace"))
 }
@@ -25,8 +25,8 @@
 fn run(scenario: &Scenario, node: PathBuf, args: &[&str]) -> Outcome {
     let (_stop, options) = options(node, args);
     block_on(async { play(scenario, scenario.seed, &options, |_| {}).await })
-        .expect("threads")
-        .expect("played")
+        .expect("a runtime")
+        .expect("a complete run")
 }
 
 /// Runs a scenario file with the real node, which must keep all rules.
@@ -56,8 +56,8 @@
 fn every_scenario_file_can_be_read() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
     let mut count = 0;
-    for entry in std::fs::read_dir(dir).expect("there") {
-        let path = entry.expect("there").path();
+    for entry in std::fs::read_dir(dir).expect("the directory of scenarios") {
+        let path = entry.expect("a directory entry").path();
         let scenario = Scenario::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
         assert_eq!(Some(scenario.name.as_str()), path.file_stem().and_then(|s| s.to_str()));
         count += 1;
@@ -156,12 +156,12 @@
 fn a_node_that_never_becomes_ready_is_reported() {
     let scenario = Scenario::parse(SHORT).expect("a scenario");
     let (_stop, options) = options(PathBuf::from("/bin/false"), &[]);
-    let result = block_on(async { play(&scenario, 1, &options, |_| {}).await }).expect("threads");
+    let result = block_on(async { play(&scenario, 1, &options, |_| {}).await }).expect("a runtime");
     assert!(matches!(result, Err(PlayError::NotReady { node: 0, why: Some(_), .. })), "{result:?}");
     // A program that runs but never becomes ready.
     let (_stop, mut options) = self::options(program("examples/wrong-node"), &["never-ready"]);
     options.ready = std::time::Duration::from_millis(300);
-    let result = block_on(async { play(&scenario, 1, &options, |_| {}).await }).expect("threads");
+    let result = block_on(async { play(&scenario, 1, &options, |_| {}).await }).expect("a runtime");
     assert!(matches!(result, Err(PlayError::NotReady { node: 0, why: None, .. })), "{result:?}");
     let why = result.unwrap_err().to_string();
     assert_eq!(why, "node 0 did not get ready within 0.3 s");
@@ -173,10 +173,10 @@
     let logs = std::env::temp_dir().join(format!("daleturn-lab-chatter-{}", std::process::id()));
     let (_stop, mut options) = options(program("examples/wrong-node"), &["chatters"]);
     options.logs = Some(logs.clone());
-    let result = block_on(async { play(&scenario, 1, &options, |_| {}).await }).expect("threads");
+    let result = block_on(async { play(&scenario, 1, &options, |_| {}).await }).expect("a runtime");
     let worth = result.expect("the node became ready: its log was read").figures.worth;
-    let log_bytes = std::fs::metadata(logs.join("n0-1.log")).expect("there").len();
-    std::fs::remove_dir_all(&logs).expect("there");
+    let log_bytes = std::fs::metadata(logs.join("n0-1.log")).expect("the log file").len();
+    std::fs::remove_dir_all(&logs).expect("the log directory is removed");
     assert!(worth > 0.0);
     assert!((1_000_000..=17_000_000).contains(&log_bytes), "{log_bytes}");
 }
@@ -190,7 +190,7 @@
 fn two_runs_at_the_same_time_do_not_interfere() {
     let start_run = || std::thread::spawn(|| expect_kept("ci-calm.toml"));
     for handle in [start_run(), start_run()] {
-        handle.join().expect("kept");
+        handle.join().expect("a run that keeps all rules");
     }
 }
 
@@ -214,7 +214,7 @@
     let scenario = Scenario::parse(&SHORT.replace("seconds = 2", "seconds = 600")).expect("a scenario");
     let (stop, options) = options(program("examples/wrong-node"), &["stays"]);
     let pids = || -> usize {
-        let all = std::fs::read_dir("/proc").expect("there").flatten();
+        let all = std::fs::read_dir("/proc").expect("a list of processes").flatten();
         let is_ours = |p: std::fs::DirEntry| {
             let line = std::fs::read_to_string(p.path().join("cmdline")).unwrap_or_default();
             line.contains("wrong-node\0stays")
@@ -229,7 +229,7 @@
         };
         play(&scenario, 1, &options, view).await
     });
-    assert!(matches!(result.expect("threads"), Err(PlayError::Stopped)));
+    assert!(matches!(result.expect("a runtime"), Err(PlayError::Stopped)));
     assert!(max_processes.get() > 0, "the process was running");
     assert_eq!(pids(), 0);
 }
