--- a/crates/release/src/plan.rs
+++ b/crates/release/src/plan.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Maximum size of a plan file.
+/// Maximum size of a plan file, in bytes.
 const MAX_PLAN_BYTES: u64 = 1024 * 1024;
 
 /// A release plan.
--- a/crates/release/src/run.rs
+++ b/crates/release/src/run.rs
@@ -31,13 +31,13 @@
 const COMPARE_INTERVAL_MS: Ms = 1000;
 /// Interval between renewals of the lease.
 const LEASE_RENEWAL_MS: Ms = 3000;
-/// Age from which another release's lease has expired.
+/// Age from which another release's lease has expired and may be taken over.
 const LEASE_EXPIRY_S: u64 = 20;
 /// Time limit of a call to a node.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time limit of an upgrade call: the supervisor starts the new process and stops the old one.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Maximum number of concurrent calls to nodes.
+/// Maximum number of concurrent calls to nodes, so that the nodes are not all called at the same moment.
 const MAX_CONCURRENT_CALLS: usize = 16;
 /// Statistics older than this do not prove that a member has no requests in flight.
 const MAX_STATS_AGE_MS: Ms = 3000;
@@ -401,7 +401,8 @@
     ) -> Result<Mode, RunError> {
         let (mut requested_ms, mut compared_ms, mut renewed_ms, mut written_ms) = (0, 0, 0, 0);
         if self.rollout.state.watched.is_some() {
-            // The previous controller's baseline was not stored: counting starts again.
+            // The previous controller's baseline was not stored. Without one, the comparison uses the nodes'
+            // complete counters.
             self.baseline.clear();
         }
         loop {
@@ -673,16 +674,16 @@
 
     /// Replaces the status file.
     fn write_status(&self, now: Ms) {
-        let m = &self.rollout;
+        let rollout = &self.rollout;
         let member = |(m, planned): (&crate::rollout::Member, &Member)| {
             json!({"id": planned.id, "zone": planned.zone, "phase": m.phase, "version": m.version, "why": m.why,
                    "since_s": now.saturating_sub(m.since) / 1000, "held": m.held})
         };
-        let members: Vec<Value> = m.members.iter().zip(&self.plan.member).map(member).collect();
-        let new = m.members.iter().filter(|m| m.version == Version::New).count();
+        let members: Vec<Value> = rollout.members.iter().zip(&self.plan.member).map(member).collect();
+        let new = rollout.members.iter().filter(|m| m.version == Version::New).count();
         let spent_s = now.saturating_sub(self.started_ms) / 1000;
-        let remaining_s =
-            (new > 0 && !m.state.back).then(|| spent_s * (m.members.len() - new) as u64 / new as u64);
+        let remaining_s = (new > 0 && !rollout.state.back)
+            .then(|| spent_s * (rollout.members.len() - new) as u64 / new as u64);
         let silent = self
             .nodes
             .iter()
@@ -690,12 +691,12 @@
             .filter(|(n, _)| now.saturating_sub(n.requested_ms) > self.max_stats_age_ms());
         let (new_sample, rest) = self.traffic_since_watch();
         let status = json!({
-            "name": self.plan.name, "from": self.plan.from, "to": self.plan.to, "mode": m.state.mode,
-            "back": m.state.back, "why": m.state.why,
-            "stage": self.plan.stage.get(m.state.stage).map(|s| s.name.clone()), "on_new": new,
-            "of": m.members.len(), "spent_s": spent_s, "left_s": remaining_s, "lease": self.lease_number, "written_ms": now,
+            "name": self.plan.name, "from": self.plan.from, "to": self.plan.to, "mode": rollout.state.mode,
+            "back": rollout.state.back, "why": rollout.state.why,
+            "stage": self.plan.stage.get(rollout.state.stage).map(|s| s.name.clone()), "on_new": new,
+            "of": rollout.members.len(), "spent_s": spent_s, "left_s": remaining_s, "lease": self.lease_number, "written_ms": now,
             "silent_nodes": silent.map(|(_, at)| at.to_string()).collect::<Vec<_>>(),
-            "named": m.needs_attention(), "compared": {"new": new_sample, "rest": rest}, "members": members,
+            "named": rollout.needs_attention(), "compared": {"new": new_sample, "rest": rest}, "members": members,
         });
         let draft = self.dir.join("status.draft");
         let _ = fs::write(&draft, status.to_string())
--- a/crates/release/src/supervise.rs
+++ b/crates/release/src/supervise.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Maximum size of the supervisor's configuration file.
+/// Maximum size of the supervisor's configuration file, in bytes.
 const MAX_CONFIG_BYTES: u64 = 1024 * 1024;
 /// Interval at which the supervisor checks its node and waits for calls.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
