--- a/crates/store/src/scripted_faults.rs
+++ b/crates/store/src/scripted_faults.rs
@@ -14,9 +14,9 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Maximum size of the operation log. Operations beyond it are not logged and count as never synced.
+/// Maximum size of the operation log, in bytes. Operations beyond it are not logged and count as never synced.
 pub const MAX_LOG_BYTES: u64 = 256 << 20;
-/// Maximum size of a logged operation.
+/// Maximum size of a logged operation, in bytes.
 const MAX_OPERATION_BYTES: usize = 128 << 20;
 
 /// Faults that the disk injects.
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -153,22 +153,23 @@
 /// Returns true if a header is valid and belongs to this generation. A valid header whose format this build
 /// cannot read is an error.
 fn check_header(file: &str, bytes: &[u8], generation: u64) -> Result<bool, StoreError> {
-    let parsed = || {
-        let sum = u32::from_le_bytes(read_array(bytes, HEADER_BYTES - 4)?);
-        let format = u16::from_le_bytes(read_array(bytes, 4)?);
-        let min_reader = match u16::from_le_bytes(read_array(bytes, 6)?) {
-            0 => format,
-            min_reader => min_reader,
+    let parsed =
+        || {
+            let sum = u32::from_le_bytes(read_array(bytes, HEADER_BYTES - 4)?);
+            let format = u16::from_le_bytes(read_array(bytes, 4)?);
+            let min_reader = match u16::from_le_bytes(read_array(bytes, 6)?) {
+                0 => format,
+                min_reader => min_reader,
+            };
+            let header_generation = u64::from_le_bytes(read_array(bytes, 8)?);
+            (bytes.get(..4)? == MAGIC && crc32fast::hash(bytes.get(..HEADER_BYTES - 4)?) == sum)
+                .then_some((format, min_reader, header_generation))
         };
-        let own = u64::from_le_bytes(read_array(bytes, 8)?);
-        (bytes.get(..4)? == MAGIC && crc32fast::hash(bytes.get(..HEADER_BYTES - 4)?) == sum)
-            .then_some((format, min_reader, own))
-    };
     match parsed() {
         Some((found, min_reader, _)) if min_reader > FORMAT => {
             Err(StoreError::Newer { file: file.to_owned(), found })
         }
-        Some((.., own)) => Ok(own == generation),
+        Some((.., header_generation)) => Ok(header_generation == generation),
         None => Ok(false),
     }
 }
@@ -432,8 +433,8 @@
     let names = disk.list()?;
     let mut generations: Vec<u64> = names.iter().filter_map(|n| generation_of(n, "snap")).collect();
     generations.sort_unstable_by(|a, b| b.cmp(a));
-    let of = |n: &String| ["snap", "log", "draft"].iter().find_map(|w| generation_of(n, w));
-    let newest = names.iter().filter_map(of).max().unwrap_or(0);
+    let any_generation_of = |n: &String| ["snap", "log", "draft"].iter().find_map(|w| generation_of(n, w));
+    let newest = names.iter().filter_map(any_generation_of).max().unwrap_or(0);
     let mut damaged = Vec::new();
     for generation in generations {
         let snap = file_name(generation, "snap");
@@ -525,13 +526,13 @@
         store.put("of a later build", "x", entry(2)).unwrap();
         store.sync().unwrap();
         let disk = store.into_disk();
-        let later = |least: u16| {
+        let later = |min_reader: u16| {
             let mut disk = disk.clone();
             for file in disk.list().unwrap() {
                 let bytes = disk.read(&file, usize::MAX).unwrap();
                 let mut header = bytes[..HEADER_BYTES - 4].to_vec();
                 header[4..6].copy_from_slice(&(FORMAT + 1).to_le_bytes());
-                header[6..8].copy_from_slice(&least.to_le_bytes());
+                header[6..8].copy_from_slice(&min_reader.to_le_bytes());
                 header.extend(crc32fast::hash(&header).to_le_bytes());
                 disk.truncate(&file, 0).unwrap();
                 disk.append(&file, &[&header, &bytes[HEADER_BYTES..]].concat()).unwrap();
@@ -546,8 +547,8 @@
             Some(&entry(2)),
             "entries of unknown kinds are kept"
         );
-        for least in [0, FORMAT + 1] {
-            let refused = Store::open(later(least), SMALL).unwrap_err();
+        for min_reader in [0, FORMAT + 1] {
+            let refused = Store::open(later(min_reader), SMALL).unwrap_err();
             assert!(matches!(refused, StoreError::Newer { found, .. } if found == FORMAT + 1), "{refused}");
         }
     }
