--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 
-/// Maximum size of the platform's configuration file.
+/// Maximum size of the platform's configuration file, in bytes.
 const MAX_PLATFORM_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
 #[derive(Debug, Subcommand)]
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -183,10 +183,10 @@
         report: Option<PathBuf>,
     },
     /// Runs a scenario with random fault schedules in virtual time, and saves each schedule that breaks a
-    /// rule, minimized
+    /// rule or after which service does not recover, minimized
     #[command(
         after_help = "Example:\n  daleturn lab hunt scenarios/brianza-day.toml --for 10m --out found\n\nExit codes: 0 \
-                            nothing found, 1 a rule can be broken, 2 invalid scenario."
+                            nothing found, 1 a failure found, 2 invalid scenario."
     )]
     Hunt {
         /// The scenario to which faults are added
@@ -199,14 +199,14 @@
         /// Seed of the schedules
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Directory for the scenarios that break a rule
+        /// Directory for the scenarios that fail
         #[arg(long, value_name = "DIR", default_value = "found")]
         out: PathBuf,
     },
-    /// Sends a line to the lab's control server and waits for its OK; used by the commands of a release
+    /// Sends a line to the lab's restart service and waits for its OK; used by the commands of a release
     #[command(hide = true)]
     Poke {
-        /// Address of the control server
+        /// Address of the restart service
         address: std::net::SocketAddr,
         /// Words of the line
         words: Vec<String>,
@@ -249,7 +249,8 @@
     next: Option<PathBuf>,
 }
 
-/// Returns the path of the node's program: the given one, or the one in this command's directory.
+/// Returns the path of the node's program: the given one, or the one in this command's directory or the two
+/// above it.
 pub fn node_program(given: Option<&Path>) -> Result<PathBuf, String> {
     if let Some(path) = given {
         return if path.is_file() {
@@ -259,8 +260,9 @@
         };
     }
     let own_program = std::env::current_exe().map_err(|e| e.to_string())?;
-    find_program(&own_program, "daleturn-node")
-        .ok_or_else(|| "daleturn-node is not in this command's directory: name it with --node".to_owned())
+    find_program(&own_program, "daleturn-node").ok_or_else(|| {
+        "daleturn-node is not in this command's directory or the two above: name it with --node".to_owned()
+    })
 }
 
 /// Returns a node's program and its arguments, given its path or `baseline:NAME`.
@@ -323,12 +325,12 @@
     let shown = std::io::stderr().is_terminal();
     move |m: &RunSnapshot| {
         if shown {
-            let wrong = if m.active_faults.is_empty() {
+            let faults = if m.active_faults.is_empty() {
                 String::new()
             } else {
                 format!("  {}", m.active_faults.join("; "))
             };
-            let line = format!("{:5.1} of {seconds:.0} s  served {:.3}{wrong}", m.at_s, m.served);
+            let line = format!("{:5.1} of {seconds:.0} s  served {:.3}{faults}", m.at_s, m.served);
             eprint!("\r\x1b[K{line:.110}");
         }
     }
@@ -349,7 +351,7 @@
     })
 }
 
-/// Tests random fault schedules on all processors until the time is up, and saves those that break a rule.
+/// Tests random fault schedules on all processors until the time is up, and saves those that fail.
 fn run_hunt(file: &Path, for_s: u32, seed: u64, out: &Path) -> Result<ExitCode, Failure> {
     let base = match read_scenario(file) {
         Ok(scenario) => scenario,
@@ -371,8 +373,9 @@
             Ok(found)
         };
         let threads: Vec<_> = (0..thread_count).map(|_| scope.spawn(work)).collect();
-        let all =
-            threads.into_iter().map(|t| t.join().map_err(|_| "a day could not be played".to_owned())?);
+        let all = threads
+            .into_iter()
+            .map(|t| t.join().map_err(|_| "a thread of the search panicked".to_owned())?);
         all.collect::<Result<Vec<_>, String>>()
     });
     let found: Vec<_> = found?.into_iter().flatten().collect();
@@ -561,7 +564,7 @@
         let took = started.elapsed().as_secs_f64();
         let text = std::fs::read_to_string(&out).map_err(|e| format!("{}: {e}", out.display()))?;
         let outcome: serde_json::Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
-        // CPU microseconds of each part of a node for one second of the scenario.
+        // Wall-clock microseconds spent in each part of a node for one second of the scenario.
         let of = |n: usize| {
             outcome["spent_s"][n].as_f64().unwrap_or(0.0) * 1e6 / (nodes as f64 * scenario.seconds)
         };
@@ -593,7 +596,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Sends one line to the lab's control server and prints the answer.
+/// Sends one line to the lab's restart service and prints the answer.
 fn poke(address: std::net::SocketAddr, words: &[String]) -> Result<ExitCode, Failure> {
     use std::io::{Read, Write};
     let answer = std::net::TcpStream::connect(address).and_then(|mut s| {
