--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -47,7 +47,7 @@
     Copy,
     /// A request had more attempts than allowed.
     Attempts,
-    /// A request was sent to a server too long after the node had learned that the server drains.
+    /// A request was sent to a server too long after the node had learned that the server drains or is gone.
     Drain,
     /// A cold server received more work than it can serve and stopped working.
     PushedOver,
@@ -446,7 +446,7 @@
             broken.push((
                 Rule::Drain,
                 format!(
-                    "{id:016x} reached draining server {server} {after:.0} ms after node {node} was told"
+                    "{id:016x} reached server {server} {after:.0} ms after node {node} learned that it drains or is gone"
                 ),
             ));
         }
