--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -29,8 +29,8 @@
 /// sent.
 const RESEND_MS: Ms = 110;
 const MAX_SENDS: u32 = 7;
-/// Maximum number of datagrams with updates that a node may send for each neighbour: per second, and in a
-/// burst.
+/// Maximum number of datagrams with updates, and of responses to comparisons, that a node may send for each
+/// neighbour: per second, and in a burst.
 const UPDATE_DATAGRAMS_PER_S: f64 = 1.0;
 const UPDATE_DATAGRAMS_BURST: f64 = 24.0;
 /// Maximum number of updates queued for one neighbour; comparisons repair what is dropped.
@@ -601,10 +601,10 @@
         queue.loss_score = loss_score.saturating_sub(1);
         for (update_key, _) in candidates.into_iter().take(written) {
             match update_key {
-                // The budget allows a further datagram: the update is sent again there, to be acknowledged.
                 Some(update_key) if !spare => {
                     queue.pending.remove(&update_key);
                 }
+                // The budget allows a further datagram: the update is sent again there, to be acknowledged.
                 Some(_) => {}
                 None => {
                     queue.locations.pop_front();
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -32,7 +32,7 @@
 const DEAD_PING_INTERVAL_MS: Ms = 500;
 /// If no tick came for this long, this node itself was stalled.
 const STALL_MS: Ms = 300;
-/// Maximum of the node's lateness, and the time after which it falls by one.
+/// Maximum of the node's lateness score, and the time after which the score falls by one.
 const MAX_LATENESS: u32 = 4;
 const LATENESS_DECAY_MS: Ms = 2000;
 /// Furthest that other nodes' updates may raise a member's incarnation or heartbeat beyond the known one.
@@ -143,7 +143,8 @@
     checks: BTreeMap<NodeId, Check>,
     /// Maximum number of children of a member in the tree.
     fan_out: usize,
-    /// How late this node has recently been, up to [`MAX_LATENESS`]; it gives other members more time.
+    /// Score of this node's own delays, 0 to [`MAX_LATENESS`]. It rises when this node was stalled, suspected a
+    /// member that was alive, or was suspected itself; the higher it is, the more time other members get.
     lateness: u32,
     lateness_changed_at: Ms,
     ticked_at: Ms,
@@ -202,7 +203,7 @@
         self.version
     }
 
-    /// Returns how late this node has recently been, 0 to 4.
+    /// Returns the score of this node's own recent delays, 0 to 4.
     pub fn lateness(&self) -> u32 {
         self.lateness
     }
--- a/src/control/shared_state.rs
+++ b/src/control/shared_state.rs
@@ -93,7 +93,7 @@
     pub node: NodeId,
     /// True if the server or zone is out of use.
     pub cordoned: bool,
-    /// Duration of the order in seconds; 0 means until it is withdrawn.
+    /// Duration of the order in seconds, from when it was given; 0 means until it is withdrawn.
     pub for_s: u32,
 }
 
@@ -218,7 +218,8 @@
         verdicts.filter(|((_, node), v)| *node != own && v.value.failing && is_recent(v.created_at)).count()
     }
 
-    /// Records a key location that this node found. Returns none if it is already known, and recent.
+    /// Records a key location that this node found. Returns none if the same location is already known and less
+    /// than 1 s old.
     pub fn record_location(&mut self, now: Ms, node: NodeId, key: u32, server: u32) -> Option<KeyLocation> {
         if self
             .locations
@@ -330,23 +331,24 @@
     }
 
     fn fact() -> impl Strategy<Value = Fact> {
-        let verdict =
-            (0_u32..3, 0_u16..3, 1_u32..3, 0_u16..4, any::<bool>()).prop_map(|(s, w, i, n, failing)| {
+        let verdict = (0_u32..3, 0_u16..3, 1_u32..3, 0_u16..4, any::<bool>()).prop_map(
+            |(server, node, incarnation, number, failing)| {
                 // A node gives a number to one verdict only.
-                let start = u32::from(n) / 2;
+                let start = u32::from(number) / 2;
                 Fact::Verdict(
-                    s,
-                    w,
-                    Verdict { incarnation: i, number: n, start, failing: failing && n > 0 || n == 3 },
+                    server,
+                    node,
+                    Verdict { incarnation, number, start, failing: failing && number > 0 || number == 3 },
                 )
-            });
-        let location = (0_u32..3, 1_u32..9, 0_u16..3).prop_map(|(k, n, w)| {
-            Fact::KeyLocation(k, KeyLocation { number: n, node: w, server: n * 7 + u32::from(w) })
+            },
+        );
+        let location = (0_u32..3, 1_u32..9, 0_u16..3).prop_map(|(key, number, node)| {
+            Fact::KeyLocation(key, KeyLocation { number, node, server: number * 7 + u32::from(node) })
         });
-        let order = (0_u32..3, 1_u32..9, 0_u16..3).prop_map(|(s, n, w)| {
+        let order = (0_u32..3, 1_u32..9, 0_u16..3).prop_map(|(server, number, node)| {
             Fact::OperatorOrder(
-                format!("s-{s}"),
-                OperatorOrder { number: n, node: w, cordoned: (n + u32::from(w)) % 2 == 0, for_s: 0 },
+                format!("s-{server}"),
+                OperatorOrder { number, node, cordoned: (number + u32::from(node)) % 2 == 0, for_s: 0 },
             )
         });
         prop_oneof![verdict, location, order]
@@ -354,9 +356,9 @@
 
     fn merge(shared: &mut SharedState, fact: &Fact) {
         match fact.clone() {
-            Fact::Verdict(s, w, f) => drop(shared.merge_verdict(s, w, f, 5)),
-            Fact::KeyLocation(k, p) => drop(shared.merge_location(k, p, 5)),
-            Fact::OperatorOrder(s, w) => drop(shared.merge_order(&s, w, 5)),
+            Fact::Verdict(server, node, verdict) => drop(shared.merge_verdict(server, node, verdict, 5)),
+            Fact::KeyLocation(key, location) => drop(shared.merge_location(key, location, 5)),
+            Fact::OperatorOrder(subject, order) => drop(shared.merge_order(&subject, order, 5)),
         }
     }
 
@@ -392,7 +394,7 @@
         }
         assert_eq!(shared.counts(), [MAX_VERDICTS, MAX_KEY_LOCATIONS, MAX_ORDERS]);
         assert!(
-            shared.orders().all(|w| w.1.cordoned),
+            shared.orders().all(|(_, order)| order.cordoned),
             "orders that put something back in use are dropped first"
         );
         assert!(shared.verdict(0, 1).is_none() && shared.verdict(4999, 1).is_some());
--- a/src/control/start_times.rs
+++ b/src/control/start_times.rs
@@ -3,8 +3,8 @@
 //! The node's clock starts from the wall clock of its machine and is monotonic from then on. That wall clock
 //! may be wrong by seconds or by an hour, and the node is not told. Two facts hold anyway: no start lies in
 //! the future, and a start that was not listed when discovery last responded is not much older than that
-//! response. A start time that contradicts either fact is moved by as much as necessary. The start times in
-//! the first list are taken as reported.
+//! response. A start time that contradicts either fact is moved by as much as necessary. A start time in the
+//! first list that is not in the future is taken as reported.
 
 use crate::interface::BackendId;
 use std::collections::BTreeMap;
@@ -45,8 +45,8 @@
         self.starts.insert(backend, Start { reported_ms, local_ms });
     }
 
-    /// Records that all lines of a response have been recorded. A start that only a later response lists was
-    /// about now at the earliest.
+    /// Records that all lines of a response have been recorded. A start that is listed for the first time in a
+    /// later response was at most [`LISTED_AFTER_MS`] before `now`.
     pub fn list_received(&mut self, now: f64) {
         self.list_received_ms = Some(now);
     }
--- a/src/control/subset.rs
+++ b/src/control/subset.rs
@@ -277,10 +277,10 @@
             return ListUpdate { kind, lines: self.catalog.lines().cloned().collect(), previous: None };
         }
         self.track_all();
-        let old = std::mem::replace(&mut self.catalog, catalog);
+        let previous = std::mem::replace(&mut self.catalog, catalog);
         // The settings may have changed while the list was built.
         self.set_home_zone(home_zone);
-        self.reselect(Some(old))
+        self.reselect(Some(previous))
     }
 
     /// Returns the lines by which backends leave, except those that describe an earlier start than the known
@@ -352,7 +352,7 @@
     }
 
     /// Selects the subset from the current list and returns an update with the differences.
-    fn reselect(&mut self, old: Option<Catalog>) -> ListUpdate {
+    fn reselect(&mut self, previous: Option<Catalog>) -> ListUpdate {
         self.is_truncated = !self.fits(self.catalog.len());
         let chosen = self.catalog.select(self.size, self.slot);
         let mut lines = Vec::new();
@@ -385,6 +385,6 @@
         if !self.is_truncated {
             self.selected.clear();
         }
-        ListUpdate { kind: ListKind::Changes, lines, previous: old }
+        ListUpdate { kind: ListKind::Changes, lines, previous }
     }
 }
--- a/src/control/zones.rs
+++ b/src/control/zones.rs
@@ -23,15 +23,15 @@
 /// suffice.
 const PEER_REPORT_LOG_ODDS: f64 = 4.0;
 /// Failures, since the evidence was last zero, below which a zone is never taken for lost, whatever other
-/// nodes report: fewer may be chance. They must come from half of its servers, of at most 12, unless all of
-/// them are congested.
+/// nodes report: fewer may be chance. They must have occurred at two or more servers, and at half of the zone's
+/// servers (six suffice), unless all of its servers are congested.
 const MIN_FAILURES: u32 = 4;
 /// Weight of a zone that is out: it receives probes and attempts of requests that may be repeated.
 pub const PROBE_WEIGHT: f64 = 0.01;
 /// Lowest weight of a zone in use. The policy takes a zone with a lower weight for one that was left.
 pub const MIN_ACTIVE_WEIGHT: f64 = 0.025;
-/// Consecutive answers after which a zone begins to return; they must come from a third of its servers, of at
-/// most 12.
+/// Consecutive answers after which a zone begins to return; they must come from a third of its servers (four
+/// suffice).
 const MIN_ANSWERS: u32 = 4;
 /// Time for which a zone is left at least. It doubles, up to the maximum, each time the zone fails again soon
 /// after its return.
@@ -68,7 +68,7 @@
 /// An operator's order for a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ZoneOrder {
-    /// The zone is left until this time, or until the order is withdrawn.
+    /// The zone is left until this time in milliseconds, or until the order is withdrawn.
     Leave(Option<f64>),
 }
 
@@ -77,7 +77,7 @@
 pub enum ZoneState {
     /// In normal use.
     In,
-    /// Left; the zone may begin to return at this time.
+    /// Left; the zone may begin to return at this time in milliseconds.
     Out(f64),
     /// Returning, with this weight.
     Returning(f64),
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug)]
 struct Zone {
     state: ZoneState,
-    /// Time of the last change of state.
+    /// Time of the last change of state, in milliseconds.
     since: f64,
     reason: String,
     order: Option<ZoneOrder>,
@@ -195,7 +195,7 @@
     pub weight: f64,
     /// Reason of the last change of state.
     pub reason: String,
-    /// Time of the last change of state, by the host's clock.
+    /// Time of the last change of state, in milliseconds of the host's clock.
     pub since: f64,
     /// Number of times the zone has left or returned.
     pub direction_changes: u32,
@@ -326,8 +326,8 @@
         self.zones.values().filter(|z| z.order.is_some()).map(|z| z.servers).sum()
     }
 
-    /// Advances the time and returns the changes. `others` says whether other nodes can be heard.
-    pub fn tick(&mut self, now: f64, others: bool) -> Vec<ZoneChange> {
+    /// Advances the time and returns the changes. `hears_others` says whether other nodes can be heard.
+    pub fn tick(&mut self, now: f64, hears_others: bool) -> Vec<ZoneChange> {
         let elapsed_ms = (now - self.ticked_at).max(0.0);
         self.ticked_at = now;
         let decay = (-elapsed_ms / OUTCOME_DECAY_MS).exp();
@@ -335,13 +335,13 @@
         let total_servers: usize = self.zones.values().map(|z| z.servers).sum();
         let is_judged = |z: &&Zone| z.order.is_none() && z.servers > 0;
         // If every zone fails, leaving one does not help, whatever the cause.
-        let failing = |z: &Zone| {
+        let is_failing = |z: &Zone| {
             z.log_odds >= LOST_LOG_ODDS / 2.0 || z.all_congested() || matches!(z.state, ZoneState::Out(_))
         };
         let judged_zones = self.zones.values().filter(is_judged).count();
-        let all_fail = judged_zones > 1 && self.zones.values().filter(is_judged).all(failing);
+        let all_fail = judged_zones > 1 && self.zones.values().filter(is_judged).all(is_failing);
         let any_peer_report = self.zones.values().any(|z| z.peer_reports > 0);
-        self.is_isolated = all_fail && others && !any_peer_report;
+        self.is_isolated = all_fail && hears_others && !any_peer_report;
         let mut excluded_servers: usize = self.servers_held_out();
         excluded_servers += self
             .zones
@@ -371,8 +371,7 @@
                     let is_widespread =
                         z.failed_servers.len() >= 2 && 2 * z.failed_servers.len() >= z.servers.min(12);
                     let peer_log_odds = PEER_REPORT_LOG_ODDS * z.peer_reports.min(3) as f64;
-                    // If the failure records have tripped for all servers, a shorter run of failures
-                    // suffices.
+                    // If all servers are congested by their own failure records, fewer failures suffice.
                     let is_certain =
                         (is_widespread && z.log_odds + peer_log_odds >= LOST_LOG_ODDS) || z.all_congested();
                     let is_lost = z.failures >= MIN_FAILURES && is_certain;
