--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -143,8 +143,8 @@
     checks: BTreeMap<NodeId, Check>,
     /// Maximum number of children of a member in the tree.
     fan_out: usize,
-    /// Score of this node's own delays, 0 to [`MAX_LATENESS`]. It rises when this node was stalled, suspected a
-    /// member that was alive, or was suspected itself; the higher it is, the more time other members get.
+    /// Score of this node's own delays, 0 to [`MAX_LATENESS`]. It rises when this node was stalled, suspected
+    /// a member that was alive, or was suspected itself; the higher it is, the more time other members get.
     lateness: u32,
     lateness_changed_at: Ms,
     ticked_at: Ms,
--- a/src/control/shared_state.rs
+++ b/src/control/shared_state.rs
@@ -218,8 +218,8 @@
         verdicts.filter(|((_, node), v)| *node != own && v.value.failing && is_recent(v.created_at)).count()
     }
 
-    /// Records a key location that this node found. Returns none if the same location is already known and less
-    /// than 1 s old.
+    /// Records a key location that this node found. Returns none if the same location is already known and
+    /// less than 1 s old.
     pub fn record_location(&mut self, now: Ms, node: NodeId, key: u32, server: u32) -> Option<KeyLocation> {
         if self
             .locations
--- a/src/control/start_times.rs
+++ b/src/control/start_times.rs
@@ -45,8 +45,8 @@
         self.starts.insert(backend, Start { reported_ms, local_ms });
     }
 
-    /// Records that all lines of a response have been recorded. A start that is listed for the first time in a
-    /// later response was at most [`LISTED_AFTER_MS`] before `now`.
+    /// Records that all lines of a response have been recorded. A start that is listed for the first time in
+    /// a later response was at most [`LISTED_AFTER_MS`] before `now`.
     pub fn list_received(&mut self, now: f64) {
         self.list_received_ms = Some(now);
     }
--- a/src/control/zones.rs
+++ b/src/control/zones.rs
@@ -23,8 +23,8 @@
 /// suffice.
 const PEER_REPORT_LOG_ODDS: f64 = 4.0;
 /// Failures, since the evidence was last zero, below which a zone is never taken for lost, whatever other
-/// nodes report: fewer may be chance. They must have occurred at two or more servers, and at half of the zone's
-/// servers (six suffice), unless all of its servers are congested.
+/// nodes report: fewer may be chance. They must have occurred at two or more servers, and at half of the
+/// zone's servers (six suffice), unless all of its servers are congested.
 const MIN_FAILURES: u32 = 4;
 /// Weight of a zone that is out: it receives probes and attempts of requests that may be repeated.
 pub const PROBE_WEIGHT: f64 = 0.01;
