--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -9,6 +9,8 @@
 const TICK_MS: Ms = 20;
 const MAX_AGES: MaxAges = MaxAges { limits_ms: 7500, verdicts_ms: 3000, affinity_ms: 5000 };
 
+/// An event of the simulation: its time and sequence number, the node, and the datagram that arrives there; a
+/// tick of the node if there is no datagram.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Due(std::cmp::Reverse<(Ms, u64)>, usize, Option<(NodeId, Vec<u8>)>);
 
@@ -30,6 +32,7 @@
     /// Nodes on different sides do not reach each other.
     side: Vec<u8>,
     queue: BinaryHeap<Due>,
+    /// Sequence number of the last event; orders events of the same time.
     order: u64,
     rng: fastrand::Rng,
     sent: u64,
@@ -166,8 +169,8 @@
     (at(0.5), at(0.99), at(1.0))
 }
 
-/// Measures the ages of tenant rates, reported by twelve nodes for one tenant each, at all other nodes. A
-/// rate is the time at which it was reported.
+/// Measures the ages of tenant rates, reported by twelve nodes for one tenant each, at all other nodes. The
+/// reported rate is the current time in seconds, so its age can be told wherever it arrives.
 fn rate_ages(world: &mut World, for_ms: Ms) -> Vec<Ms> {
     let count = world.nodes.len();
     let authors: Vec<usize> = (0..12).map(|k| k * count / 12 + (k * 7) % (count / 12).max(1)).collect();
--- a/tests/list_sync.rs
+++ b/tests/list_sync.rs
@@ -515,15 +515,19 @@
 
     /// The service writes the response to one of the outstanding calls.
     fn write_response(&mut self, service: &Service, now: f64, which: usize) {
-        let current = self.replaced.is_empty() || which == 0;
-        let call =
-            if current { self.current } else { Some(self.replaced.remove(which % self.replaced.len())) };
+        let answers_current = self.replaced.is_empty() || which == 0;
+        let call = if answers_current {
+            self.current
+        } else {
+            Some(self.replaced.remove(which % self.replaced.len()))
+        };
         let Some(call) = call.filter(|call| !self.written.iter().any(|w| w.call.number() == call.number()))
         else {
             return;
         };
-        let count = self.address_changes.iter().rev().find(|(last_call, _)| *last_call < call.number());
-        let decrease = count.map_or(0, |(_, decrease)| *decrease);
+        let address_change =
+            self.address_changes.iter().rev().find(|(last_call, _)| *last_call < call.number());
+        let decrease = address_change.map_or(0, |(_, decrease)| *decrease);
         let is_included = |uid: &u64| match call.request {
             ListRequest::FullList => true,
             ListRequest::Changes { after, .. } => service.changed_in[uid] - decrease > after,
@@ -549,8 +553,8 @@
         }
         let Written { at, call, response, lines } = self.written.remove(which % self.written.len());
         self.replaced.retain(|replaced| replaced.number() != call.number());
-        let current = self.current.is_some_and(|current| current.number() == call.number());
-        let late = if current {
+        let is_current = self.current.is_some_and(|current| current.number() == call.number());
+        let late = if is_current {
             self.current = None;
             let holds = sync.answered(now, &call, response);
             let departures = LateAnswer::Departures { omissions: false };
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -183,12 +183,12 @@
     for slot in slots {
         select_for(&mut subset, &mut view, &node(slot, home(slot)));
         // Traffic does not cross zones: all of it goes to the node's own zone.
-        let own = |e: &ListEntry| home(slot).is_none_or(|zone| zone == e.zone);
-        let near: f64 = view.0.values().filter(|e| own(e)).map(|e| e.units).sum();
+        let gets_traffic = |e: &ListEntry| home(slot).is_none_or(|zone| zone == e.zone);
+        let receiving_units: f64 = view.0.values().filter(|e| gets_traffic(e)).map(|e| e.units).sum();
         for entry in view.0.values() {
             let held = held.get_mut(&entry.backend).unwrap();
             held.0 += 1;
-            held.1 += if own(entry) { 1.0 / near } else { 0.0 };
+            held.1 += if gets_traffic(entry) { 1.0 / receiving_units } else { 0.0 };
         }
     }
     (held.values().map(|h| h.0).collect(), held.values().map(|h| h.1).collect())
@@ -202,7 +202,8 @@
     (bound(f64::min, f64::INFINITY), bound(f64::max, 0.0), variance.sqrt() / mean)
 }
 
-/// A quarter of the expected nodes, backends and subset size, so a subset is the same share of the list.
+/// Uses a quarter of the nodes, backends and subset size that operators expect, so a subset is the same share
+/// of the list as theirs.
 #[test]
 fn each_backend_is_selected_by_about_as_many_nodes_as_any_other_however_nodes_are_placed_in_zones() {
     type Home = fn(u32) -> Option<u16>;
@@ -214,8 +215,8 @@
     // One backend in twenty is ten times as large as the others.
     let unequal: fn(u64) -> f64 = |n| if n.is_multiple_of(20) { 10.0 } else { 1.0 };
     let equal: fn(u64) -> f64 = |_| 1.0;
-    let plays = homes.map(|(name, home)| (name, home, equal));
-    for (name, home, units) in plays.into_iter().chain([("unequal weights", homes[0].1, unequal)]) {
+    let equal_cases = homes.map(|(name, home)| (name, home, equal));
+    for (name, home, units) in equal_cases.into_iter().chain([("unequal weights", homes[0].1, unequal)]) {
         let (held, load) = load_per_backend(1050, 11_750, 320, home, units);
         let held: Vec<f64> = held.into_iter().map(|n| n as f64).collect();
         let (min, max, deviation) = min_max_deviation(&held);
