--- a/tests/node_discovery.rs
+++ b/tests/node_discovery.rs
@@ -296,7 +296,7 @@
     assert_eq!(
         node.count_log_lines("a try beside it was answered first"),
         1,
-        "the answer must come from a parallel attempt, not from a call after the first"
+        "the answer must come from a parallel call, not from a call after the first"
     );
 }
 
@@ -327,6 +327,6 @@
     assert_eq!(
         node.count_log_lines("discovery.failed"),
         2,
-        "each failed call that the balancer started is logged"
+        "each failed call after which the balancer paces the next one is logged"
     );
 }
--- a/tests/node_fleet.rs
+++ b/tests/node_fleet.rs
@@ -265,7 +265,7 @@
                 if is_terminated.load(Ordering::SeqCst) && stop_at.is_none() {
                     stop_at = Some(Instant::now() + Duration::from_millis(400));
                 }
-                let is_over = stop_at.is_some_and(|u| Instant::now() >= u);
+                let is_over = stop_at.is_some_and(|end| Instant::now() >= end);
                 let class = if n % 2 == 0 { "page" } else { "bid" };
                 assert!(
                     client.send(&request(class, 900)),
@@ -274,11 +274,11 @@
                 let response = client.read_response().expect("a response to an accepted request");
                 assert!(matches!(response.status(), 200 | 503), "{}", response.first_line);
                 served += 1;
-                let close = response.header("connection") == Some("close");
+                let announces_close = response.header("connection") == Some("close");
                 if is_over {
-                    return (served, close);
+                    return (served, announces_close);
                 }
-                if close {
+                if announces_close {
                     client = Client::try_connect(address).expect("the node still accepts connections");
                 }
             }
@@ -289,8 +289,11 @@
     let terminated_at = Instant::now();
     is_terminated.store(true, Ordering::SeqCst);
     for client in clients {
-        let (served, close) = client.join().unwrap();
-        assert!(served > 1 && close, "{served} responses, the last one announces a close: {close}");
+        let (served, announces_close) = client.join().unwrap();
+        assert!(
+            served > 1 && announces_close,
+            "{served} responses, the last one announces a close: {announces_close}"
+        );
     }
     let status = node.wait_for_exit();
     assert!(status.success(), "{status}");
--- a/tests/node_late_lists.rs
+++ b/tests/node_late_lists.rs
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_slow_pushed_list_arrives_by_an_attempt_in_parallel_with_a_hanging_call() {
+fn a_slow_pushed_list_arrives_by_a_call_in_parallel_with_a_hanging_one() {
     let (addresses, leaving) = start_two_backends();
     let all = all_up(&addresses);
     let known = all.clone();
@@ -169,7 +169,7 @@
     let discovery_traffic = Traffic::default();
     let call_traffic = discovery_traffic.clone();
     // The first call is never answered. Each other one is answered only once the next has been made, so that every
-    // answer takes longer than one attempt may.
+    // answer takes longer than the interval between parallel calls.
     let discovery = start_backend(&discovery_traffic, move |n, _| {
         if n == 0 {
             return Action::Silent;
@@ -186,7 +186,7 @@
     assert_eq!(
         node.count_log_lines("a try beside it was answered first"),
         1,
-        "the answer must come from an attempt in parallel with the first call"
+        "the answer must come from a call in parallel with the first one"
     );
 }
 
