--- a/src/control/datagram.rs
+++ b/src/control/datagram.rs
@@ -16,7 +16,7 @@
 /// Length of the header: magic, version, kind, status, sender, incarnation, heartbeat, sequence number,
 /// checksum.
 const HEADER_BYTES: usize = 4 + 2 + 4 + 4 + 4 + 4;
-/// Maximum length of the name of a server or zone in an operator's order.
+/// Maximum length of the subject of an operator's order: a server's uid, or `zone:` and a zone's name.
 pub const MAX_NAME_BYTES: usize = 64;
 /// Ages are sent as 16-bit numbers; older ones are sent as this.
 const MAX_AGE_MS: Ms = 65_535;
--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -25,8 +25,8 @@
 const SILENT_MS: Ms = PERIOD_MS * 3 / 2;
 /// Time for which updates are collected before they are sent.
 const COLLECT_MS: Ms = 15;
-/// Time after which unacknowledged updates are sent again, and the maximum number of times that they are
-/// sent.
+/// Time after which unacknowledged updates are sent again, which grows by 30 ms each time, and the maximum
+/// number of times that they are sent.
 const RESEND_MS: Ms = 110;
 const MAX_SENDS: u32 = 7;
 /// Maximum number of datagrams with updates, and of responses to comparisons, that a node may send for each
