--- a/src/node/body.rs
+++ b/src/node/body.rs
@@ -117,12 +117,12 @@
 
 impl RequestBody {
     /// Creates a body from a complete buffer.
-    pub fn whole(body: Bytes) -> RequestBody {
+    pub fn complete(body: Bytes) -> RequestBody {
         RequestBody { first: Some(body).filter(|b| !b.is_empty()), sent: 0, upload: None, rest: None }
     }
 
     /// Creates a body from its first part and an upload with the rest.
-    pub fn long(first: Bytes, upload: Rc<Upload>) -> RequestBody {
+    pub fn streamed(first: Bytes, upload: Rc<Upload>) -> RequestBody {
         RequestBody { first: Some(first), sent: 0, upload: Some(upload), rest: None }
     }
 }
--- a/src/node/discovery_calls.rs
+++ b/src/node/discovery_calls.rs
@@ -301,7 +301,8 @@
             format!("/discovery/hosts?after={after}&wait_ms={wait_ms}")
         }
     };
-    let request = Request::get(path).header(HOST, at.to_string()).body(RequestBody::whole(Bytes::new()))?;
+    let request =
+        Request::get(path).header(HOST, at.to_string()).body(RequestBody::complete(Bytes::new()))?;
     let mut conn = match pooled.take().filter(HttpConnection::is_reusable) {
         Some(conn) => conn,
         None => HttpConnection::open(at, descriptors.take().await).await?,
--- a/src/node/server.rs
+++ b/src/node/server.rs
@@ -72,8 +72,8 @@
 const STUCK_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Interval at which a node that is quiescing or stopping closes idle connections.
 const CLOSE_IDLE_INTERVAL: Duration = Duration::from_millis(20);
-/// Minimum accept time after the stop signal. New connections arrive for up to 0.4 s after it; after this
-/// time, accepting ends when none has arrived for `ACCEPT_QUIET_TIME`.
+/// Minimum accept time after the stop signal. New connections arrive for up to 0.4 s after it; the rest is
+/// margin. After this time, accepting ends when none has arrived for `ACCEPT_QUIET_TIME`.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(700);
 const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(150);
 /// Maximum accept time after the stop signal. Requests accepted later would still be unanswered at SIGKILL.
@@ -120,17 +120,17 @@
     /// True if no request is open or being read and no data is pending. A new connection is not idle, since
     /// its first request is expected.
     fn is_idle(&self) -> bool {
-        let fresh = self.socket.read() == 0 && self.idle_since.get().elapsed() < NEW_CONNECTION_GRACE;
+        let fresh = self.socket.bytes_read() == 0 && self.idle_since.get().elapsed() < NEW_CONNECTION_GRACE;
         !fresh
             && !self.is_busy.get()
-            && self.socket.read() == self.read_at_idle.get()
+            && self.socket.bytes_read() == self.read_at_idle.get()
             && self.socket.is_quiet()
     }
 
     /// True if a partial request header was first noticed longer than `limit` ago. The first call notices
     /// it.
     fn is_stuck(&self, limit: Duration) -> bool {
-        if self.is_busy.get() || self.socket.read() == self.read_at_idle.get() {
+        if self.is_busy.get() || self.socket.bytes_read() == self.read_at_idle.get() {
             return false;
         }
         let seen = self.stuck_since.get().unwrap_or_else(Instant::now);
@@ -159,7 +159,7 @@
     /// True if a streamed transfer makes no progress.
     fn is_stalled(&self) -> bool {
         let Some((before, at)) = self.transfer_progress.get() else { return false };
-        let now = self.socket.read() + self.socket.written();
+        let now = self.socket.bytes_read() + self.socket.bytes_written();
         if now >= before + STALL_BYTES {
             self.transfer_progress.set(Some((now, Instant::now())));
             return false;
@@ -198,7 +198,7 @@
         self.0.transfer_progress.set(None);
         self.0.has_responded.set(true);
         self.0.idle_since.set(Instant::now());
-        self.0.read_at_idle.set(self.0.socket.read());
+        self.0.read_at_idle.set(self.0.socket.bytes_read());
     }
 }
 
@@ -372,7 +372,7 @@
     }
 
     /// Stops serving: from now on every response closes its connection. With `successor`, another process
-    /// of this node keeps serving, so `/up` must stay positive for the front.
+    /// of this node keeps serving, so `/up` must stay positive.
     pub fn stop(&self, successor: bool) {
         self.mode.set(if successor { Mode::HandedOver } else { Mode::Stopping(Instant::now()) });
         self.stop.notify_one();
@@ -497,7 +497,7 @@
                 }
                 () = client.close.notified() => {
                     // Check again: a request may have arrived since.
-                    if client.is_stuck(STUCK_TIMEOUT) || client.is_idle() && client.socket.read() == 0 {
+                    if client.is_stuck(STUCK_TIMEOUT) || client.is_idle() && client.socket.bytes_read() == 0 {
                         return;
                     }
                     if client.is_idle() {
--- a/src/node/socket.rs
+++ b/src/node/socket.rs
@@ -21,7 +21,7 @@
 /// at once or discarded, and the size of one read.
 const MAX_DISCARDED_BYTES: usize = 4 * 1024 * 1024;
 const READ_BYTES: usize = 16 * 1024;
-/// Maximum number of bytes kept of what a client sends behind an open request.
+/// Maximum number of bytes kept of what a client sends behind an open request: enough for a request or two.
 const MAX_READ_AHEAD_BYTES: usize = 32 * 1024;
 
 /// Closes something idle. Returns true if a descriptor was freed at once; false if none was, or if one will
@@ -162,7 +162,7 @@
     }
 
     /// Returns the number of bytes read.
-    pub fn read(&self) -> u64 {
+    pub fn bytes_read(&self) -> u64 {
         self.0.read.get()
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Returns the number of bytes written.
-    pub fn written(&self) -> u64 {
+    pub fn bytes_written(&self) -> u64 {
         self.0.written.get()
     }
 
@@ -198,9 +198,9 @@
         }
     }
 
-    /// Reads data behind an open request, so that the end of the stream behind it is noticed. Data is kept
-    /// up to the limit of `MAX_READ_AHEAD_BYTES` bytes. The rest is dropped, after which the connection's
-    /// data cannot be parsed any more.
+    /// Reads data behind an open request, so that the end of the stream behind it is noticed. Up to
+    /// `MAX_READ_AHEAD_BYTES` bytes are kept. The rest is dropped, after which the connection's data cannot
+    /// be parsed any more.
     pub fn read_ahead(&self) {
         let mut ahead = self.0.ahead.borrow_mut();
         for _ in 0..MAX_DISCARDED_BYTES / READ_BYTES {
--- a/src/node/upstream.rs
+++ b/src/node/upstream.rs
@@ -53,7 +53,7 @@
 /// late: on an idle connection it is noticed, on one that is reused at once it would be taken for the
 /// response to the next request.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
-/// Timeout of a probe.
+/// Time after which a probe, including its connect, counts as timed out.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A client's request, to be forwarded unchanged.
@@ -404,14 +404,14 @@
             Ok(conn) => conn,
             Err(outcome) => return (outcome.into(), None),
         };
-        let written = conn.socket.written();
+        let written = conn.socket.bytes_written();
         let remaining = until.saturating_duration_since(Instant::now());
         let request = spec.forwarded.to_http(spec.address, remaining);
         // The backend cannot have processed the request before its last byte, if streamed, or before its
         // first byte otherwise.
         let never_ran = |conn: &HttpConnection| match &spec.forwarded.upload {
             Some(upload) => upload.finished_at().is_none(),
-            None => conn.socket.written() == written,
+            None => conn.socket.bytes_written() == written,
         };
         let mut timeout = pin!(spec.response_timeout(started_at));
         let exchange = async {
@@ -468,9 +468,9 @@
                 started(BackendResponse { body, content_type }, took);
                 let outcome = conn.forward_body(rest, pieces).await;
                 drop(slot);
-                let whole = outcome == Outcome::Done;
+                let is_complete = outcome == Outcome::Done;
                 let load = load_of(&head);
-                (AttemptResult { took: Some(took), load, ..outcome.into() }, whole.then_some(conn))
+                (AttemptResult { took: Some(took), load, ..outcome.into() }, is_complete.then_some(conn))
             }
         }
     }
@@ -557,7 +557,7 @@
     /// Reads until the body is complete or known to be long. A body of unknown length counts as long after
     /// `until`.
     async fn read_start(&mut self, body: &mut Incoming, until: Instant) -> Result<ResponseStart, BoxError> {
-        let announced = body.size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64;
+        let is_announced_long = body.size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64;
         let is_length_known = body.size_hint().exact().is_some();
         let mut first = BytesMut::new();
         loop {
@@ -571,7 +571,9 @@
             };
             match chunk {
                 None => return Ok(ResponseStart::Complete(first.freeze())),
-                Some(chunk) if announced => return Ok(ResponseStart::Streamed { first: chunk, rest: () }),
+                Some(chunk) if is_announced_long => {
+                    return Ok(ResponseStart::Streamed { first: chunk, rest: () });
+                }
                 Some(chunk) => first.extend_from_slice(&chunk),
             }
             if first.len() > MAX_BUFFERED_BODY_BYTES {
@@ -606,8 +608,8 @@
     /// Builds the HTTP request, with the remaining time in its headers.
     fn to_http(&self, address: SocketAddr, remaining: Duration) -> Request<RequestBody> {
         let mut request = Request::new(match &self.upload {
-            None => RequestBody::whole(self.body.clone()),
-            Some(upload) => RequestBody::long(self.body.clone(), upload.clone()),
+            None => RequestBody::complete(self.body.clone()),
+            Some(upload) => RequestBody::streamed(self.body.clone(), upload.clone()),
         });
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
