--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -297,7 +297,7 @@
         apply_content(&self.driver, ListKind::Changes, ListContent::Entries(departures)).await;
     }
 
-    /// Asks for the list again, because backends are excluded on the word of a response that is otherwise
+    /// Asks for the full list, because backends were excluded on the basis of a response that is otherwise
     /// outdated.
     fn confirm_departures(&mut self) {
         self.list_sync.request_full_list(self.driver.clock.now_ms());
@@ -348,8 +348,9 @@
 /// Calls that have failed since the last response.
 #[derive(Default)]
 struct Failures {
+    /// Number of failed calls.
     calls: u64,
-    /// Parallel calls among them.
+    /// Number of parallel calls made alongside them.
     tries: u64,
     logged_at: Option<f64>,
 }
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -588,7 +588,7 @@
         !self.core.borrow().listed.is_empty()
     }
 
-    /// True if a call to discovery has completed, successfully or not.
+    /// True once a response of discovery has been applied or, in on-request mode, a call has failed.
     pub fn has_discovery_responded(&self) -> bool {
         self.discovery_responded.get()
     }
@@ -1133,10 +1133,10 @@
 
     /// Applies a list update to the part of the list that this node uses.
     fn apply_list_update(&mut self, now: f64, update: ListUpdate, upstream: &Upstream) -> Event {
-        let ListUpdate { kind, lines, previous: old } = update;
-        if let Some(old) = old {
+        let ListUpdate { kind, lines, previous } = update;
+        if let Some(previous) = previous {
             // Dropping a long list takes time, so it happens on a blocking thread.
-            drop(tokio::task::spawn_blocking(move || drop(old)));
+            drop(tokio::task::spawn_blocking(move || drop(previous)));
         }
         self.update_listed(kind, &lines);
         self.update_nodes_per_backend();
--- a/src/node/durable.rs
+++ b/src/node/durable.rs
@@ -69,8 +69,9 @@
         Cordon { since_ms: wall_ms(), is_release, reason: reason.to_owned() }
     }
 
-    /// Returns the cordon after a release controller's call, given the existing one, if any. An operator's
-    /// cordon stays an operator's.
+    /// Returns the cordon after a release controller's call. `before` is the cordon in effect; `None` if
+    /// there is none, also because an order at another node or process has revoked it meanwhile. An
+    /// operator's cordon stays an operator's.
     pub fn for_release(before: Option<&Cordon>) -> Cordon {
         before.cloned().unwrap_or_else(|| Cordon::now(true, ""))
     }
@@ -301,10 +302,11 @@
                 // The other process of this node is the writer; what it has written can be read.
                 if !is_state_sent {
                     is_state_sent = true;
-                    let looked =
+                    let inspected =
                         Store::inspect(&mut RealDisk::open_read_only(Path::new(&state.dir)), limits);
-                    let restored =
-                        looked.map(|(entries, ..)| restore(&entries, wall_ms(), false)).unwrap_or_default();
+                    let restored = inspected
+                        .map(|(entries, ..)| restore(&entries, wall_ms(), false))
+                        .unwrap_or_default();
                     let _ = first.try_send(restored);
                     log_event!(INFO, "state", "state.held");
                 }
@@ -338,6 +340,7 @@
 pub struct Durable {
     jobs: RefCell<Option<SyncSender<Job>>>,
     status: std::sync::Arc<std::sync::Mutex<StoreStatus>>,
+    /// Version of the last list passed to the thread, and the iteration in which that was.
     last_stored: Cell<Option<(Option<u64>, u64)>>,
     thread: RefCell<Option<std::thread::JoinHandle<()>>>,
 }
@@ -368,7 +371,7 @@
         (Rc::new(durable), restored.unwrap_or_default())
     }
 
-    /// Returns the state of the thread.
+    /// Returns the status of the storage thread.
     pub fn status(&self) -> StoreStatus {
         *self.status.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
@@ -447,7 +450,8 @@
         let _ = self.enqueue(Job::Cordons(uids));
     }
 
-    /// Stores the learned state, and the list if its version has changed. Never waits.
+    /// Stores the learned state, and the list if its version has changed since the last call. `iteration`
+    /// counts the intervals of the periodic writer. Never waits.
     pub fn store_learned(
         &self,
         version: Option<u64>,
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -171,9 +171,9 @@
         let _ = stream.set_nodelay(true);
         let line = tokio::time::timeout(CALL_TIMEOUT, read_line(&mut stream)).await;
         let line = line.unwrap_or(Err(OperatorCallError::TimedOut(CALL_TIMEOUT.as_secs())));
-        let call = line.as_deref().map_err(ToString::to_string);
-        let answer = call.and_then(|l| OperatorCall::parse(l).map_err(|e| e.to_string()));
-        let result = match answer {
+        let line = line.as_deref().map_err(ToString::to_string);
+        let call = line.and_then(|l| OperatorCall::parse(l).map_err(|e| e.to_string()));
+        let result = match call {
             Ok(call) => self.execute(&call).await,
             Err(reason) => Err(reason),
         };
