--- a/src/node/framing.rs
+++ b/src/node/framing.rs
@@ -53,9 +53,9 @@
             if let Position::Body(left) | Position::Chunk(left) = &mut self.at {
                 let n = usize::try_from(*left).unwrap_or(usize::MAX).min(bytes.len());
                 *left -= n as u64;
-                let over = *left == 0;
+                let is_consumed = *left == 0;
                 bytes = &bytes[n..];
-                if over {
+                if is_consumed {
                     self.at = if matches!(self.at, Position::Body(_)) {
                         Position::Head
                     } else {
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -96,18 +96,18 @@
         let running = Arc::new(running);
         let held = running.clone();
         let read = tokio::task::spawn_blocking(move || Reload::read(&held)).await;
-        let turned_down = match read {
-            Ok(Ok(read)) => return self.take(read),
+        let reason = match read {
+            Ok(Ok(read)) => return self.apply(read),
             Ok(Err(e)) => e.to_string(),
             Err(e) => e.to_string(),
         };
-        log_event!(ERROR, "config", reason = turned_down.as_str(), "config.refused");
+        log_event!(ERROR, "config", reason = reason.as_str(), "config.refused");
         // The reading thread has ended, so this is the only reference.
         Arc::unwrap_or_clone(running)
     }
 
     /// Applies new settings everywhere. Returns the configuration in effect.
-    fn take(&self, read: Reload) -> Value {
+    fn apply(&self, read: Reload) -> Value {
         let Reload { file, discovery, settings, names, digest, options } = read;
         let active = self.current_settings.replace(settings, names, digest);
         self.log.apply_options(&options.log);
@@ -139,18 +139,18 @@
     driver: Rc<Driver>,
     current_settings: Rc<CurrentSettings>,
 ) {
-    let mut out = driver.cordoned_backends();
+    let mut last_cordoned = driver.cordoned_backends();
     let mut had_lock = durable.status().incarnation.is_some();
     for iteration in 0_u64.. {
         tokio::time::sleep(STORE_INTERVAL.mul_f64(1.0 + 0.5 * fastrand::f64())).await;
         let has_lock = durable.status().incarnation.is_some();
-        let now = driver.cordoned_backends();
+        let cordoned = driver.cordoned_backends();
         // An operator may have called another process of this node, or this process has just locked the
         // directory.
-        if now != out || has_lock != had_lock {
-            durable.store_cordons(now.clone());
+        if cordoned != last_cordoned || has_lock != had_lock {
+            durable.store_cordons(cordoned.clone());
         }
-        (out, had_lock) = (now, has_lock);
+        (last_cordoned, had_lock) = (cordoned, has_lock);
         if iteration % INTERVALS_PER_MEMORY_WRITE == 0 {
             let active = current_settings.get();
             let learned = memory_to_json(&driver.memory(), &active.names);
@@ -349,7 +349,7 @@
     }
     tokio::select! {
         () = handover.wait_until_ready() => {}
-        // No client has connected yet.
+        // This process does not listen yet, so no client can have connected.
         _ = terminate.recv() => return Ok(()),
     }
     let listener = listener.listen(BACKLOG).map_err(|e| format!("listen: {}: {e}", config.listen))?;
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -69,7 +69,7 @@
     }
 
     /// Returns the number of nodes in the tier, including this one.
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
@@ -108,7 +108,7 @@
         (self.sent.get(), self.received.get())
     }
 
-    /// Passes received datagrams to `heard` until the address is released.
+    /// Passes received datagrams to `on_datagram` until the address is released.
     pub async fn listen(&self, on_datagram: impl Fn(u32, Vec<u8>)) {
         while let Some((from, bytes)) = self.receive().await {
             self.received.set(self.received.get() + 1);
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -66,7 +66,8 @@
     driver: Rc<Driver>,
     current_settings: Rc<CurrentSettings>,
     started: Instant,
-    is_sending: Cell<bool>,
+    /// True while this process has bound the peer address; released, it belongs to the other process.
+    is_bound: Cell<bool>,
     verdicts_ms: Cell<u32>,
     affinity_ms: Cell<u32>,
     zoning: RefCell<Weak<Zoning>>,
@@ -88,7 +89,7 @@
 }
 
 impl Sharing {
-    /// Creates the shared state of this node, silent at first. Returns `None` if this node has no number
+    /// Creates the shared state of this node. It sends nothing until the node serves clients. Returns `None` if this node has no number
     /// among the configured peers or may not send them messages.
     pub fn new(
         share: &Share,
@@ -99,7 +100,7 @@
     ) -> Option<Rc<Sharing>> {
         let settings = current_settings.get().settings.clone();
         let own = NodeId::try_from(settings.slot).ok()?;
-        let count = u16::try_from(peers.nodes()).ok()?;
+        let count = u16::try_from(peers.node_count()).ok()?;
         if own >= count || !settings.peer_messages {
             log_event!(ERROR, "share", own, count, allowed = settings.peer_messages, "share.unusable");
             return None;
@@ -123,14 +124,14 @@
             driver: driver.clone(),
             current_settings,
             started: Instant::now(),
-            is_sending: Cell::new(true),
+            is_bound: Cell::new(true),
             verdicts_ms: Cell::new(share.verdicts_ms),
             affinity_ms: Cell::new(share.affinity_ms),
             zoning: RefCell::new(Weak::new()),
         });
-        let own = Rc::downgrade(&sharing);
+        let weak = Rc::downgrade(&sharing);
         driver.set_observation_sink(move |found, start| {
-            if let Some(sharing) = own.upgrade() {
+            if let Some(sharing) = weak.upgrade() {
                 sharing.report(found, start);
             }
         });
@@ -160,7 +161,7 @@
         for n in 0_u64.. {
             ticks.tick().await;
             let is_serving = handover.is_serving() && !handover.has_successor();
-            if is_serving != self.is_sending.get() {
+            if is_serving != self.is_bound.get() {
                 if is_serving {
                     if let Err(e) = self.peers.bind() {
                         log_event!(ERROR, "share", reason = e.to_string().as_str(), "share.no_address");
@@ -170,7 +171,7 @@
                 } else {
                     self.peers.release();
                 }
-                self.is_sending.set(is_serving);
+                self.is_bound.set(is_serving);
             }
             if is_serving {
                 self.handle_event(Event::Tick);
@@ -200,8 +201,8 @@
     /// Shares an observation of the balancer.
     fn report(&self, found: Observation, start: u32) {
         match found {
-            Observation::Backend { backend, failing: is_failing } => {
-                self.handle_event(Event::Verdict { server: backend.short(), start, failing: is_failing })
+            Observation::Backend { backend, failing } => {
+                self.handle_event(Event::Verdict { server: backend.short(), start, failing })
             }
             Observation::Key { key, backend } => {
                 self.handle_event(Event::KeyLocation { key, server: backend.short() })
@@ -218,12 +219,11 @@
         for action in actions {
             match action {
                 Action::Send(to, bytes) => self.peers.send(Some(u32::from(to)), &bytes),
-                Action::Verdict { server, start, node: node_id, failing: is_failing, age } => {
+                Action::Verdict { server, start, node, failing, age } => {
                     self.usage.borrow_mut().verdicts.record(age);
                     let until_ms = clock + f64::from(self.verdicts_ms.get()) - age as f64;
                     if let Some(backend) = self.driver.find_listed(server, Some(start)) {
-                        let update =
-                            SharedUpdate::Verdict { backend, node: node_id, failing: is_failing, until_ms };
+                        let update = SharedUpdate::Verdict { backend, node, failing, until_ms };
                         self.driver.handle(Input::Shared(update));
                     }
                 }
@@ -238,24 +238,24 @@
                         }));
                     }
                 }
-                Action::OperatorOrder { subject: name, cordoned: out, for_s, age } => {
-                    self.apply_order(&name, out, for_s, age)
+                Action::OperatorOrder { subject, cordoned, for_s, age } => {
+                    self.apply_order(&subject, cordoned, for_s, age)
                 }
             }
         }
     }
 
     /// Applies an order on a zone or a backend that another node has shared.
-    fn apply_order(&self, name: &str, out: bool, for_s: u32, age: Ms) {
-        let Some(zone) = name.strip_prefix(ZONE_PREFIX) else {
-            return self.driver.apply_shared_cordon(name, out);
+    fn apply_order(&self, subject: &str, cordoned: bool, for_s: u32, age: Ms) {
+        let Some(zone) = subject.strip_prefix(ZONE_PREFIX) else {
+            return self.driver.apply_shared_cordon(subject, cordoned);
         };
         let all = Duration::from_secs(for_s.into());
         let left = all.saturating_sub(Duration::from_millis(age));
         if let Some(zoning) =
-            self.zoning.borrow().upgrade().filter(|_| !out || for_s == 0 || !left.is_zero())
+            self.zoning.borrow().upgrade().filter(|_| !cordoned || for_s == 0 || !left.is_zero())
         {
-            zoning.apply_shared_order(zone, out, (out && for_s > 0).then_some(left));
+            zoning.apply_shared_order(zone, cordoned, (cordoned && for_s > 0).then_some(left));
         }
     }
 
@@ -277,8 +277,8 @@
     }
 
     /// Reports a zone as lost, or no longer lost.
-    pub fn report_zone(&self, zone: &str, is_failing: bool) {
-        self.handle_event(Event::Verdict { server: short_hash(zone), start: 0, failing: is_failing });
+    pub fn report_zone(&self, zone: &str, failing: bool) {
+        self.handle_event(Event::Verdict { server: short_hash(zone), start: 0, failing });
     }
 
     /// Reports this node's tenant demand to the fleet, and passes each tenant's share of the fleet's total
@@ -317,11 +317,11 @@
     ///
     /// # Errors
     /// Returns the reason if the name does not fit into a datagram.
-    pub fn share_order(&self, name: &str, out: bool, for_s: u32) -> Result<(), String> {
-        if name.len() > MAX_NAME_BYTES {
+    pub fn share_order(&self, subject: &str, cordoned: bool, for_s: u32) -> Result<(), String> {
+        if subject.len() > MAX_NAME_BYTES {
             return Err(format!("a name for the fleet has at most {MAX_NAME_BYTES} bytes"));
         }
-        self.handle_event(Event::OperatorOrder { subject: name, cordoned: out, for_s });
+        self.handle_event(Event::OperatorOrder { subject, cordoned, for_s });
         Ok(())
     }
 
