--- a/src/bin/daleturn-sim.rs
+++ b/src/bin/daleturn-sim.rs
@@ -34,7 +34,7 @@
     }
 
     /// Handles one line of a batch. `entry` reads the next line, for the entries of a list.
-    fn line(
+    fn handle_line(
         &mut self,
         now: f64,
         text: &str,
@@ -87,16 +87,16 @@
     let mut simulation = Simulation::default();
     let mut now = 0.0;
     let mut line = String::new();
-    let mut number = 0_u64;
+    let mut line_number = 0_u64;
     loop {
         line.clear();
         if input.read_line(&mut line)? == 0 {
             return Ok(());
         }
-        number += 1;
+        line_number += 1;
         let text = line.trim_end_matches(['\n', '\r']);
-        let mut taken = 0_u64;
-        let done = if text.is_empty() {
+        let mut entries_read = 0_u64;
+        let result = if text.is_empty() {
             Ok(())
         } else if let Some(rest) = text.strip_prefix("round") {
             let value = rest.trim().strip_prefix("wallMs=").and_then(|v| v.parse::<f64>().ok());
@@ -114,17 +114,17 @@
             simulation.reply.clear();
             Ok(())
         } else {
-            simulation.line(now, text, &mut || {
+            simulation.handle_line(now, text, &mut || {
                 let mut next = String::new();
-                taken += 1;
+                entries_read += 1;
                 if input.read_line(&mut next)? == 0 {
                     return Err("field elements: the list is cut short".into());
                 }
                 Ok(next)
             })
         };
-        number += taken;
-        done.map_err(|e| format!("line {number}: {e}"))?;
+        line_number += entries_read;
+        result.map_err(|e| format!("line {line_number}: {e}"))?;
     }
 }
 
--- a/src/node/zoning.rs
+++ b/src/node/zoning.rs
@@ -102,7 +102,7 @@
         let own = active.settings.zone.and_then(region);
         let states = self.states.borrow();
         let health_weight = |zone: u16| states.get(&zone).map_or(1.0, |p| p.0);
-        let count = u16::try_from(active.names.zones()).unwrap_or(u16::MAX);
+        let count = u16::try_from(active.names.zone_count()).unwrap_or(u16::MAX);
         let is_home = |zone: u16| own.is_none() || region(zone) == own;
         // If no zone of the home region is left, all regions count equally.
         let any_home = (0..count).any(|zone| is_home(zone) && health_weight(zone) >= 0.5);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -167,7 +167,7 @@
     }
 
     /// Returns the number of named zones.
-    pub fn zones(&self) -> usize {
+    pub fn zone_count(&self) -> usize {
         self.zones.len()
     }
 
