--- a/src/options.rs
+++ b/src/options.rs
@@ -239,66 +239,66 @@
 
 /// All keys of the file.
 pub const KEYS: [Key; 16] = [
-    Key { key: "log.format", unit: "text | json", about: "how a line of the log is written" },
+    Key { key: "log.format", unit: "text | json", about: "format of a log line" },
     Key {
         key: "log.level",
         unit: "off | error | warn | info | debug | trace",
-        about: "from which level on events are written",
+        about: "minimum level of the events that are written",
     },
     Key {
         key: "log.targets",
         unit: "table of levels",
-        about: "the same for single targets, such as discovery = \"debug\"",
+        about: "minimum levels of single targets, such as discovery = \"debug\"",
     },
     Key {
         key: "log.lines_per_second",
         unit: "lines, 1 to 1000",
-        about: "most lines in a second, but for target request",
+        about: "maximum number of log lines per second, without those of target request",
     },
     Key {
         key: "log.requests_per_second",
         unit: "lines, 0 to 1000",
-        about: "most lines in a second of target request, which are samples",
+        about: "maximum number of lines per second of target request, which are samples",
     },
     Key {
         key: "stats.window_s",
         unit: "seconds, 1 to 3600",
-        about: "times that stats shows are of the last one or two such windows",
+        about: "window length; the latencies that stats shows cover the last one or two windows",
     },
     Key {
         key: "state.dir",
-        unit: "directory; taken at a start only",
-        about: "keeps operators' words, the list and what was learned over crash and power loss",
+        unit: "directory; read at startup only",
+        about: "keeps operators' orders, the backend list and the learned state across crashes and power loss",
     },
     Key {
         key: "state.rehearse",
-        unit: "directory; taken at a start only; for drills, not for service",
-        about: "the disk takes orders to fail from there, and tells there what was done to it",
+        unit: "directory; read at startup only; for exercises, not for service",
+        about: "scripted disk faults are read from there, and the disk operations are recorded there",
     },
     Key {
         key: "share.on",
-        unit: "true | false; taken at a start only",
-        about: "nodes share limits of tenants, verdicts on servers, places of keys and operators' words",
+        unit: "true | false; read at startup only",
+        about: "nodes share tenant limits, verdicts on servers, key locations and operators' orders",
     },
     Key {
         key: "share.limits_ms",
         unit: "milliseconds, 4000 to 60000",
-        about: "older totals of tenants are not used: each node then grants its part alone",
+        about: "maximum age of the tenant totals; without them each node grants its own part of a quota",
     },
     Key {
         key: "share.verdicts_ms",
         unit: "milliseconds, 500 to 60000",
-        about: "older verdicts on servers are not used",
+        about: "maximum age of verdicts on servers",
     },
     Key {
         key: "topology.on",
-        unit: "true | false; taken at a start only",
-        about: "zones are judged as a whole: left when they are lost, returned to along a ramp",
+        unit: "true | false; read at startup only",
+        about: "checks the health of whole zones: a lost zone is left, and returned to along a ramp",
     },
     Key {
         key: "topology.other_region_percent",
         unit: "percent, 1 to 100",
-        about: "weight of other regions' zones beside the own one's",
+        about: "weight of zones in other regions relative to the own region",
     },
     Key {
         key: "topology.regions",
@@ -307,13 +307,13 @@
     },
     Key {
         key: "list.subset",
-        unit: "backends, 0 to 100000; 0 for all; taken at a start only",
-        about: "of a longer list a node works with so many: its part, as its number has it",
+        unit: "backends, 0 to 100000; 0 for all; read at startup only",
+        about: "number of backends that a node uses of a longer list; the node number determines which",
     },
     Key {
         key: "share.affinity_ms",
         unit: "milliseconds, 500 to 60000",
-        about: "older places of keys are not used",
+        about: "maximum age of key locations",
     },
 ];
 
