--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -73,7 +73,8 @@
             }
             let pause = list.start_due_call();
             tokio::select! {
-                // A response that has arrived was written before an address change that is known now.
+                // A response that has arrived was written before an address change that is known now, so it
+                // is handled first.
                 biased;
                 Some(event) = progress.recv() => list.handle(event).await,
                 (new, how) = address_changed(&mut address) => list.change_address(new, how),
@@ -186,7 +187,8 @@
     async fn handle_response(&mut self, call: &ListCall, parsed: ParsedList) {
         let now = self.driver.clock.now_ms();
         self.record_response(now, call, &parsed);
-        // In on-request mode a response without changes counts too: the call did not fail.
+        // In on-request mode a response without changes is applied too, which tells the balancer that the
+        // call did not fail.
         if self.list_sync.answered(now, call, list_response(&parsed)) {
             self.apply(call, parsed).await;
         } else {
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -416,7 +416,7 @@
     }
 
     /// Submits a request that arrived at `from`. The balancer has to finish it within `wait` less `margin`;
-    /// after `wait` the returned future fails it regardless of the balancer.
+    /// after `wait` the returned [`PendingResponse`] fails it regardless of the balancer.
     pub fn submit(
         self: &Rc<Self>,
         mut request: Request,
@@ -871,11 +871,11 @@
                     peers.send(to, &bytes);
                 }
             }
-            Action::ShareObservation(found) => {
-                let (Observation::Backend { backend, .. } | Observation::Key { backend, .. }) = found;
+            Action::ShareObservation(observation) => {
+                let (Observation::Backend { backend, .. } | Observation::Key { backend, .. }) = observation;
                 let start = core.listed.get(&backend).map_or(0, |t| start_id(&t.entry));
                 if let Some(sink) = &*self.observation_sink.borrow() {
-                    sink(found, start);
+                    sink(observation, start);
                 }
             }
             // The receiver is gone while the node is stopping.
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -181,8 +181,8 @@
     /// Logs the number of dropped lines, if it has changed and not too often.
     pub fn log_dropped(&self) {
         let dropped = self.dropped();
-        let soon = self.reported_at.get().is_some_and(|at| at.elapsed() < DROP_REPORT_INTERVAL);
-        if dropped == self.reported.get() || soon {
+        let is_too_soon = self.reported_at.get().is_some_and(|at| at.elapsed() < DROP_REPORT_INTERVAL);
+        if dropped == self.reported.get() || is_too_soon {
             return;
         }
         self.reported.set(dropped);
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -19,6 +19,7 @@
     listen: SocketAddr,
     released: Notify,
     nodes: Vec<SocketAddr>,
+    /// Address that reaches every node of the tier, if there is one.
     all: Option<SocketAddr>,
     own_number: Cell<u32>,
     sent: Cell<u64>,
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -89,8 +89,8 @@
 }
 
 impl Sharing {
-    /// Creates the shared state of this node. It sends nothing until the node serves clients. Returns `None` if this node has no number
-    /// among the configured peers or may not send them messages.
+    /// Creates the shared state of this node. It sends nothing until the node serves clients. Returns
+    /// `None` if this node has no number among the configured peers or may not send them messages.
     pub fn new(
         share: &Share,
         peers: Rc<Peers>,
@@ -130,9 +130,9 @@
             zoning: RefCell::new(Weak::new()),
         });
         let weak = Rc::downgrade(&sharing);
-        driver.set_observation_sink(move |found, start| {
+        driver.set_observation_sink(move |observation, start| {
             if let Some(sharing) = weak.upgrade() {
-                sharing.report(found, start);
+                sharing.report(observation, start);
             }
         });
         Some(sharing)
@@ -199,8 +199,8 @@
     }
 
     /// Shares an observation of the balancer.
-    fn report(&self, found: Observation, start: u32) {
-        match found {
+    fn report(&self, observation: Observation, start: u32) {
+        match observation {
             Observation::Backend { backend, failing } => {
                 self.handle_event(Event::Verdict { server: backend.short(), start, failing })
             }
--- a/src/options.rs
+++ b/src/options.rs
@@ -293,7 +293,7 @@
     Key {
         key: "topology.on",
         unit: "true | false; read at startup only",
-        about: "checks the health of whole zones: a lost zone is left, and returned to along a ramp",
+        about: "checks the health of whole zones: stops sending to a lost zone and returns to it gradually",
     },
     Key {
         key: "topology.other_region_percent",
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -218,7 +218,8 @@
 }
 
 impl Reload {
-    /// Reads the file again and checks it against the running one.
+    /// Reads the file again and checks it against the running one. Either all of it can be applied or an
+    /// error is returned.
     ///
     /// # Errors
     /// Returns an error if the file cannot be read, lacks a key of the running one, or has an invalid
