--- a/crates/cli/src/capacity.rs
+++ b/crates/cli/src/capacity.rs
@@ -3,8 +3,10 @@
 
 use crate::lab::node_program;
 use crate::page::{Failure, print, table};
-use daleturn_lab::capacity::out::{HEADS, RESULT, report, rows, writable, write};
-use daleturn_lab::capacity::{Measure, PARTS, Wish, measure, node::AXES};
+use daleturn_lab::capacity::report::{
+    RESULT_FILE, TABLE_HEADINGS, build_report, check_writable, table_rows, write_report,
+};
+use daleturn_lab::capacity::{MEASUREMENTS, MeasureOptions, Selection, measure, node::AXES};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -48,7 +50,7 @@
         eprintln!("daleturn: {why}");
         Ok(ExitCode::from(2))
     };
-    let known: Vec<&str> = PARTS.iter().flat_map(|p| p.roles).copied().collect();
+    let known: Vec<&str> = MEASUREMENTS.iter().flat_map(|p| p.roles).copied().collect();
     if let Some(role) = args.roles.iter().find(|r| !known.contains(&r.as_str())) {
         return usage_error(format!("--role {role}: no such role; there are {}", known.join(", ")));
     }
@@ -66,18 +68,22 @@
         Ok(baseline) => baseline,
         Err(e) => return usage_error(format!("--baseline: {e}")),
     };
-    if let Err(e) = writable(&args.out) {
+    if let Err(e) = check_writable(&args.out) {
         return usage_error(format!("--out {}: {e}", args.out.display()));
     }
     let repetitions = args.repetitions.unwrap_or(if args.quick { 1 } else { 3 });
-    let settings =
-        Measure { quick: args.quick, seed: args.seed, repetitions: repetitions as usize, node: program };
+    let options = MeasureOptions {
+        quick: args.quick,
+        seed: args.seed,
+        repetitions: repetitions as usize,
+        node_program: program,
+    };
     let on_roles = |roles: &[&str]| eprintln!("daleturn: measuring {}", roles.join(", "));
-    let wish = Wish { roles: args.roles.clone(), axes: args.axes.clone(), before: baseline };
-    let series = measure(&settings, &wish, on_roles).map_err(|e| e.to_string())?;
-    let report = report(&settings, series);
-    write(&args.out, &report).map_err(|e| format!("--out {}: {e}", args.out.display()))?;
-    print(&table(&HEADS, rows(&report)))?;
-    print(&format!("written: {}\n", args.out.join(RESULT).display()))?;
+    let selection = Selection { roles: args.roles.clone(), axes: args.axes.clone(), baseline };
+    let series = measure(&options, &selection, on_roles).map_err(|e| e.to_string())?;
+    let report = build_report(&options, series);
+    write_report(&args.out, &report).map_err(|e| format!("--out {}: {e}", args.out.display()))?;
+    print(&table(&TABLE_HEADINGS, table_rows(&report)))?;
+    print(&format!("written: {}\n", args.out.join(RESULT_FILE).display()))?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/lab/src/capacity/discovery.rs
+++ b/crates/lab/src/capacity/discovery.rs
@@ -8,7 +8,7 @@
 //! goal is waited for 20 s at most: one that is not reached is no point, and `..._not_reached` counts
 //! it. Sizes that need more descriptors than the process may open are left out.
 
-use super::{Measure, MeasureError, Point, Series};
+use super::{MeasureError, MeasureOptions, Point, Series};
 use bytes::Bytes;
 use daleturn::control::list_sync::{ListCall, ListRequest, ListResponse, ListSync, NextStep};
 use daleturn::interface::Discovery;
@@ -201,7 +201,7 @@
                 });
             })
             .map_err(io("a thread for discovery"))?;
-        let task = task.recv().map_err(|_| MeasureError::Late("discovery's thread ended".into()))?;
+        let task = task.recv().map_err(|_| MeasureError::Unexpected("discovery's thread ended".into()))?;
         Ok(Service { address, thread: Some(thread), task, content, served })
     }
 
@@ -211,7 +211,7 @@
         let text = std::fs::read_to_string(&what)
             .map_err(|cause| MeasureError::Io { what: what.clone(), cause })?;
         let spent = text.split(' ').next().and_then(|n| n.parse::<f64>().ok());
-        Ok(spent.ok_or_else(|| MeasureError::Late(format!("{what}: {text}")))? / 1e6)
+        Ok(spent.ok_or_else(|| MeasureError::Unexpected(format!("{what}: {text}")))? / 1e6)
     }
 }
 
@@ -640,7 +640,7 @@
 /// # Errors
 ///
 /// Sockets or threads cannot be had.
-pub fn measure(m: &Measure) -> Result<Vec<Series>, MeasureError> {
+pub fn measure(m: &MeasureOptions) -> Result<Vec<Series>, MeasureError> {
     let mut found = Found::default();
     let (watches, backends): (&[usize], &[usize]) = if m.quick {
         (&[10, 30, 100, 300], &[100, 300, 1000, 3000])
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -8,7 +8,7 @@
 //! time and memory are the machine's. Times are virtual and end at 60 s: a goal that is not
 //! reached by then is no point of the series, and `..._not_reached` counts it.
 
-use super::{Measure, MeasureError, Point, Series};
+use super::{MeasureError, MeasureOptions, Point, Series};
 use daleturn::control::gossip::{Action, Event, Gossip, MaxAges};
 use daleturn::control::membership::{Ms, NodeId};
 use daleturn::control::shared_state::MAX_TENANTS;
@@ -285,7 +285,7 @@
     let text = std::fs::read_to_string("/proc/self/statm")
         .map_err(|cause| MeasureError::Io { what: what.into(), cause })?;
     let pages = text.split(' ').nth(1).and_then(|n| n.parse::<f64>().ok());
-    Ok(pages.ok_or_else(|| MeasureError::Late(format!("{what}: {text}")))?
+    Ok(pages.ok_or_else(|| MeasureError::Unexpected(format!("{what}: {text}")))?
         * rustix::param::page_size() as f64)
 }
 
@@ -305,7 +305,7 @@
     away_ms: Ms,
 }
 
-fn spans(m: &Measure) -> Vec<Span> {
+fn spans(m: &MeasureOptions) -> Vec<Span> {
     let span = |size, repetitions, rest_ms, lost, away_ms| {
         let (cut, restarts) = (size <= 1500, lost && size <= 1500);
         Span { size, repetitions, rest_ms, cut, lost, restarts, away_ms }
@@ -333,7 +333,7 @@
 /// # Errors
 ///
 /// The process's own memory cannot be read.
-pub fn measure(m: &Measure) -> Result<Vec<Series>, MeasureError> {
+pub fn measure(m: &MeasureOptions) -> Result<Vec<Series>, MeasureError> {
     measure_sizes(m, 0..=usize::MAX)
 }
 
@@ -343,7 +343,10 @@
 /// # Errors
 ///
 /// As for [`measure`].
-pub fn measure_sizes(m: &Measure, sizes: RangeInclusive<usize>) -> Result<Vec<Series>, MeasureError> {
+pub fn measure_sizes(
+    m: &MeasureOptions,
+    sizes: RangeInclusive<usize>,
+) -> Result<Vec<Series>, MeasureError> {
     let mut found = Found::default();
     let (before, clock) = (resident()?, clock_ns());
     for span in spans(m).into_iter().filter(|s| sizes.contains(&s.size)) {
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,12 +1,13 @@
-//! What each role costs at size: series of one cost over several sizes, from which slopes are drawn.
+//! Measures what each role of the fleet costs at increasing sizes, as series of one cost over one size axis.
 //!
-//! Each part measures one role and hands back [`Series`]; it writes no file and prints nothing. A part is
-//! bounded in time, processes and memory, and ends what it has started on every way out.
+//! Each [`Measurement`] measures one or two roles and returns [`Series`]; it writes no files and prints
+//! nothing. Its running time, number of processes and memory are bounded, and it stops whatever it started,
+//! also when it fails.
 
 pub mod fit;
 pub mod node;
-pub mod out;
 pub mod page;
+pub mod report;
 
 pub mod discovery;
 pub mod members;
@@ -15,120 +16,126 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// How one run is to be measured.
+/// Options of a measurement run.
 #[derive(Clone, Debug)]
-pub struct Measure {
-    /// Few and small sizes, for shapes alone: under a minute for all roles together, debug build.
+pub struct MeasureOptions {
+    /// Measures few, small sizes, which show only the form of the results. All roles together take less than
+    /// a minute in a debug build.
     pub quick: bool,
-    /// Draws of everything that is drawn; the same seed measures the same thing.
+    /// Seed of all random draws; the same seed gives the same workload.
     pub seed: u64,
-    /// How often each size is measured.
+    /// Number of measurements of each size.
     pub repetitions: usize,
-    /// The node's program.
-    pub node: PathBuf,
+    /// Path of the node's program.
+    pub node_program: PathBuf,
 }
 
-/// One cost over the sizes of one axis.
+/// One cost of one role over the sizes of one axis.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Series {
-    /// Whose cost it is: `node`, `member`, `hub`, `discovery`, ...
+    /// Role that bears the cost: `node`, `member`, `hub`, `discovery`, ...
     pub role: String,
-    /// What is measured, as a name that stays: `ready`, `list_first`, `request_dead`, ...
+    /// Name of the cost: `ready`, `list_first`, `request_dead`, ... Record files and the capacity page refer to
+    /// it.
     pub cost: String,
     /// Unit of the values: `ms`, `us`, `bytes`, `MB`, `cores`, `count`, ...
     pub unit: String,
-    /// What the size counts: `backends`, `tenants`, `members`, `changes_per_s`, ...
+    /// Quantity that the sizes count: `backends`, `tenants`, `members`, `changes_per_s`, ...
     pub axis: String,
-    /// The points, by size.
+    /// One point for each size.
     pub points: Vec<Point>,
 }
 
-/// One size of a series.
+/// The measured values at one size of a series.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size, in units of the axis.
+    /// Size, in units of the axis.
     pub size: f64,
-    /// A value for each repetition.
+    /// One value for each repetition.
     pub values: Vec<f64>,
 }
 
-/// Why a measurement ended without a result.
+/// Reason why a measurement ended without a result.
 #[derive(Debug, Error)]
 pub enum MeasureError {
-    /// Something of the system failed; the text says what was tried.
+    /// An operation of the operating system failed.
     #[error("{what}: {cause}")]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         what: String,
-        /// Why it failed.
+        /// The error that it returned.
         cause: std::io::Error,
     },
-    /// A party did not do what the measurement waits for.
+    /// The measured process, or another part of the setup, did not behave as expected within its time limit;
+    /// the text describes the deviation.
     #[error("{0}")]
-    Late(String),
+    Unexpected(String),
 }
 
-/// What measures some roles.
-pub struct Part {
-    /// The roles whose series it hands back.
+/// A measurement of one or more roles.
+pub struct Measurement {
+    /// Roles whose series `measure` returns.
     pub roles: &'static [&'static str],
-    /// Measures them.
-    pub measure: fn(&Measure, &Wish) -> Result<Vec<Series>, MeasureError>,
+    /// Function that runs the measurement.
+    pub measure: fn(&MeasureOptions, &Selection) -> Result<Vec<Series>, MeasureError>,
 }
 
-/// What of all is wanted.
+/// Selection of the roles and axes to measure.
 #[derive(Clone, Debug, Default)]
-pub struct Wish {
-    /// Roles; all where none is named.
+pub struct Selection {
+    /// Roles to measure; all if empty.
     pub roles: Vec<String>,
-    /// Axes of the node; all where none is named.
+    /// Axes of the node to measure; all if empty.
     pub axes: Vec<String>,
-    /// The program of another node, which is measured by turns with the node as role `node-before`.
-    pub before: Option<PathBuf>,
+    /// Program of another node, measured alternately with the node as role `node-before`.
+    pub baseline: Option<PathBuf>,
 }
 
-/// All parts, in the order in which they are measured.
-pub const PARTS: &[Part] = &[
-    Part {
+/// All measurements, in the order in which they run.
+pub const MEASUREMENTS: &[Measurement] = &[
+    Measurement {
         roles: &["node"],
-        measure: |m, wish| node::measure_beside(m, wish.before.as_deref(), &wish.axes),
+        measure: |options, selection| {
+            node::measure_with_baseline(options, selection.baseline.as_deref(), &selection.axes)
+        },
     },
-    Part { roles: &["member", "hub"], measure: |m, _| members::measure(m) },
-    Part { roles: &["discovery"], measure: |m, _| discovery::measure(m) },
+    Measurement { roles: &["member", "hub"], measure: |options, _| members::measure(options) },
+    Measurement { roles: &["discovery"], measure: |options, _| discovery::measure(options) },
 ];
 
-/// The size ahead on an axis: what the fleet is planned to be, for one node where the axis is of a node.
-pub fn ahead(axis: &str) -> Option<f64> {
+/// Returns the planned size of the fleet on an axis, or `None` if no size is planned for it. The request rate
+/// is that of one node.
+pub fn planned_size(axis: &str) -> Option<f64> {
     Some(match axis {
         "backends" => 47_000.0,
         "tenants" => 110_000.0,
         "classes" => 22_000.0,
         "members" | "nodes" => 4_200.0,
         "zones" => 12.0,
-        // 770,000 over 4,200 nodes.
+        // 770,000 requests per second over 4,200 nodes.
         "requests_per_s" => 183.0,
-        // 7,800 changes of configuration and 5,800 restarts a day, each of which leaves and comes back.
+        // 7,800 configuration changes and 5,800 restarts a day; a restart removes the entry and adds it again.
         "changes_per_s" => 0.225,
         _ => return None,
     })
 }
 
-/// Measures what is wanted; series of other roles that a part measures in passing are left out. `told` is
-/// told which part is measured.
+/// Runs the measurements of the selected roles and returns the series of those roles only. Calls `on_start`
+/// with the roles of each measurement before it runs.
 ///
 /// # Errors
-/// The first part's that fails.
+/// Returns the error of the first measurement that fails.
 pub fn measure(
-    m: &Measure,
-    wish: &Wish,
-    mut told: impl FnMut(&'static [&'static str]),
+    options: &MeasureOptions,
+    selection: &Selection,
+    mut on_start: impl FnMut(&'static [&'static str]),
 ) -> Result<Vec<Series>, MeasureError> {
-    let named = |role: &str| wish.roles.is_empty() || wish.roles.iter().any(|r| r == role);
+    let is_selected = |role: &str| selection.roles.is_empty() || selection.roles.iter().any(|r| r == role);
     let mut all = Vec::new();
-    for part in PARTS.iter().filter(|p| p.roles.iter().any(|r| named(r))) {
-        told(part.roles);
-        let series = (part.measure)(m, wish)?;
-        all.extend(series.into_iter().filter(|s| named(s.role.trim_end_matches("-before"))));
+    for measurement in MEASUREMENTS.iter().filter(|m| m.roles.iter().any(|r| is_selected(r))) {
+        on_start(measurement.roles);
+        let series = (measurement.measure)(options, selection)?;
+        all.extend(series.into_iter().filter(|s| is_selected(s.role.trim_end_matches("-before"))));
     }
     Ok(all)
 }
--- a/crates/lab/src/capacity/node.rs
+++ b/crates/lab/src/capacity/node.rs
@@ -5,11 +5,11 @@
 //! process runs under a shell that ends it, and removes its files, when this program ends in whatever
 //! way.
 
-mod hollow;
+mod environment;
 mod process;
 
-use super::{Measure, MeasureError, Point, Series};
-use hollow::{Answering, Client, Gaps, Hollow, Servers, dead_port};
+use super::{MeasureError, MeasureOptions, Point, Series};
+use environment::{Client, FakeDiscovery, FakeServers, LatencyProbe, ServerReply, closed_port};
 use process::Process;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
 }
 
 impl Extent {
-    fn of(m: &Measure) -> Extent {
+    fn of(m: &MeasureOptions) -> Extent {
         if m.quick {
             return Extent {
                 backends: vec![20, 60, 200, 600, 1000],
@@ -90,8 +90,8 @@
 ///
 /// # Errors
 /// The node does not do what is waited for, or the system fails.
-pub fn measure(m: &Measure) -> Result<Vec<Series>, MeasureError> {
-    measure_beside(m, None, &[])
+pub fn measure(m: &MeasureOptions) -> Result<Vec<Series>, MeasureError> {
+    measure_with_baseline(m, None, &[])
 }
 
 /// The axes that can be measured.
@@ -101,15 +101,15 @@
 ///
 /// # Errors
 /// As above, of either.
-pub fn measure_beside(
-    m: &Measure,
+pub fn measure_with_baseline(
+    m: &MeasureOptions,
     before: Option<&Path>,
     named: &[String],
 ) -> Result<Vec<Series>, MeasureError> {
     let extent = Extent::of(m);
     let end = Instant::now() + LONGEST;
     let mut book = Book::default();
-    let mut sides = vec![("node", m.node.as_path())];
+    let mut sides = vec![("node", m.node_program.as_path())];
     sides.extend(before.map(|path| ("node-before", path)));
     let axes: [(&[usize], Axis); 6] = [
         (&extent.backends, backends),
@@ -129,7 +129,7 @@
                 sides.reverse();
                 for (role, program) in &sides {
                     if Instant::now() > end {
-                        return Err(MeasureError::Late(format!(
+                        return Err(MeasureError::Unexpected(format!(
                             "the node's part took over {} s",
                             LONGEST.as_secs()
                         )));
@@ -243,7 +243,7 @@
     let mut quiet = 0;
     while quiet < 2 {
         if Instant::now() > end {
-            return Err(MeasureError::Late("the node does not come to rest".to_owned()));
+            return Err(MeasureError::Unexpected("the node does not come to rest".to_owned()));
         }
         quiet = if at_rest(node, LOOK)? < part { quiet + 1 } else { 0 };
     }
@@ -279,8 +279,8 @@
 /// From its start with a list of dead backends: time, memory, rest, and a request that finds none.
 fn dead_backends(run: &mut Run, size: usize) -> Result<(), MeasureError> {
     const AXIS: &str = "backends";
-    let dead = dead_port()?;
-    let discovery = Hollow::start(&run.list(size, ZONES, &[dead.address]).whole(0))?;
+    let dead = closed_port()?;
+    let discovery = FakeDiscovery::start(&run.list(size, ZONES, &[dead.address]).whole(0))?;
     let (node, ready_ms) = run.start(discovery.address, |_| {}, false)?;
     run.note(AXIS, size, "ready", "ms", ready_ms);
     run.note(AXIS, size, "ready_cpu", "ms", node.cpu_ns()? as f64 / 1e6);
@@ -299,10 +299,10 @@
 /// From a list of one: whole lists, changes, and requests to live servers.
 fn live_backends(run: &mut Run, size: usize) -> Result<(), MeasureError> {
     const AXIS: &str = "backends";
-    let servers = Servers::start(LIVE)?;
+    let servers = FakeServers::start(LIVE)?;
     let list = run.list(size, ZONES, &servers.addresses);
     let one = run.list(1, ZONES, &servers.addresses).whole(0);
-    let discovery = Hollow::start(&one)?;
+    let discovery = FakeDiscovery::start(&one)?;
     let (node, _) = run.start(discovery.address, |_| {}, false)?;
     let rest_of_one = at_rest(&node, run.extent.rest / 4)?;
     let whole = |body: &str| discovery.tell_whole(body, PATIENCE);
@@ -312,7 +312,7 @@
     run.note(AXIS, size, "list_first", "ms", first);
     whole(&one)?;
     settle(&node, AT_REST)?;
-    let gaps = Gaps::watch(node.listen)?;
+    let gaps = LatencyProbe::watch(node.listen)?;
     whole(&all)?;
     settle(&node, BUT_FOR_WORDS)?;
     run.note(AXIS, size, "gap_list_first", "ms", gaps.longest_ms());
@@ -322,7 +322,7 @@
     let (mut same, mut gap) = (Vec::new(), Vec::new());
     for _ in 0..lists {
         same.push(cpu_of(&node, rest, || whole(&all))?);
-        let gaps = Gaps::watch(node.listen)?;
+        let gaps = LatencyProbe::watch(node.listen)?;
         whole(&all)?;
         settle(&node, BUT_FOR_WORDS)?;
         gap.push(gaps.longest_ms());
@@ -353,7 +353,7 @@
     run.note(AXIS, size, "request_keyed", "us", value);
     let value = request_cpu(run, &node, rest, &|_| String::new(), true)?;
     run.note(AXIS, size, "request_unkeyed", "us", value);
-    servers.answer(Answering::Full);
+    servers.answer(ServerReply::Full);
     let before = servers.asked();
     let value = request_cpu(run, &node, rest, &keyed, false)?;
     let asked = (servers.asked() - before) as f64;
@@ -400,7 +400,9 @@
     // Of a kind that is to be served one in 100 may be refused; of the others none can be served.
     let wrong = if serves { served * 100 < done * 99 } else { served > 0 };
     if other || wrong {
-        return Err(MeasureError::Late(format!("of {done} requests these were the answers: {statuses:?}")));
+        return Err(MeasureError::Unexpected(format!(
+            "of {done} requests these were the answers: {statuses:?}"
+        )));
     }
     Ok(ms * 1000.0 / done.max(1) as f64)
 }
@@ -437,8 +439,8 @@
     list: &dyn Fn(f64) -> Vec<Value>,
     last: &str,
 ) -> Result<(), MeasureError> {
-    let servers = Servers::start(LIVE)?;
-    let discovery = Hollow::start(&run.list(LIVE, 1, &servers.addresses).whole(0))?;
+    let servers = FakeServers::start(LIVE)?;
+    let discovery = FakeDiscovery::start(&run.list(LIVE, 1, &servers.addresses).whole(0))?;
     let (mut node, ready_ms) =
         run.start(discovery.address, |config| config["settings"][key] = list(1e5).into(), false)?;
     run.note(axis, size, "ready", "ms", ready_ms);
@@ -456,7 +458,7 @@
     if expected > if again { LONG_RELOAD_MS } else { LONGEST_RELOAD_MS } {
         return Ok(());
     }
-    let gaps = Gaps::watch(node.listen)?;
+    let gaps = LatencyProbe::watch(node.listen)?;
     let begun = Instant::now();
     node.reconfigure(|config| config["settings"][key] = list(2e5).into(), PATIENCE)?;
     run.note(axis, size, "reload", "ms", begun.elapsed().as_secs_f64() * 1000.0);
@@ -468,10 +470,10 @@
 /// Zones are judged as a whole here, which costs most.
 fn zones(run: &mut Run, size: usize) -> Result<(), MeasureError> {
     const AXIS: &str = "zones";
-    let servers = Servers::start(LIVE)?;
+    let servers = FakeServers::start(LIVE)?;
     let list = run.list(run.extent.few[0], size, &servers.addresses);
     let all = list.whole(0);
-    let discovery = Hollow::start(&all)?;
+    let discovery = FakeDiscovery::start(&all)?;
     let areas: Vec<String> = (0..size).map(|n| format!("zone-{n}")).collect();
     let (node, _) =
         run.start(discovery.address, |config| config["settings"]["areas"] = json!(areas), true)?;
@@ -486,9 +488,9 @@
 }
 
 fn change_rates(run: &mut Run, rate: usize) -> Result<(), MeasureError> {
-    let dead = dead_port()?;
+    let dead = closed_port()?;
     let list = run.list(run.extent.few[1], ZONES, &[dead.address]);
-    let discovery = Hollow::start(&list.whole(0))?;
+    let discovery = FakeDiscovery::start(&list.whole(0))?;
     let (node, _) = run.start(discovery.address, |_| {}, false)?;
     sleep(run.extent.rest / 4);
     let mut draw = fastrand_of(run.seed);
@@ -510,8 +512,8 @@
 }
 
 fn request_rates(run: &mut Run, rate: usize) -> Result<(), MeasureError> {
-    let servers = Servers::start(LIVE)?;
-    let discovery = Hollow::start(&run.list(run.extent.few[2], ZONES, &servers.addresses).whole(0))?;
+    let servers = FakeServers::start(LIVE)?;
+    let discovery = FakeDiscovery::start(&run.list(run.extent.few[2], ZONES, &servers.addresses).whole(0))?;
     let (node, _) = run.start(discovery.address, |_| {}, false)?;
     sleep(run.extent.rest / 4);
     let mut client = Client::open(node.listen)?;
--- a/crates/lab/src/capacity/node/hollow.rs
+++ b/crates/lab/src/capacity/node/environment.rs
@@ -43,7 +43,7 @@
         converse: impl Fn(tokio::net::TcpStream) -> F + Send + 'static,
     ) -> Result<SocketAddr, MeasureError> {
         let Some(runtime) = &self.0 else {
-            return Err(MeasureError::Late("threads have ended".to_owned()));
+            return Err(MeasureError::Unexpected("threads have ended".to_owned()));
         };
         let listener = runtime.block_on(tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)));
         let listener = listener.map_err(failed("a loopback port"))?;
@@ -111,16 +111,16 @@
 }
 
 /// A discovery of one node.
-pub struct Hollow {
+pub struct FakeDiscovery {
     /// Where it answers.
     pub address: SocketAddr,
     state: Arc<State>,
     _threads: Threads,
 }
 
-impl Hollow {
+impl FakeDiscovery {
     /// One that knows these targets, in its form and joined by commas.
-    pub fn start(targets: &str) -> Result<Hollow, MeasureError> {
+    pub fn start(targets: &str) -> Result<FakeDiscovery, MeasureError> {
         let told = Told { version: 1, whole: whole(1, targets), whole_at: 1, ..Told::default() };
         let state = Arc::new(State {
             told: Mutex::new(told),
@@ -132,7 +132,7 @@
         let threads = Threads::new()?;
         let own = state.clone();
         let address = threads.listen(move |stream| converse(own.clone(), stream))?;
-        Ok(Hollow { address, state, _threads: threads })
+        Ok(FakeDiscovery { address, state, _threads: threads })
     }
 
     /// Bytes written so far, heads included.
@@ -181,7 +181,7 @@
         let (told, late) = waited.unwrap_or_else(PoisonError::into_inner);
         if late.timed_out() {
             let why = format!("the node goes on from version {}, and was told {version}", told.taken);
-            return Err(MeasureError::Late(why));
+            return Err(MeasureError::Unexpected(why));
         }
         Ok(())
     }
@@ -244,15 +244,15 @@
 
 /// What the live servers say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answering {
+pub enum ServerReply {
     /// Yes, at once.
-    Well = 0,
+    Success = 0,
     /// That they are full and the request has not run.
     Full = 1,
 }
 
 /// Live servers that answer at once.
-pub struct Servers {
+pub struct FakeServers {
     /// Where.
     pub addresses: Vec<SocketAddr>,
     say: Arc<AtomicU8>,
@@ -260,10 +260,10 @@
     _threads: Threads,
 }
 
-impl Servers {
+impl FakeServers {
     /// Starts some.
-    pub fn start(count: usize) -> Result<Servers, MeasureError> {
-        let say = Arc::new(AtomicU8::new(Answering::Well as u8));
+    pub fn start(count: usize) -> Result<FakeServers, MeasureError> {
+        let say = Arc::new(AtomicU8::new(ServerReply::Success as u8));
         let asked = Arc::<AtomicU64>::default();
         let threads = Threads::new()?;
         let mut addresses = Vec::new();
@@ -271,7 +271,7 @@
             let (say, asked) = (say.clone(), asked.clone());
             addresses.push(threads.listen(move |stream| serve(say.clone(), asked.clone(), stream))?);
         }
-        Ok(Servers { addresses, say, asked, _threads: threads })
+        Ok(FakeServers { addresses, say, asked, _threads: threads })
     }
 
     /// Requests so far.
@@ -280,7 +280,7 @@
     }
 
     /// What they say from now on.
-    pub fn answer(&self, say: Answering) {
+    pub fn answer(&self, say: ServerReply) {
         self.say.store(say as u8, Ordering::SeqCst);
     }
 }
@@ -289,7 +289,7 @@
     let mut kept = Vec::new();
     while head(&mut stream, &mut kept).await.is_some() {
         asked.fetch_add(1, Ordering::SeqCst);
-        let full = say.load(Ordering::SeqCst) == Answering::Full as u8;
+        let full = say.load(Ordering::SeqCst) == ServerReply::Full as u8;
         let answer = if full {
             reply("503 Service Unavailable", "x-never-ran: 1\r\n", "")
         } else {
@@ -302,19 +302,19 @@
 }
 
 /// A port that refuses connections for as long as it is held: bound, and nobody listens.
-pub struct Dead {
+pub struct ClosedPort {
     /// Where.
     pub address: SocketAddr,
     _socket: socket2::Socket,
 }
 
 /// Takes one.
-pub fn dead_port() -> Result<Dead, MeasureError> {
+pub fn closed_port() -> Result<ClosedPort, MeasureError> {
     let taken = || {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
         let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(Dead { address, _socket: socket })
+        Ok(ClosedPort { address, _socket: socket })
     };
     taken().map_err(failed("a port that nobody listens on"))
 }
@@ -386,14 +386,14 @@
 }
 
 /// Asks a node for a word every tenth of a millisecond or so, and keeps the longest time that one took.
-pub struct Gaps {
+pub struct LatencyProbe {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<f64>>,
 }
 
-impl Gaps {
+impl LatencyProbe {
     /// Begins, once the node has answered a first time.
-    pub fn watch(node: SocketAddr) -> Result<Gaps, MeasureError> {
+    pub fn watch(node: SocketAddr) -> Result<LatencyProbe, MeasureError> {
         let mut client = Client::open(node)?;
         client.up(super::PATIENCE)?;
         let stop = Arc::new(AtomicBool::new(false));
@@ -410,7 +410,7 @@
             }
             longest
         });
-        Ok(Gaps { stop, thread: Some(thread) })
+        Ok(LatencyProbe { stop, thread: Some(thread) })
     }
 
     /// Ends; the longest time in milliseconds, NaN where the node has answered no more.
@@ -420,7 +420,7 @@
     }
 }
 
-impl Drop for Gaps {
+impl Drop for LatencyProbe {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
     }
--- a/crates/lab/src/capacity/node/process.rs
+++ b/crates/lab/src/capacity/node/process.rs
@@ -2,7 +2,7 @@
 //! dropped or when this program ends.
 
 use super::super::MeasureError;
-use super::hollow::Client;
+use super::environment::Client;
 use super::{PATIENCE, ZONES};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -107,7 +107,7 @@
         let Some(pid) = pid.filter(|_| matches!(said, Some(Ok(_)))) else {
             drop(keeper.stdin.take());
             let _ = keeper.wait();
-            return Err(MeasureError::Late(format!("{}: cannot be started", program.display())));
+            return Err(MeasureError::Unexpected(format!("{}: cannot be started", program.display())));
         };
         let own = Process { listen, keeper, pid, dir, config };
         loop {
@@ -117,7 +117,7 @@
             }
             if begun.elapsed() > PATIENCE || own.memory_mb("VmHWM:").is_err() {
                 let log = own.log().lines().last().unwrap_or("it wrote nothing").to_owned();
-                return Err(MeasureError::Late(format!("{} is not ready: {log}", program.display())));
+                return Err(MeasureError::Unexpected(format!("{} is not ready: {log}", program.display())));
             }
             sleep(Duration::from_millis(1));
         }
@@ -151,7 +151,8 @@
         let kb = text
             .lines()
             .find_map(|l| l.strip_prefix(name)?.trim().trim_end_matches(" kB").parse::<f64>().ok());
-        kb.map(|kb| kb / 1024.0).ok_or_else(|| MeasureError::Late(format!("{name} the node has ended")))
+        kb.map(|kb| kb / 1024.0)
+            .ok_or_else(|| MeasureError::Unexpected(format!("{name} the node has ended")))
     }
 
     /// Changes its file, tells it, and waits until it has taken it.
@@ -174,7 +175,9 @@
             }
             if log.contains(REFUSED) || Instant::now() > end {
                 let last = log.lines().last().unwrap_or_default().to_owned();
-                return Err(MeasureError::Late(format!("settings were not taken on SIGHUP: {last:.300}")));
+                return Err(MeasureError::Unexpected(format!(
+                    "settings were not taken on SIGHUP: {last:.300}"
+                )));
             }
             sleep(Duration::from_millis(1));
         }
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -8,7 +8,7 @@
 //! `<!--= SOURCE -->12 ms<!--/-->` holds one figure.
 
 use super::fit::{Fit, Shape, fit, median};
-use super::out::Report;
+use super::report::Report;
 use super::{Point, Series};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/lab/src/capacity/out.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -5,7 +5,7 @@
 //! cut off leaves nothing that looks like a result.
 
 use super::fit::{Fit, Shape, fit, median};
-use super::{Measure, Series, ahead};
+use super::{MeasureOptions, Series, planned_size};
 use plotters::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -13,7 +13,7 @@
 use std::process::{Command, Stdio};
 
 /// The name of the result.
-pub const RESULT: &str = "capacity.json";
+pub const RESULT_FILE: &str = "capacity.json";
 const SIZE: (u32, u32) = (720, 360);
 
 /// All that came of a run.
@@ -28,7 +28,7 @@
     /// How often each size was measured.
     pub repetitions: usize,
     /// What was measured.
-    pub series: Vec<Fitted>,
+    pub series: Vec<FittedSeries>,
 }
 
 /// Where it was measured.
@@ -46,7 +46,7 @@
 
 /// A series and what it says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fitted {
+pub struct FittedSeries {
     /// The series.
     #[serde(flatten)]
     pub series: Series,
@@ -55,9 +55,18 @@
 }
 
 /// Puts together what came of a run.
-pub fn report(m: &Measure, series: Vec<Series>) -> Report {
-    let series = series.into_iter().map(|s| Fitted { fit: fit(&s, ahead(&s.axis)), series: s }).collect();
-    Report { machine: machine(&m.node), seed: m.seed, quick: m.quick, repetitions: m.repetitions, series }
+pub fn build_report(m: &MeasureOptions, series: Vec<Series>) -> Report {
+    let series = series
+        .into_iter()
+        .map(|s| FittedSeries { fit: fit(&s, planned_size(&s.axis)), series: s })
+        .collect();
+    Report {
+        machine: machine(&m.node_program),
+        seed: m.seed,
+        quick: m.quick,
+        repetitions: m.repetitions,
+        series,
+    }
 }
 
 fn machine(node: &Path) -> Machine {
@@ -91,7 +100,7 @@
 ///
 /// # Errors
 /// They cannot.
-pub fn writable(dir: &Path) -> io::Result<()> {
+pub fn check_writable(dir: &Path) -> io::Result<()> {
     std::fs::create_dir_all(dir)?;
     let trial = other_name(&dir.join("trial"));
     std::fs::write(&trial, b"")?;
@@ -102,7 +111,7 @@
 ///
 /// # Errors
 /// A file cannot be written, or a plot cannot be drawn.
-pub fn write(dir: &Path, report: &Report) -> io::Result<()> {
+pub fn write_report(dir: &Path, report: &Report) -> io::Result<()> {
     for one in &report.series {
         let s = &one.series;
         if let Some(svg) = plot(one).map_err(|e| io::Error::other(e.to_string()))? {
@@ -111,7 +120,7 @@
     }
     let mut text = serde_json::to_vec_pretty(report)?;
     text.push(b'\n');
-    put(&dir.join(RESULT), &text)
+    put(&dir.join(RESULT_FILE), &text)
 }
 
 fn other_name(path: &Path) -> PathBuf {
@@ -130,7 +139,7 @@
 }
 
 /// Every value and the nearest shape, both axes in logarithms; none where nothing is over zero.
-fn plot(one: &Fitted) -> Result<Option<String>, Box<dyn std::error::Error>> {
+fn plot(one: &FittedSeries) -> Result<Option<String>, Box<dyn std::error::Error>> {
     let s = &one.series;
     let values = s.points.iter().flat_map(|p| p.values.iter().map(|v| (p.size, *v)));
     let values: Vec<(f64, f64)> = values.filter(|(x, y)| *x > 0.0 && *y > 0.0).collect();
@@ -163,16 +172,16 @@
     Ok(Some(svg))
 }
 
-/// Heads of [`rows`].
-pub const HEADS: [&str; 9] =
+/// Heads of [`table_rows`].
+pub const TABLE_HEADINGS: [&str; 9] =
     ["role", "cost", "axis", "sizes", "medians", "exponent", "bend", "line", "at the size ahead"];
 
 /// A row for each series.
-pub fn rows(report: &Report) -> Vec<Vec<String>> {
+pub fn table_rows(report: &Report) -> Vec<Vec<String>> {
     report.series.iter().map(row).collect()
 }
 
-fn row(one: &Fitted) -> Vec<String> {
+fn row(one: &FittedSeries) -> Vec<String> {
     let s = &one.series;
     let sizes: Vec<String> = s.points.iter().map(|p| figure(p.size)).collect();
     let medians: Vec<String> = s.points.iter().map(|p| figure(median(&p.values))).collect();
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,8 +1,8 @@
 //! Shapes of what a node costs, from a real process and small sizes: counts, bytes, memory and exponents
 //! with much room. No verdict here depends on how long something took.
 
-use daleturn_lab::capacity::out::{RESULT, Report, report, write};
-use daleturn_lab::capacity::{Measure, MeasureError, Wish, measure, node};
+use daleturn_lab::capacity::report::{RESULT_FILE, Report, build_report, write_report};
+use daleturn_lab::capacity::{MeasureError, MeasureOptions, Selection, measure, node};
 use daleturn_lab::real::find_program;
 use std::path::{Path, PathBuf};
 
@@ -12,15 +12,15 @@
         .unwrap_or_else(|| panic!("{name} is not built: cargo test builds it for the workspace"))
 }
 
-fn quick(node: PathBuf) -> Measure {
-    Measure { quick: true, seed: 7, repetitions: 1, node }
+fn quick(node_program: PathBuf) -> MeasureOptions {
+    MeasureOptions { quick: true, seed: 7, repetitions: 1, node_program }
 }
 
 #[test]
 fn what_a_node_costs_has_the_shapes_that_are_known() {
     let m = quick(built("daleturn-node"));
-    let wish = Wish { roles: vec!["node".to_owned()], ..Wish::default() };
-    let told = report(&m, measure(&m, &wish, |_| {}).expect("measured"));
+    let wish = Selection { roles: vec!["node".to_owned()], ..Selection::default() };
+    let told = build_report(&m, measure(&m, &wish, |_| {}).expect("measured"));
     let of = |cost: &str, axis: &str| {
         let one = told.series.iter().find(|s| s.series.cost == cost && s.series.axis == axis);
         let one = one.unwrap_or_else(|| panic!("{cost} by {axis} is not measured"));
@@ -51,15 +51,15 @@
 
     let dir = std::env::temp_dir().join(format!("daleturn-capacity-out-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("made");
-    write(&dir, &told).expect("written");
-    let text = std::fs::read_to_string(dir.join(RESULT)).expect("there");
+    write_report(&dir, &told).expect("written");
+    let text = std::fs::read_to_string(dir.join(RESULT_FILE)).expect("there");
     let read: Report = serde_json::from_str(&text).expect("a result");
     assert_eq!((read.seed, read.quick, read.series.len()), (7, true, told.series.len()));
     let names: Vec<String> = std::fs::read_dir(&dir)
         .expect("there")
         .map(|f| f.expect("there").file_name().into_string().unwrap())
         .collect();
-    assert!(names.iter().all(|n| n.ends_with(".svg") || n == RESULT), "{names:?}");
+    assert!(names.iter().all(|n| n.ends_with(".svg") || n == RESULT_FILE), "{names:?}");
     let costs =
         |s: &daleturn_lab::capacity::Series| s.points.iter().any(|p| p.values.iter().any(|v| *v > 0.0));
     let plots = told.series.iter().filter(|s| costs(&s.series)).count();
@@ -70,5 +70,5 @@
 #[test]
 fn a_program_that_never_serves_is_told_of() {
     let why = node::measure(&quick(Path::new("/bin/false").to_owned())).expect_err("no node");
-    assert!(matches!(why, MeasureError::Late(_)) && why.to_string().contains("/bin/false"), "{why}");
+    assert!(matches!(why, MeasureError::Unexpected(_)) && why.to_string().contains("/bin/false"), "{why}");
 }
--- a/crates/lab/tests/capacity_members.rs
+++ b/crates/lab/tests/capacity_members.rs
@@ -1,10 +1,10 @@
 //! Shapes of what membership and discovery cost by size: counts and bytes, no times of this machine.
 
-use daleturn_lab::capacity::{Measure, Series, discovery, members};
+use daleturn_lab::capacity::{MeasureOptions, Series, discovery, members};
 use std::path::PathBuf;
 
-fn quick() -> Measure {
-    Measure { quick: true, seed: 25, repetitions: 1, node: PathBuf::new() }
+fn quick() -> MeasureOptions {
+    MeasureOptions { quick: true, seed: 25, repetitions: 1, node_program: PathBuf::new() }
 }
 
 fn values(all: &[Series], role: &str, cost: &str, axis: &str) -> Vec<(f64, f64)> {
