--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -1,83 +1,83 @@
-//! Slopes: how a cost grows with a size, as a power, as a bent power and as a line, and what that says of
-//! a size that was not measured. It knows nothing of what is measured.
+//! Fits how a cost grows with a size: as a power, as two powers joined at a bend, and as a line. The fit with
+//! the smallest error estimates the cost at sizes that were not measured.
 //!
-//! Powers are fitted to the medians of each size in logarithms, so that every size counts alike. A cost
-//! with a part that does not grow, such as memory, is a line rather: that is weighted by the value, for
-//! the same reason.
+//! Powers are fitted by least squares to the logarithms of each size's median, which gives all sizes equal
+//! weight. A cost with a constant part, such as memory, is closer to a line; its points are weighted by the
+//! inverse square of the value for the same reason.
 
 use super::Series;
 use crate::stats::students_t;
 use serde::{Deserialize, Serialize};
 
-/// A bend is believed where two pieces leave so much less of the squares that it is by chance in one of
-/// 20 cases: F at 95 % for the two more figures that they have, by the degrees of freedom that are left
-/// them, from 1.
-const F: [f64; 8] = [199.5, 19.0, 9.55, 6.94, 5.79, 5.14, 4.74, 4.46];
-/// And where the exponents differ by this much.
-const CLEARLY_BENT: f64 = 0.25;
-/// And where one piece is off by this much in the mean, in logarithms: less is noise.
-const CLEARLY_OFF: f64 = 0.06;
+/// Critical values of the F distribution at 95 % for two additional parameters, by the residual degrees of
+/// freedom of the bent fit, starting at 1. A bend is accepted only if its F statistic exceeds this value.
+const F_CRITICAL_95: [f64; 8] = [199.5, 19.0, 9.55, 6.94, 5.79, 5.14, 4.74, 4.46];
+/// Minimum difference between the two exponents of an accepted bend.
+const MIN_EXPONENT_CHANGE: f64 = 0.25;
+/// Minimum root mean square residual of a single power, in natural logarithms, for a bend to be considered.
+/// Smaller residuals are noise.
+const MIN_MEAN_RESIDUAL: f64 = 0.06;
 
-/// What the points of one series say.
+/// The fitted growth of one series.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// Cost grows with the size to this power.
+    /// Exponent of the single power fitted to all sizes.
     pub exponent: f64,
-    /// The exponent's interval at 95 %, by Student's t; none with fewer than three sizes.
+    /// 95 % confidence interval of the exponent, by Student's t; `None` with fewer than three sizes.
     pub interval: Option<(f64, f64)>,
-    /// Where the power changes, if it clearly does.
+    /// The size at which the exponent changes; `None` if no bend is significant.
     pub bend: Option<Bend>,
-    /// The line's value for each unit of the size.
+    /// Slope of the line: cost for each unit of the size.
     pub per_unit: f64,
-    /// The line's value at size 0.
+    /// Intercept of the line: cost at size 0.
     pub constant: f64,
-    /// Which of the three lies nearest: `power`, `bent` or `line`.
+    /// The shape with the smallest error: `power`, `bent` or `line`.
     pub nearest: Shape,
-    /// How far the nearest is off in the mean, as a factor: 1.1 is 10 %.
+    /// Root mean square error of the nearest shape, as a factor: 1.1 is 10 %.
     pub off: f64,
-    /// Least and greatest size.
+    /// Smallest and largest measured size.
     pub sizes: (f64, f64),
-    /// What is to be expected at the size ahead, where the axis has one.
+    /// Estimate at the planned size; `None` if the axis has no planned size.
     pub target: Option<Target>,
 }
 
-/// Which form of growth.
+/// Form of growth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
     /// `a * size^b`.
     Power,
-    /// Two powers that meet.
+    /// Two powers with equal values at the bend.
     Bent,
     /// `a + b * size`.
     Line,
 }
 
-/// Where one power turns into another.
+/// Size at which one power changes into another.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Bend {
-    /// The size.
+    /// Size at the bend.
     pub size: f64,
-    /// The exponent below.
+    /// Exponent below that size.
     pub before: f64,
-    /// The exponent above.
+    /// Exponent above that size.
     pub after: f64,
 }
 
-/// A figure at the size ahead.
+/// Cost at the planned size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// That size.
+    /// Planned size.
     pub size: f64,
-    /// The cost there: the median where it was played, else by the nearest shape.
+    /// Cost at that size: the measured median, or the value of the nearest shape if the size was not measured.
     pub value: f64,
-    /// It was played and is no extrapolation.
+    /// True if that size was measured.
     pub played: bool,
-    /// How far beyond the greatest size measured, as a factor; at most 1: not beyond it.
+    /// The planned size divided by the largest measured size; above 1 the value is extrapolated.
     pub beyond: f64,
 }
 
-/// The median; NaN of nothing.
+/// Returns the median, or NaN for an empty slice.
 pub fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -88,84 +88,90 @@
     }
 }
 
-/// Fits a series; none where fewer than two sizes have a cost over zero.
+/// Fits the medians of a series and estimates the cost at the size `target`. Returns `None` if fewer than two
+/// sizes have a cost above zero.
 pub fn fit(series: &Series, target: Option<f64>) -> Option<Fit> {
     let points: Vec<(f64, f64)> = (series.points.iter())
         .map(|p| (p.size, median(&p.values)))
         .filter(|(x, y)| *x > 0.0 && y.is_finite() && *y > 0.0)
         .collect();
     let logs: Vec<(f64, f64)> = points.iter().map(|(x, y)| (x.ln(), y.ln())).collect();
-    let least = points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min);
-    let most = points.iter().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max);
-    if points.len() < 2 || least >= most {
+    let min_size = points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min);
+    let max_size = points.iter().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max);
+    if points.len() < 2 || min_size >= max_size {
         return None;
     }
     let n = points.len() as f64;
-    let one = Pieces::fit(&logs, None)?;
-    let sxx = spread(&logs);
-    let freedom = points.len() - 2;
-    let interval = (freedom > 0).then(|| {
-        let half = students_t(freedom) * (one.squares / freedom as f64 / sxx).sqrt();
-        (one.slope - half, one.slope + half)
+    let power = PiecewiseLine::fit(&logs, None)?;
+    let size_deviations = squared_deviations(&logs);
+    let degrees_of_freedom = points.len() - 2;
+    let interval = (degrees_of_freedom > 0).then(|| {
+        let half_width = students_t(degrees_of_freedom)
+            * (power.residual_sum / degrees_of_freedom as f64 / size_deviations).sqrt();
+        (power.slope - half_width, power.slope + half_width)
     });
-    let bent = bent(&logs, &one);
-    let (per_unit, constant) = line(&points);
+    let bent = fit_bend(&logs, &power);
+    let (per_unit, constant) = fit_line(&points);
     let line_at = |x: f64| constant + per_unit * x;
-    // A cost that falls with the size is no line that could be drawn further.
-    let rising = per_unit > 0.0;
-    let line_squares: f64 =
+    // A falling line reaches negative costs and cannot be extrapolated.
+    let is_rising = per_unit > 0.0;
+    let line_residual_sum: f64 =
         points.iter().map(|(x, y)| (line_at(*x).max(f64::MIN_POSITIVE) / y).ln().powi(2)).sum();
-    // Of shapes that lie about equally near the plainest is taken.
-    let mut nearest = (Shape::Power, one.squares);
-    for (shape, squares) in [
-        (Shape::Line, if rising { line_squares } else { f64::INFINITY }),
-        (Shape::Bent, bent.map_or(f64::INFINITY, |b| b.squares)),
+    // A shape replaces a simpler one only if its residual sum is more than 20 % smaller.
+    let mut nearest = (Shape::Power, power.residual_sum);
+    for (shape, residual_sum) in [
+        (Shape::Line, if is_rising { line_residual_sum } else { f64::INFINITY }),
+        (Shape::Bent, bent.map_or(f64::INFINITY, |b| b.residual_sum)),
     ] {
-        if squares < 0.8 * nearest.1 {
-            nearest = (shape, squares);
+        if residual_sum < 0.8 * nearest.1 {
+            nearest = (shape, residual_sum);
         }
     }
     let at = |x: f64| match (nearest.0, bent) {
         (Shape::Line, _) => line_at(x),
         (Shape::Bent, Some(bent)) => bent.at(x.ln()).exp(),
-        _ => one.at(x.ln()).exp(),
+        _ => power.at(x.ln()).exp(),
     };
     let target = target.map(|size| {
-        let played = points.iter().find(|(x, _)| (x / size - 1.0).abs() < 1e-9);
-        let value = played.map_or_else(|| at(size), |p| p.1);
-        Target { size, value, played: played.is_some(), beyond: size / most }
+        let measured = points.iter().find(|(x, _)| (x / size - 1.0).abs() < 1e-9);
+        let value = measured.map_or_else(|| at(size), |p| p.1);
+        Target { size, value, played: measured.is_some(), beyond: size / max_size }
     });
     Some(Fit {
-        exponent: one.slope,
+        exponent: power.slope,
         interval,
-        bend: bent
-            .and_then(|b| Some(Bend { size: b.knot?.exp(), before: b.slope, after: b.slope + b.further })),
+        bend: bent.and_then(|b| {
+            Some(Bend { size: b.knot?.exp(), before: b.slope, after: b.slope + b.slope_change })
+        }),
         per_unit,
         constant,
         nearest: nearest.0,
         off: (nearest.1 / n).sqrt().exp(),
-        sizes: (least, most),
+        sizes: (min_size, max_size),
         target,
     })
 }
 
-/// One line, or two that meet at a knot.
+/// One line, or two lines that meet at a knot.
 #[derive(Clone, Copy, Debug)]
-struct Pieces {
-    base: f64,
+struct PiecewiseLine {
+    intercept: f64,
+    /// Slope below the knot.
     slope: f64,
     knot: Option<f64>,
-    further: f64,
-    squares: f64,
+    /// Slope above the knot less the slope below.
+    slope_change: f64,
+    /// Sum of squared residuals.
+    residual_sum: f64,
 }
 
-impl Pieces {
+impl PiecewiseLine {
     fn at(&self, x: f64) -> f64 {
-        self.base + self.slope * x + self.knot.map_or(0.0, |k| self.further * (x - k).max(0.0))
+        self.intercept + self.slope * x + self.knot.map_or(0.0, |k| self.slope_change * (x - k).max(0.0))
     }
 
-    /// Least squares; none where the points do not tell the pieces apart.
-    fn fit(points: &[(f64, f64)], knot: Option<f64>) -> Option<Pieces> {
+    /// Fits the points by least squares. Returns `None` if they do not determine all parameters.
+    fn fit(points: &[(f64, f64)], knot: Option<f64>) -> Option<PiecewiseLine> {
         let row = |x: f64| [1.0, x, knot.map_or(0.0, |k| (x - k).max(0.0))];
         let size = if knot.is_some() { 3 } else { 2 };
         let mut m = [[0.0; 4]; 3];
@@ -178,71 +184,74 @@
                 m[i][3] += r[i] * y;
             }
         }
-        let [base, slope, further] = solve(m, size)?;
-        let mut own = Pieces { base, slope, knot, further, squares: 0.0 };
-        own.squares = points.iter().map(|(x, y)| (y - own.at(*x)).powi(2)).sum();
-        Some(own)
+        let [intercept, slope, slope_change] = solve(m, size)?;
+        let mut fitted = PiecewiseLine { intercept, slope, knot, slope_change, residual_sum: 0.0 };
+        fitted.residual_sum = points.iter().map(|(x, y)| (y - fitted.at(*x)).powi(2)).sum();
+        Some(fitted)
     }
 }
 
-/// Solves up to three equations, their right sides last.
+/// Solves `size` linear equations by Gaussian elimination; the last column of `m` is the right side. Returns
+/// `None` if the matrix is singular.
 fn solve(mut m: [[f64; 4]; 3], size: usize) -> Option<[f64; 3]> {
     for i in 0..size {
-        let best = (i..size).max_by(|a, b| m[*a][i].abs().total_cmp(&m[*b][i].abs()))?;
-        m.swap(i, best);
+        let pivot_row = (i..size).max_by(|a, b| m[*a][i].abs().total_cmp(&m[*b][i].abs()))?;
+        m.swap(i, pivot_row);
         if m[i][i].abs() < 1e-12 {
             return None;
         }
         let pivot = m[i];
         for row in m.iter_mut().take(size).skip(i + 1) {
-            let part = row[i] / pivot[i];
-            row.iter_mut().zip(pivot).for_each(|(v, p)| *v -= part * p);
+            let factor = row[i] / pivot[i];
+            row.iter_mut().zip(pivot).for_each(|(v, p)| *v -= factor * p);
         }
     }
-    let mut out = [0.0; 3];
+    let mut solution = [0.0; 3];
     for i in (0..size).rev() {
-        let known: f64 = (i + 1..size).map(|j| m[i][j] * out[j]).sum();
-        out[i] = (m[i][3] - known) / m[i][i];
+        let known: f64 = (i + 1..size).map(|j| m[i][j] * solution[j]).sum();
+        solution[i] = (m[i][3] - known) / m[i][i];
     }
-    Some(out)
+    Some(solution)
 }
 
-/// The squares of the sizes about their mean.
-fn spread(points: &[(f64, f64)]) -> f64 {
+/// Returns the sum of squared deviations of the x values from their mean.
+fn squared_deviations(points: &[(f64, f64)]) -> f64 {
     let mean = points.iter().map(|p| p.0).sum::<f64>() / points.len() as f64;
     points.iter().map(|p| (p.0 - mean).powi(2)).sum()
 }
 
-/// Two pieces, where they are clearly better than the one. Each has to hold two sizes, and another at the
-/// knot or beyond it.
-fn bent(logs: &[(f64, f64)], one: &Pieces) -> Option<Pieces> {
-    if logs.len() < 5 || (one.squares / logs.len() as f64).sqrt() < CLEARLY_OFF {
+/// Fits two lines that meet at a knot, and returns them if they are significantly better than the line
+/// `power`. The knot lies between the second smallest and the second largest size:
+/// each line covers at least two sizes.
+fn fit_bend(logs: &[(f64, f64)], power: &PiecewiseLine) -> Option<PiecewiseLine> {
+    if logs.len() < 5 || (power.residual_sum / logs.len() as f64).sqrt() < MIN_MEAN_RESIDUAL {
         return None;
     }
     let mut xs: Vec<f64> = logs.iter().map(|p| p.0).collect();
     xs.sort_by(f64::total_cmp);
-    let (from, to) = (xs[1], xs[xs.len() - 2]);
-    let knots = (0..=40).map(|n| from + (to - from) * f64::from(n) / 40.0);
-    let fits = knots.filter_map(|k| Pieces::fit(logs, Some(k)));
-    let best = fits.min_by(|a, b| a.squares.total_cmp(&b.squares))?;
-    let freedom = logs.len() - 4;
-    let chance = F.get(freedom - 1).copied().unwrap_or(4.0);
-    let less = (one.squares - best.squares) / 2.0 > chance * best.squares / freedom as f64;
-    (less && best.further.abs() > CLEARLY_BENT).then_some(best)
+    let (first_knot, last_knot) = (xs[1], xs[xs.len() - 2]);
+    let knots = (0..=40).map(|n| first_knot + (last_knot - first_knot) * f64::from(n) / 40.0);
+    let fits = knots.filter_map(|k| PiecewiseLine::fit(logs, Some(k)));
+    let best = fits.min_by(|a, b| a.residual_sum.total_cmp(&b.residual_sum))?;
+    let degrees_of_freedom = logs.len() - 4;
+    let critical_value = F_CRITICAL_95.get(degrees_of_freedom - 1).copied().unwrap_or(4.0);
+    let is_significant = (power.residual_sum - best.residual_sum) / 2.0
+        > critical_value * best.residual_sum / degrees_of_freedom as f64;
+    (is_significant && best.slope_change.abs() > MIN_EXPONENT_CHANGE).then_some(best)
 }
 
-/// Slope and constant of a line, each point weighted by its value.
-fn line(points: &[(f64, f64)]) -> (f64, f64) {
+/// Returns the slope and the intercept of a line, each point weighted by the inverse square of its value.
+fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let sums = points.iter().fold([0.0; 5], |s, (x, y)| {
         let w = 1.0 / (y * y);
         [s[0] + w, s[1] + w * x, s[2] + w * y, s[3] + w * x * x, s[4] + w * x * y]
     });
     let [w, x, y, xx, xy] = sums;
-    let below = w * xx - x * x;
-    if below <= 0.0 {
+    let denominator = w * xx - x * x;
+    if denominator <= 0.0 {
         return (0.0, y / w);
     }
-    let slope = (w * xy - x * y) / below;
+    let slope = (w * xy - x * y) / denominator;
     (slope, (y - slope * x) / w)
 }
 
@@ -260,7 +269,7 @@
     }
 
     #[test]
-    fn a_power_a_line_and_a_bend_are_told_apart() {
+    fn fit_distinguishes_a_power_a_line_and_a_bend() {
         let power = fit(&series(|n| 3.0 * n.powf(1.3)), Some(470_000.0)).unwrap();
         let (low, high) = power.interval.unwrap();
         assert!(
@@ -284,7 +293,7 @@
     }
 
     #[test]
-    fn nothing_is_made_of_too_little() {
+    fn too_few_points_give_no_interval_or_no_fit() {
         let mut few = series(|n| n);
         few.points.truncate(2);
         assert_eq!(fit(&few, None).unwrap().interval, None);
