--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -1,8 +1,8 @@
-//! What a run hands on: one JSON file with every series and its fit, a plot for each, and rows for a
-//! terminal.
+//! Results of a measurement run: one JSON file with every series and its fit, a plot of each series, and table
+//! rows for a terminal.
 //!
-//! Each file is written under another name in the same folder and renamed, the JSON last: a run that is
-//! cut off leaves nothing that looks like a result.
+//! Each file is written to a temporary file in the same directory and renamed, the JSON file last: an
+//! interrupted run leaves no incomplete result file.
 
 use super::fit::{Fit, Shape, fit, median};
 use super::{MeasureOptions, Series, planned_size};
@@ -12,59 +12,61 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// The name of the result.
+/// Name of the JSON file with the results.
 pub const RESULT_FILE: &str = "capacity.json";
-const SIZE: (u32, u32) = (720, 360);
+/// Width and height of a plot, in pixels.
+const PLOT_SIZE_PX: (u32, u32) = (720, 360);
 
-/// All that came of a run.
+/// The results of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The machine and the build.
+    /// The machine and the build that were measured.
     pub machine: Machine,
-    /// Seed of everything drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Small sizes, for shapes alone: no figure of it says anything of a large fleet.
+    /// True if only few, small sizes were measured: the values say nothing about a large fleet.
     pub quick: bool,
-    /// How often each size was measured.
+    /// Number of measurements of each size.
     pub repetitions: usize,
-    /// What was measured.
+    /// The measured series and their fits.
     pub series: Vec<FittedSeries>,
 }
 
-/// Where it was measured.
+/// The machine and the build that were measured.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Cores that the run could use.
+    /// Number of cores available to the run.
     pub cores: usize,
-    /// Memory, in megabytes; none where the system does not tell.
+    /// Memory, in megabytes; `None` if it cannot be read.
     pub memory_mb: Option<u64>,
-    /// The processor's name; none where the system does not tell.
+    /// Model name of the processor; `None` if it cannot be read.
     pub processor: Option<String>,
-    /// Revision of the folder that the node's program lies in, with a `+` where files differ from it.
+    /// Git revision of the directory that contains the node's program, with a trailing `+` if tracked files are
+    /// modified; `None` outside a repository.
     pub revision: Option<String>,
 }
 
-/// A series and what it says.
+/// A series and its fit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FittedSeries {
-    /// The series.
+    /// The measured series.
     #[serde(flatten)]
     pub series: Series,
-    /// Its fit; none with fewer than two sizes that cost anything.
+    /// Fit of the series; `None` if fewer than two sizes have a cost above zero.
     pub fit: Option<Fit>,
 }
 
-/// Puts together what came of a run.
-pub fn build_report(m: &MeasureOptions, series: Vec<Series>) -> Report {
+/// Fits the series of a run and returns its report.
+pub fn build_report(options: &MeasureOptions, series: Vec<Series>) -> Report {
     let series = series
         .into_iter()
         .map(|s| FittedSeries { fit: fit(&s, planned_size(&s.axis)), series: s })
         .collect();
     Report {
-        machine: machine(&m.node_program),
-        seed: m.seed,
-        quick: m.quick,
-        repetitions: m.repetitions,
+        machine: machine(&options.node_program),
+        seed: options.seed,
+        quick: options.quick,
+        repetitions: options.repetitions,
         series,
     }
 }
@@ -96,57 +98,58 @@
     Some(if clean { revision } else { format!("{revision}+") })
 }
 
-/// Makes the folder and sees whether files can be written there.
+/// Creates the directory and checks that files can be written in it.
 ///
 /// # Errors
-/// They cannot.
+/// Returns the error of creating the directory, or of writing or removing a file in it.
 pub fn check_writable(dir: &Path) -> io::Result<()> {
     std::fs::create_dir_all(dir)?;
-    let trial = other_name(&dir.join("trial"));
-    std::fs::write(&trial, b"")?;
-    std::fs::remove_file(trial)
+    let test_file = temporary_path(&dir.join("trial"));
+    std::fs::write(&test_file, b"")?;
+    std::fs::remove_file(test_file)
 }
 
-/// Writes the plots and then the result.
+/// Writes the plots and then the JSON file to a directory.
 ///
 /// # Errors
-/// A file cannot be written, or a plot cannot be drawn.
+/// Returns an error if a file cannot be written or a plot cannot be drawn.
 pub fn write_report(dir: &Path, report: &Report) -> io::Result<()> {
-    for one in &report.series {
-        let s = &one.series;
-        if let Some(svg) = plot(one).map_err(|e| io::Error::other(e.to_string()))? {
-            put(&dir.join(format!("{}-{}-{}.svg", s.role, s.cost, s.axis)), svg.as_bytes())?;
+    for fitted in &report.series {
+        let s = &fitted.series;
+        if let Some(svg) = plot(fitted).map_err(|e| io::Error::other(e.to_string()))? {
+            write_atomically(&dir.join(format!("{}-{}-{}.svg", s.role, s.cost, s.axis)), svg.as_bytes())?;
         }
     }
-    let mut text = serde_json::to_vec_pretty(report)?;
-    text.push(b'\n');
-    put(&dir.join(RESULT_FILE), &text)
+    let mut json = serde_json::to_vec_pretty(report)?;
+    json.push(b'\n');
+    write_atomically(&dir.join(RESULT_FILE), &json)
 }
 
-fn other_name(path: &Path) -> PathBuf {
+fn temporary_path(path: &Path) -> PathBuf {
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     path.with_file_name(format!(".{name}.{}", std::process::id()))
 }
 
-fn put(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let other = other_name(path);
-    let done = std::fs::write(&other, bytes).and_then(|()| std::fs::rename(&other, path));
-    if done.is_err() {
-        // What cannot be removed either has a name that no reader looks for.
-        let _ = std::fs::remove_file(&other);
+fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let temporary = temporary_path(path);
+    let written = std::fs::write(&temporary, bytes).and_then(|()| std::fs::rename(&temporary, path));
+    if written.is_err() {
+        // A temporary file that cannot be removed is harmless: no reader looks for its name.
+        let _ = std::fs::remove_file(&temporary);
     }
-    done
+    written
 }
 
-/// Every value and the nearest shape, both axes in logarithms; none where nothing is over zero.
-fn plot(one: &FittedSeries) -> Result<Option<String>, Box<dyn std::error::Error>> {
-    let s = &one.series;
+/// Draws every value and a line through the medians on logarithmic axes, as SVG. Returns `None` if no value is
+/// above zero.
+fn plot(fitted: &FittedSeries) -> Result<Option<String>, Box<dyn std::error::Error>> {
+    let s = &fitted.series;
     let values = s.points.iter().flat_map(|p| p.values.iter().map(|v| (p.size, *v)));
     let values: Vec<(f64, f64)> = values.filter(|(x, y)| *x > 0.0 && *y > 0.0).collect();
-    let range = |of: fn(&(f64, f64)) -> f64| {
-        let least = values.iter().map(of).fold(f64::INFINITY, f64::min);
-        let most = values.iter().map(of).fold(f64::NEG_INFINITY, f64::max);
-        (least / 1.3)..(most * 1.3)
+    let range = |coordinate: fn(&(f64, f64)) -> f64| {
+        let min = values.iter().map(coordinate).fold(f64::INFINITY, f64::min);
+        let max = values.iter().map(coordinate).fold(f64::NEG_INFINITY, f64::max);
+        (min / 1.3)..(max * 1.3)
     };
     if values.is_empty() {
         return Ok(None);
@@ -154,7 +157,7 @@
     let (xs, ys) = (range(|p| p.0), range(|p| p.1));
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE_PX).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .margin(10)
@@ -172,22 +175,22 @@
     Ok(Some(svg))
 }
 
-/// Heads of [`table_rows`].
+/// Column headings of [`table_rows`].
 pub const TABLE_HEADINGS: [&str; 9] =
     ["role", "cost", "axis", "sizes", "medians", "exponent", "bend", "line", "at the size ahead"];
 
-/// A row for each series.
+/// Returns one table row for each series.
 pub fn table_rows(report: &Report) -> Vec<Vec<String>> {
     report.series.iter().map(row).collect()
 }
 
-fn row(one: &FittedSeries) -> Vec<String> {
-    let s = &one.series;
-    let sizes: Vec<String> = s.points.iter().map(|p| figure(p.size)).collect();
-    let medians: Vec<String> = s.points.iter().map(|p| figure(median(&p.values))).collect();
+fn row(fitted: &FittedSeries) -> Vec<String> {
+    let s = &fitted.series;
+    let sizes: Vec<String> = s.points.iter().map(|p| format_number(p.size)).collect();
+    let medians: Vec<String> = s.points.iter().map(|p| format_number(median(&p.values))).collect();
     let mut row = vec![s.role.clone(), s.cost.clone(), s.axis.clone(), sizes.join(" ")];
     row.push(format!("{} {}", medians.join(" "), s.unit));
-    let Some(f) = &one.fit else {
+    let Some(f) = &fitted.fit else {
         row.extend(std::iter::repeat_n("-".to_owned(), 4));
         return row;
     };
@@ -197,24 +200,24 @@
     });
     row.push(f.bend.map_or_else(
         || "none".to_owned(),
-        |b| format!("{}: {:.2} to {:.2}", figure(b.size), b.before, b.after),
+        |b| format!("{}: {:.2} to {:.2}", format_number(b.size), b.before, b.after),
     ));
-    row.push(format!("{} + {}/unit", figure(f.constant), figure(f.per_unit)));
+    row.push(format!("{} + {}/unit", format_number(f.constant), format_number(f.per_unit)));
     row.push(f.target.map_or_else(String::new, |t| {
-        let how = match (t.played, f.nearest) {
+        let origin = match (t.played, f.nearest) {
             (true, _) => "played".to_owned(),
             (false, shape) if t.size < f.sizes.0 => {
-                format!("{:.1} times below, {}", f.sizes.0 / t.size, word(shape))
+                format!("{:.1} times below, {}", f.sizes.0 / t.size, shape_name(shape))
             }
-            (false, shape) if t.beyond <= 1.0 => format!("within, {}", word(shape)),
-            (false, shape) => format!("{:.1} times beyond, {}", t.beyond, word(shape)),
+            (false, shape) if t.beyond <= 1.0 => format!("within, {}", shape_name(shape)),
+            (false, shape) => format!("{:.1} times beyond, {}", t.beyond, shape_name(shape)),
         };
-        format!("{}: {} {} ({how})", figure(t.size), figure(t.value), s.unit)
+        format!("{}: {} {} ({origin})", format_number(t.size), format_number(t.value), s.unit)
     }));
     row
 }
 
-fn word(shape: Shape) -> &'static str {
+fn shape_name(shape: Shape) -> &'static str {
     match shape {
         Shape::Power => "power",
         Shape::Bent => "bent",
@@ -222,15 +225,16 @@
     }
 }
 
-/// Three figures that count, without an exponent where it can be helped.
-fn figure(value: f64) -> String {
+/// Formats a number with three significant digits; in scientific notation only if it would need more than six
+/// decimal places.
+fn format_number(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
     }
-    let digits = 2 - value.abs().log10().floor() as i32;
-    if digits > 6 {
+    let decimals = 2 - value.abs().log10().floor() as i32;
+    if decimals > 6 {
         return format!("{value:.2e}");
     }
-    let shown = format!("{value:.*}", digits.max(0) as usize);
-    if shown.contains('.') { shown.trim_end_matches('0').trim_end_matches('.').to_owned() } else { shown }
+    let text = format!("{value:.*}", decimals.max(0) as usize);
+    if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.').to_owned() } else { text }
 }
