--- a/crates/lab/tests/capacity_page.rs
+++ b/crates/lab/tests/capacity_page.rs
@@ -1,11 +1,12 @@
-//! The page on capacity says what its records say: each row's need, verdict and slope, and each figure of the
-//! text, is computed anew from them.
+//! The capacity page agrees with its records: the need, verdict and slope of each row, and each marked figure in
+//! the text, are computed from the records and compared with the page.
 
-use daleturn_lab::capacity::page::{RECORDS, Records, records, written};
+use daleturn_lab::capacity::page::{RECORDS, Records, read_records, render};
 use daleturn_lab::capacity::{Point, Series};
 use std::path::{Path, PathBuf};
 
-const RANKED: [&str; 3] = ["The choice of one mechanism", "Serving depends on it", "The rest"];
+/// Sections whose rows are in descending order of need over budget.
+const RANKED_SECTIONS: [&str; 3] = ["The choice of one mechanism", "Serving depends on it", "The rest"];
 
 fn docs() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
@@ -15,54 +16,62 @@
 fn the_page_says_what_the_records_say() {
     let path = docs().join("CAPACITY.md");
     let page = std::fs::read_to_string(&path).expect("readable");
-    let recorded = records(&docs().join("capacity")).expect("readable");
-    assert_eq!(recorded.len(), RECORDS.len(), "a record is not there");
-    let (anew, rows) = written(&page, &recorded).unwrap_or_else(|wrong| panic!("{}", wrong.join("\n")));
+    let recorded = read_records(&docs().join("capacity")).expect("readable");
+    assert_eq!(recorded.len(), RECORDS.len(), "a record file does not exist");
+    let (rendered, rows) =
+        render(&page, &recorded).unwrap_or_else(|errors| panic!("{}", errors.join("\n")));
+    // DALETURN_PAGE=write updates the page.
     if std::env::var_os("DALETURN_PAGE").is_some_and(|v| v == "write") {
-        std::fs::write(&path, &anew).expect("writable");
+        std::fs::write(&path, &rendered).expect("writable");
     }
-    let differ: Vec<String> = (page.lines().zip(anew.lines()))
-        .filter(|(is, shall)| is != shall)
-        .map(|(is, shall)| format!("is    {is}\nshall {shall}"))
+    let differences: Vec<String> = (page.lines().zip(rendered.lines()))
+        .filter(|(actual, expected)| actual != expected)
+        .map(|(actual, expected)| format!("actual   {actual}\nexpected {expected}"))
         .collect();
-    assert!(differ.is_empty() && page == anew, "{}", differ.join("\n"));
+    assert!(differences.is_empty() && page == rendered, "{}", differences.join("\n"));
     for name in ["Node", "member", "Hub", "Discovery", "Control machines", "controller", "command", "Store"]
     {
         assert!(rows.iter().any(|r| r.section.contains(name)), "no row of {name}");
     }
-    // No row that is over its budget is left out: the build before is compared, of the present one it is missing.
-    let of =
-        |section: &str| rows.iter().filter(|r| r.section == section).map(|r| r.over).collect::<Vec<_>>();
-    let (compared, missing) = (of(RANKED[0]), of(RANKED[1]));
+    // Every node row over its budget is listed in a ranked section: rows of the current build, whose names end
+    // with ", now", in the second section, and those of the previous build in the first.
+    let ratios = |section: &str| {
+        rows.iter().filter(|r| r.section == section).map(|r| r.budget_ratio).collect::<Vec<_>>()
+    };
+    let (previous_build, current_build) = (ratios(RANKED_SECTIONS[0]), ratios(RANKED_SECTIONS[1]));
     for row in rows.iter().filter(|r| r.section.starts_with("Node serving")) {
-        let there = if row.what.ends_with(", now") { &missing } else { &compared };
-        assert!(row.over.is_none_or(|o| o <= 1.0) || there.contains(&row.over), "{} is left out", row.what);
+        let listed = if row.what.ends_with(", now") { &current_build } else { &previous_build };
+        assert!(
+            row.budget_ratio.is_none_or(|ratio| ratio <= 1.0) || listed.contains(&row.budget_ratio),
+            "{} is over its budget and is not listed",
+            row.what
+        );
     }
-    // The order of what is missing is that of need over budget.
-    for section in RANKED {
-        // What has no need or no budget stands without a rank.
+    for section in RANKED_SECTIONS {
+        // Rows without a need or a budget have no rank.
         let ranked: Vec<(&str, f64)> = rows
             .iter()
             .filter(|r| r.section == section)
-            .filter_map(|r| Some((&r.what[..], r.over?)))
+            .filter_map(|r| Some((&r.what[..], r.budget_ratio?)))
             .collect();
         assert!(ranked.len() > 1, "{section}");
         for pair in ranked.windows(2) {
-            assert!(pair[0].1 >= pair[1].1, "{} stands before {}", pair[0].0, pair[1].0);
+            assert!(pair[0].1 >= pair[1].1, "{} is listed before {}", pair[0].0, pair[1].0);
         }
     }
 }
 
-/// One row of a page.
-fn page(need: &str, budget: &str, source: &str) -> String {
+/// Returns a page with one table row.
+fn page_with_row(need: &str, budget: &str, source: &str) -> String {
     format!(
         "# Node\n| what | need | budget | verdict | slope | mechanism | source |\n|---|\n\
         | x | {need} | {budget} | ? | ? | `a.rs` | {source} |\n"
     )
 }
 
-/// Figures that are known: one that grows with the square, one that was reached at small sizes alone.
-fn known() -> Records {
+/// Returns records with a cost that grows with the square of the size, and one whose event was reached only at
+/// the small sizes.
+fn sample_records() -> Records {
     let series = |role: &str, cost: &str, unit: &str, points: &[(f64, f64)]| Series {
         role: role.to_owned(),
         cost: cost.to_owned(),
@@ -79,11 +88,11 @@
 }
 
 #[test]
-fn a_row_cannot_say_what_no_record_says() {
-    let right = "before:node/stalled/size@1000";
-    for (source, budget, shall) in [
+fn rows_show_only_figures_computed_from_their_sources() {
+    let valid_source = "before:node/stalled/size@1000";
+    for (source, budget, expected) in [
         (
-            right,
+            valid_source,
             "1.7 ms",
             "200 ms | 1.7 ms | missing, 118 times | 2.00 (2.00 to 2.00), 10 to 1,000, played |",
         ),
@@ -111,24 +120,26 @@
             "not measured: no record of this build yet | 1.7 ms | not measured | none |",
         ),
     ] {
-        let (anew, rows) = written(&page("?", budget, source), &known()).expect("known");
-        assert!(anew.contains(&format!("| x | {shall}")), "{anew}");
+        let (rendered, rows) =
+            render(&page_with_row("?", budget, source), &sample_records()).expect("valid");
+        assert!(rendered.contains(&format!("| x | {expected}")), "{rendered}");
         assert_eq!((rows.len(), &rows[0].section[..]), (1, "Node"));
     }
     let text = "<!--= before:node/stalled/size@1000 -->7 s<!--/--> each\n";
-    assert_eq!(written(text, &known()).expect("known").0, text.replace("7 s", "200 ms"));
+    assert_eq!(render(text, &sample_records()).expect("valid").0, text.replace("7 s", "200 ms"));
     for (need, budget, source) in [
         ("6.5 s", "1.7 ms", "none"),
         ("not measured: ", "1.7 ms", "none"),
-        ("6.5 s", "", right),
-        ("6.5 s", "1.7 MB", right),
+        ("6.5 s", "", valid_source),
+        ("6.5 s", "1.7 MB", valid_source),
         ("6.5 s", "1.7 ms", ""),
         ("6.5 s", "1.7 ms", "before:node/gap/size@1000"),
         ("6.5 s", "1.7 ms", "after:node/stalled/size@1000"),
         ("6.5 s", "1.7 ms", "before:node/stalled/size@1000 + 3 MB"),
         ("6.5 s", "1.7 ms", "before:node/stalled/size@1000 * x"),
     ] {
-        let wrong = written(&page(need, budget, source), &known()).expect_err("nothing is known of it");
-        assert!(wrong[0].starts_with("Node: x: "), "{wrong:?}");
+        let errors =
+            render(&page_with_row(need, budget, source), &sample_records()).expect_err("invalid row");
+        assert!(errors[0].starts_with("Node: x: "), "{errors:?}");
     }
 }
