--- a/crates/lab/src/capacity/node.rs
+++ b/crates/lab/src/capacity/node.rs
@@ -1,16 +1,15 @@
-//! What one node costs at size: a real process before a hollow discovery, whose backends are dead, or
-//! many names of a few hollow servers.
+//! Measures what one node costs by size. A real node process gets its list from a fake discovery service; the
+//! backends of the list are either a port that refuses connections, or a few fake servers under many names.
 //!
-//! Processor time is the process's own, of all its threads, as the system counts it in nanoseconds. Each
-//! process runs under a shell that ends it, and removes its files, when this program ends in whatever
-//! way.
+//! Processor time is that of all threads of the node's process, as the kernel counts it in nanoseconds. Each
+//! process runs under a shell script that kills it and removes its files whenever this program ends.
 
 mod environment;
 mod process;
 
 use super::{MeasureError, MeasureOptions, Point, Series};
 use environment::{Client, FakeDiscovery, FakeServers, LatencyProbe, ServerReply, closed_port};
-use process::Process;
+use process::NodeProcess;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,171 +17,178 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A whole run takes no longer.
-const LONGEST: Duration = Duration::from_secs(40 * 60);
-/// Nor does anything that a node is waited for.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// A reload that took longer than this is measured once.
-const LONG_RELOAD_MS: f64 = 10_000.0;
-/// One that will take longer, if it grows with the square of the size, is not measured at all.
-const LONGEST_RELOAD_MS: f64 = 45_000.0;
-/// Live servers behind all names of the list.
-const LIVE: usize = 8;
-/// Keys of keyed requests.
+/// Longest duration of the measurement of all axes.
+const MAX_DURATION: Duration = Duration::from_secs(40 * 60);
+/// Longest time to wait for any action of a node.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// A reload that takes longer than this at a size is not repeated at that size.
+const MAX_REPEATED_RELOAD_MS: f64 = 10_000.0;
+/// A reload is skipped if it is expected to take longer than this, assuming that it grows with the square of the
+/// size.
+const MAX_RELOAD_MS: f64 = 45_000.0;
+/// Number of fake servers that serve all names of a list.
+const LIVE_SERVERS: usize = 8;
+/// Number of distinct keys of keyed requests.
 const KEYS: usize = 16;
-/// Whether a node has come to rest is looked at so often.
-const LOOK: Duration = Duration::from_millis(5);
-/// At rest it uses less than this part of a core from one look to the next; while it is asked for words,
-/// less than the second.
-const AT_REST: f64 = 0.1;
-const BUT_FOR_WORDS: f64 = 0.6;
-/// Requests of one kind are not sent for longer.
-const ENOUGH: Duration = Duration::from_secs(4);
-/// Zones of the lists, but on the axis of zones.
+/// Length of the windows in which the check for an idle node measures processor time.
+const IDLE_CHECK_WINDOW: Duration = Duration::from_millis(5);
+/// A node is idle if it uses fewer cores than this during a window.
+const MAX_IDLE_CORES: f64 = 0.1;
+/// The same limit while a [`LatencyProbe`] sends health checks to the node.
+const MAX_IDLE_CORES_WITH_PROBE: f64 = 0.6;
+/// Longest time for which requests of one kind are sent.
+const MAX_REQUESTS_DURATION: Duration = Duration::from_secs(4);
+/// Number of zones of a list, except on the axis of zones.
 const ZONES: usize = 12;
 
-/// Sizes and lengths of one run.
-struct Extent {
+/// Sizes, durations and counts of a measurement.
+struct Workload {
     backends: Vec<usize>,
     tenants: Vec<usize>,
     classes: Vec<usize>,
     zones: Vec<usize>,
     change_rates: Vec<usize>,
     request_rates: Vec<usize>,
-    /// Backends on the axes of zones, of changes and of requests.
-    few: [usize; 3],
-    /// For how long a node at rest is looked at, and one that works at a rate.
-    rest: Duration,
-    /// Single changes, whole lists and requests of each kind.
-    times: [usize; 3],
+    /// Number of backends on the axes of zones, of change rates and of request rates.
+    backends_on_axis: [usize; 3],
+    /// Time for which an idle node, or a node under a constant rate, is measured.
+    window: Duration,
+    /// Number of single changes, of full lists, and of requests of each kind.
+    counts: [usize; 3],
 }
 
-impl Extent {
-    fn of(m: &MeasureOptions) -> Extent {
-        if m.quick {
-            return Extent {
+impl Workload {
+    fn of(options: &MeasureOptions) -> Workload {
+        if options.quick {
+            return Workload {
                 backends: vec![20, 60, 200, 600, 1000],
                 tenants: vec![20, 60, 200, 600, 1000],
                 classes: vec![5, 15, 50, 150, 250],
                 zones: vec![1, 2, 4, 12, 32],
                 change_rates: vec![5, 15, 50, 100, 150],
                 request_rates: vec![10, 30, 100, 200, 300],
-                few: [100, 100, 50],
-                rest: Duration::from_millis(300),
-                times: [5, 2, 20],
+                backends_on_axis: [100, 100, 50],
+                window: Duration::from_millis(300),
+                counts: [5, 2, 20],
             };
         }
-        Extent {
+        Workload {
             backends: vec![100, 300, 1000, 3000, 10_000, 47_000],
             tenants: vec![100, 300, 1000, 3000, 10_000, 30_000, 110_000],
             classes: vec![10, 30, 100, 300, 1000, 3000, 22_000],
             zones: vec![1, 2, 4, 12, 32],
             change_rates: vec![3, 10, 30, 100, 300],
             request_rates: vec![30, 100, 300, 1000, 2000],
-            few: [3000, 10_000, 1000],
-            rest: Duration::from_secs(3),
-            times: [30, 3, 400],
+            backends_on_axis: [3000, 10_000, 1000],
+            window: Duration::from_secs(3),
+            counts: [30, 3, 400],
         }
     }
 }
 
-/// Measures the node.
+/// Measures the node on all axes.
 ///
 /// # Errors
-/// The node does not do what is waited for, or the system fails.
-pub fn measure(m: &MeasureOptions) -> Result<Vec<Series>, MeasureError> {
-    measure_with_baseline(m, None, &[])
+/// Returns [`MeasureError::Unexpected`] if the node does not behave as expected in time, and
+/// [`MeasureError::Io`] if an operation of the operating system fails.
+pub fn measure(options: &MeasureOptions) -> Result<Vec<Series>, MeasureError> {
+    measure_with_baseline(options, None, &[])
 }
 
-/// The axes that can be measured.
+/// Axes on which a node can be measured.
 pub const AXES: [&str; 6] = ["backends", "tenants", "classes", "zones", "changes_per_s", "requests_per_s"];
 
-/// Measures the node on the named axes, or on all, and, by turns, another one, whose role is `node-before`.
+/// Measures the node on the axes in `selected`, or on all axes if it is empty. The program `baseline`, if given,
+/// is measured alternately with the node, as role `node-before`.
 ///
 /// # Errors
-/// As above, of either.
+/// Returns the errors of [`measure`], for either program.
 pub fn measure_with_baseline(
-    m: &MeasureOptions,
-    before: Option<&Path>,
-    named: &[String],
+    options: &MeasureOptions,
+    baseline: Option<&Path>,
+    selected: &[String],
 ) -> Result<Vec<Series>, MeasureError> {
-    let extent = Extent::of(m);
-    let end = Instant::now() + LONGEST;
-    let mut book = Book::default();
-    let mut sides = vec![("node", m.node_program.as_path())];
-    sides.extend(before.map(|path| ("node-before", path)));
+    let workload = Workload::of(options);
+    let end = Instant::now() + MAX_DURATION;
+    let mut recorder = SeriesRecorder::default();
+    let mut programs = vec![("node", options.node_program.as_path())];
+    programs.extend(baseline.map(|path| ("node-before", path)));
     let axes: [(&[usize], Axis); 6] = [
-        (&extent.backends, backends),
-        (&extent.tenants, tenants),
-        (&extent.classes, classes),
-        (&extent.zones, zones),
-        (&extent.change_rates, change_rates),
-        (&extent.request_rates, request_rates),
+        (&workload.backends, measure_backends),
+        (&workload.tenants, measure_tenants),
+        (&workload.classes, measure_classes),
+        (&workload.zones, measure_zones),
+        (&workload.change_rates, measure_change_rates),
+        (&workload.request_rates, measure_request_rates),
     ];
-    for ((sizes, axis), name) in axes.into_iter().zip(AXES) {
-        if !named.is_empty() && !named.iter().any(|n| n == name) {
+    for ((sizes, measure_axis), name) in axes.into_iter().zip(AXES) {
+        if !selected.is_empty() && !selected.iter().any(|n| n == name) {
             continue;
         }
-        for repetition in 0..m.repetitions.max(1) {
+        for repetition in 0..options.repetitions.max(1) {
             for size in sizes {
-                // Whoever goes first goes second the next time.
-                sides.reverse();
-                for (role, program) in &sides {
+                // The two programs take turns in being measured first.
+                programs.reverse();
+                for (role, program) in &programs {
                     if Instant::now() > end {
                         return Err(MeasureError::Unexpected(format!(
-                            "the node's part took over {} s",
-                            LONGEST.as_secs()
+                            "the measurement of the node took over {} s",
+                            MAX_DURATION.as_secs()
                         )));
                     }
-                    let seed = m.seed.wrapping_add(repetition as u64);
-                    let mut run = Run { role, program, seed, extent: &extent, book: &mut book };
-                    axis(&mut run, *size)?;
+                    let seed = options.seed.wrapping_add(repetition as u64);
+                    let mut run =
+                        SizeRun { role, program, seed, workload: &workload, recorder: &mut recorder };
+                    measure_axis(&mut run, *size)?;
                 }
             }
         }
     }
-    Ok(book.series())
+    Ok(recorder.series())
 }
 
-type Axis = fn(&mut Run, usize) -> Result<(), MeasureError>;
+/// Function that measures one size of an axis.
+type Axis = fn(&mut SizeRun, usize) -> Result<(), MeasureError>;
 
-/// Names and units of a series, and its values by size.
-type Named = (String, &'static str, &'static str, &'static str);
+/// Role, cost, unit and axis of a series.
+type SeriesKey = (String, &'static str, &'static str, &'static str);
 
+/// Collects the measured values of all series.
 #[derive(Default)]
-struct Book {
-    /// In the order in which they were first measured.
-    order: Vec<Named>,
-    values: BTreeMap<Named, BTreeMap<usize, Vec<f64>>>,
+struct SeriesRecorder {
+    /// Keys of the series, in the order in which they were first recorded.
+    order: Vec<SeriesKey>,
+    /// Values of each series, by size.
+    values: BTreeMap<SeriesKey, BTreeMap<usize, Vec<f64>>>,
 }
 
-impl Book {
+impl SeriesRecorder {
     fn series(self) -> Vec<Series> {
-        let Book { order, mut values } = self;
+        let SeriesRecorder { order, mut values } = self;
         order
             .into_iter()
-            .map(|name| {
-                let points = values.remove(&name).unwrap_or_default();
+            .map(|key| {
+                let points = values.remove(&key).unwrap_or_default();
                 let points =
                     points.into_iter().map(|(size, values)| Point { size: size as f64, values }).collect();
-                let (role, cost, unit, axis) = name;
+                let (role, cost, unit, axis) = key;
                 Series { role, cost: cost.to_owned(), unit: unit.to_owned(), axis: axis.to_owned(), points }
             })
             .collect()
     }
 }
 
-/// One size of one axis, once.
-struct Run<'a> {
+/// One measurement of one program at one size of an axis.
+struct SizeRun<'a> {
     role: &'a str,
     program: &'a Path,
     seed: u64,
-    extent: &'a Extent,
-    book: &'a mut Book,
+    workload: &'a Workload,
+    recorder: &'a mut SeriesRecorder,
 }
 
-impl Run<'_> {
-    fn note(
+impl SizeRun<'_> {
+    fn record(
         &mut self,
         axis: &'static str,
         size: usize,
@@ -190,37 +196,44 @@
         unit: &'static str,
         value: f64,
     ) {
-        let name = (self.role.to_owned(), cost, unit, axis);
-        if !self.book.values.contains_key(&name) {
-            self.book.order.push(name.clone());
+        let key = (self.role.to_owned(), cost, unit, axis);
+        if !self.recorder.values.contains_key(&key) {
+            self.recorder.order.push(key.clone());
         }
-        self.book.values.entry(name).or_default().entry(size).or_default().push(value);
+        self.recorder.values.entry(key).or_default().entry(size).or_default().push(value);
     }
 
-    fn list(&self, count: usize, zones: usize, at: &[SocketAddr]) -> List {
-        List { seed: self.seed, count, zones, at: at.to_vec() }
+    fn list(&self, count: usize, zones: usize, addresses: &[SocketAddr]) -> BackendList {
+        BackendList { seed: self.seed, count, zones, addresses: addresses.to_vec() }
     }
 
-    fn start(&self, discovery: SocketAddr, change: impl FnOnce(&mut Value), topology: bool) -> Started {
-        Process::start(self.program, discovery, self.seed, change, topology)
+    fn start(
+        &self,
+        discovery: SocketAddr,
+        edit_config: impl FnOnce(&mut Value),
+        has_topology: bool,
+    ) -> StartResult {
+        NodeProcess::start(self.program, discovery, self.seed, edit_config, has_topology)
     }
 }
 
-type Started = Result<(Process, f64), MeasureError>;
+/// The started process, and the time in milliseconds until it was ready.
+type StartResult = Result<(NodeProcess, f64), MeasureError>;
 
-/// A list that is told: so many names, spread over zones and addresses.
-struct List {
+/// A generated list of `count` backends, which are spread evenly over the zones and over the addresses.
+struct BackendList {
     seed: u64,
     count: usize,
     zones: usize,
-    at: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
 }
 
-impl List {
+impl BackendList {
+    /// Returns the entry of the n-th backend in the JSON form of discovery.
     fn entry(&self, n: usize, state: &str) -> String {
-        let at = self.at[n % self.at.len()];
+        let address = self.addresses[n % self.addresses.len()];
         format!(
-            "{{\"uid\":\"cs-{:04x}-{n:06}\",\"endpoint\":\"{at}\",\"az\":\"zone-{}\",\"model\":\"m\",\
+            "{{\"uid\":\"cs-{:04x}-{n:06}\",\"endpoint\":\"{address}\",\"az\":\"zone-{}\",\"model\":\"m\",\
              \"pod_group\":{},\
              \"state\":\"{state}\",\"capacity_hint\":1.0,\"boot_ms\":0}}",
             self.seed & 0xffff,
@@ -229,141 +242,160 @@
         )
     }
 
-    /// All but those of the first `lost` zones.
-    fn whole(&self, lost: usize) -> String {
-        let there = (0..self.count).filter(|n| n % self.zones >= lost);
-        there.map(|n| self.entry(n, "up")).collect::<Vec<String>>().join(",")
+    /// Returns the entries of all backends except those in the first `lost_zones` zones, joined by commas.
+    fn entries_outside_zones(&self, lost_zones: usize) -> String {
+        let remaining = (0..self.count).filter(|n| n % self.zones >= lost_zones);
+        remaining.map(|n| self.entry(n, "up")).collect::<Vec<String>>().join(",")
     }
 }
 
-/// Waits until a node is done with what it was told: it may go on from a list before all of that is taken
-/// in. Two looks in a row have to find it at rest, or with no more to do than `part` of a core.
-fn settle(node: &Process, part: f64) -> Result<(), MeasureError> {
-    let end = Instant::now() + PATIENCE;
-    let mut quiet = 0;
-    while quiet < 2 {
+/// Waits until a node uses fewer than `max_cores` cores in two successive windows. A node acknowledges a list
+/// before it has processed all of it.
+///
+/// # Errors
+/// Returns [`MeasureError::Unexpected`] if the node does not become idle within [`WAIT_TIMEOUT`].
+fn wait_until_idle(node: &NodeProcess, max_cores: f64) -> Result<(), MeasureError> {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    let mut idle_windows = 0;
+    while idle_windows < 2 {
         if Instant::now() > end {
-            return Err(MeasureError::Unexpected("the node does not come to rest".to_owned()));
+            return Err(MeasureError::Unexpected("the node does not become idle".to_owned()));
         }
-        quiet = if at_rest(node, LOOK)? < part { quiet + 1 } else { 0 };
+        idle_windows = if used_cores(node, IDLE_CHECK_WINDOW)? < max_cores { idle_windows + 1 } else { 0 };
     }
     Ok(())
 }
 
-/// Processor time that a node uses at rest, in cores, over so long.
-fn at_rest(node: &Process, window: Duration) -> Result<f64, MeasureError> {
-    let (from, begun) = (node.cpu_ns()?, Instant::now());
+/// Waits for `window` and returns the processor time that the node used meanwhile, in cores.
+fn used_cores(node: &NodeProcess, window: Duration) -> Result<f64, MeasureError> {
+    let (cpu_before_ns, started) = (node.cpu_ns()?, Instant::now());
     sleep(window);
-    Ok((node.cpu_ns()? - from) as f64 / begun.elapsed().as_nanos() as f64)
+    Ok((node.cpu_ns()? - cpu_before_ns) as f64 / started.elapsed().as_nanos() as f64)
 }
 
-/// Processor time of `work` in milliseconds, less what rest would have cost.
-fn cpu_of(
-    node: &Process,
-    rest: f64,
+/// Returns the processor time that a node spends on `work`, in milliseconds, less the time that the idle node
+/// uses meanwhile. `idle_cores` is the processor time of the idle node, in cores.
+fn cpu_ms_of(
+    node: &NodeProcess,
+    idle_cores: f64,
     work: impl FnOnce() -> Result<(), MeasureError>,
 ) -> Result<f64, MeasureError> {
-    settle(node, AT_REST)?;
-    let (from, begun) = (node.cpu_ns()?, Instant::now());
+    wait_until_idle(node, MAX_IDLE_CORES)?;
+    let (cpu_before_ns, started) = (node.cpu_ns()?, Instant::now());
     work()?;
-    settle(node, AT_REST)?;
-    let used = (node.cpu_ns()? - from) as f64 - rest * begun.elapsed().as_nanos() as f64;
+    wait_until_idle(node, MAX_IDLE_CORES)?;
+    let used = (node.cpu_ns()? - cpu_before_ns) as f64 - idle_cores * started.elapsed().as_nanos() as f64;
     Ok(used.max(0.0) / 1e6)
 }
 
-fn backends(run: &mut Run, size: usize) -> Result<(), MeasureError> {
-    dead_backends(run, size)?;
-    live_backends(run, size)
+fn measure_backends(run: &mut SizeRun, size: usize) -> Result<(), MeasureError> {
+    measure_closed_backends(run, size)?;
+    measure_live_backends(run, size)
 }
 
-/// From its start with a list of dead backends: time, memory, rest, and a request that finds none.
-fn dead_backends(run: &mut Run, size: usize) -> Result<(), MeasureError> {
+/// Starts a node with a list of backends that refuse connections, and measures its start, its memory, its idle
+/// processor time, and requests that find no backend.
+fn measure_closed_backends(run: &mut SizeRun, size: usize) -> Result<(), MeasureError> {
     const AXIS: &str = "backends";
-    let dead = closed_port()?;
-    let discovery = FakeDiscovery::start(&run.list(size, ZONES, &[dead.address]).whole(0))?;
+    let closed = closed_port()?;
+    let discovery =
+        FakeDiscovery::start(&run.list(size, ZONES, &[closed.address]).entries_outside_zones(0))?;
     let (node, ready_ms) = run.start(discovery.address, |_| {}, false)?;
-    run.note(AXIS, size, "ready", "ms", ready_ms);
-    run.note(AXIS, size, "ready_cpu", "ms", node.cpu_ns()? as f64 / 1e6);
-    run.note(AXIS, size, "list_bytes", "bytes", discovery.written() as f64);
-    // The tick after the list has been, too.
-    sleep(run.extent.rest / 4);
-    run.note(AXIS, size, "memory_peak", "MB", node.memory_mb("VmHWM:")?);
-    run.note(AXIS, size, "memory_rest", "MB", node.memory_mb("VmRSS:")?);
-    let rest = at_rest(&node, run.extent.rest)?;
-    run.note(AXIS, size, "rest", "cores", rest);
-    let dead = request_cpu(run, &node, rest, &|n| format!("X-Object: o-{n}\r\n"), false)?;
-    run.note(AXIS, size, "request_dead", "us", dead);
+    run.record(AXIS, size, "ready", "ms", ready_ms);
+    run.record(AXIS, size, "ready_cpu", "ms", node.cpu_ns()? as f64 / 1e6);
+    run.record(AXIS, size, "list_bytes", "bytes", discovery.bytes_written() as f64);
+    // Includes the node's first tick after the list.
+    sleep(run.workload.window / 4);
+    run.record(AXIS, size, "memory_peak", "MB", node.memory_mb("VmHWM:")?);
+    run.record(AXIS, size, "memory_rest", "MB", node.memory_mb("VmRSS:")?);
+    let idle_cores = used_cores(&node, run.workload.window)?;
+    run.record(AXIS, size, "rest", "cores", idle_cores);
+    let value = request_cpu_us(run, &node, idle_cores, &|n| format!("X-Object: o-{n}\r\n"), false)?;
+    run.record(AXIS, size, "request_dead", "us", value);
     Ok(())
 }
 
-/// From a list of one: whole lists, changes, and requests to live servers.
-fn live_backends(run: &mut Run, size: usize) -> Result<(), MeasureError> {
+/// Starts a node with one backend, and measures full lists, single changes, and requests to live servers.
+fn measure_live_backends(run: &mut SizeRun, size: usize) -> Result<(), MeasureError> {
     const AXIS: &str = "backends";
-    let servers = FakeServers::start(LIVE)?;
+    let servers = FakeServers::start(LIVE_SERVERS)?;
     let list = run.list(size, ZONES, &servers.addresses);
-    let one = run.list(1, ZONES, &servers.addresses).whole(0);
+    let one = run.list(1, ZONES, &servers.addresses).entries_outside_zones(0);
     let discovery = FakeDiscovery::start(&one)?;
     let (node, _) = run.start(discovery.address, |_| {}, false)?;
-    let rest_of_one = at_rest(&node, run.extent.rest / 4)?;
-    let whole = |body: &str| discovery.tell_whole(body, PATIENCE);
-    let all = list.whole(0);
-
-    let first = cpu_of(&node, rest_of_one, || whole(&all))?;
-    run.note(AXIS, size, "list_first", "ms", first);
-    whole(&one)?;
-    settle(&node, AT_REST)?;
-    let gaps = LatencyProbe::watch(node.listen)?;
-    whole(&all)?;
-    settle(&node, BUT_FOR_WORDS)?;
-    run.note(AXIS, size, "gap_list_first", "ms", gaps.longest_ms());
-
-    let rest = at_rest(&node, run.extent.rest / 4)?;
-    let [changes, lists, _] = run.extent.times;
-    let (mut same, mut gap) = (Vec::new(), Vec::new());
+    let idle_cores_with_one = used_cores(&node, run.workload.window / 4)?;
+    let send_list = |body: &str| discovery.send_list(body, WAIT_TIMEOUT);
+    let all = list.entries_outside_zones(0);
+
+    let first = cpu_ms_of(&node, idle_cores_with_one, || send_list(&all))?;
+    run.record(AXIS, size, "list_first", "ms", first);
+    send_list(&one)?;
+    wait_until_idle(&node, MAX_IDLE_CORES)?;
+    let latency_probe = LatencyProbe::start(node.listen)?;
+    send_list(&all)?;
+    wait_until_idle(&node, MAX_IDLE_CORES_WITH_PROBE)?;
+    run.record(AXIS, size, "gap_list_first", "ms", latency_probe.max_gap_ms());
+
+    let idle_cores = used_cores(&node, run.workload.window / 4)?;
+    let [changes, lists, _] = run.workload.counts;
+    let (mut same_ms, mut gaps_ms) = (Vec::new(), Vec::new());
     for _ in 0..lists {
-        same.push(cpu_of(&node, rest, || whole(&all))?);
-        let gaps = LatencyProbe::watch(node.listen)?;
-        whole(&all)?;
-        settle(&node, BUT_FOR_WORDS)?;
-        gap.push(gaps.longest_ms());
+        same_ms.push(cpu_ms_of(&node, idle_cores, || send_list(&all))?);
+        let latency_probe = LatencyProbe::start(node.listen)?;
+        send_list(&all)?;
+        wait_until_idle(&node, MAX_IDLE_CORES_WITH_PROBE)?;
+        gaps_ms.push(latency_probe.max_gap_ms());
     }
-    run.note(AXIS, size, "list_same", "ms", super::fit::median(&same));
-    run.note(AXIS, size, "gap_list_same", "ms", super::fit::median(&gap));
-    for (lost, gone, back) in
+    run.record(AXIS, size, "list_same", "ms", super::fit::median(&same_ms));
+    run.record(AXIS, size, "gap_list_same", "ms", super::fit::median(&gaps_ms));
+    for (lost, cost_lost, cost_back) in
         [(ZONES / 3, "list_third_lost", "list_third_back"), (1, "list_twelfth_lost", "list_twelfth_back")]
     {
-        let less = list.whole(lost);
-        run.note(AXIS, size, gone, "ms", cpu_of(&node, rest, || whole(&less))?);
-        run.note(AXIS, size, back, "ms", cpu_of(&node, rest, || whole(&all))?);
+        let reduced = list.entries_outside_zones(lost);
+        run.record(AXIS, size, cost_lost, "ms", cpu_ms_of(&node, idle_cores, || send_list(&reduced))?);
+        run.record(AXIS, size, cost_back, "ms", cpu_ms_of(&node, idle_cores, || send_list(&all))?);
     }
 
-    let before = discovery.written();
-    let mut singles = Vec::new();
-    let mut draw = fastrand_of(run.seed);
+    let before = discovery.bytes_written();
+    let mut change_costs_ms = Vec::new();
+    let mut draw = random_below(run.seed);
     for n in 0..changes {
         let entry = list.entry(draw(size), if n % 2 == 0 { "draining" } else { "up" });
-        singles.push(cpu_of(&node, rest, || discovery.tell_changes(&[entry], PATIENCE))?);
+        change_costs_ms
+            .push(cpu_ms_of(&node, idle_cores, || discovery.send_changes(&[entry], WAIT_TIMEOUT))?);
     }
-    run.note(AXIS, size, "change", "ms", super::fit::median(&singles));
-    run.note(AXIS, size, "change_bytes", "bytes", (discovery.written() - before) as f64 / changes as f64);
-    whole(&all)?;
+    run.record(AXIS, size, "change", "ms", super::fit::median(&change_costs_ms));
+    run.record(
+        AXIS,
+        size,
+        "change_bytes",
+        "bytes",
+        (discovery.bytes_written() - before) as f64 / changes as f64,
+    );
+    send_list(&all)?;
 
     let keyed = |n: usize| format!("X-Object: o-{}\r\n", n % KEYS);
-    let value = request_cpu(run, &node, rest, &keyed, true)?;
-    run.note(AXIS, size, "request_keyed", "us", value);
-    let value = request_cpu(run, &node, rest, &|_| String::new(), true)?;
-    run.note(AXIS, size, "request_unkeyed", "us", value);
-    servers.answer(ServerReply::Full);
-    let before = servers.asked();
-    let value = request_cpu(run, &node, rest, &keyed, false)?;
-    let asked = (servers.asked() - before) as f64;
-    run.note(AXIS, size, "request_blocked_attempts", "count", asked / (KEYS + run.extent.times[2]) as f64);
-    run.note(AXIS, size, "request_blocked", "us", value);
+    let value = request_cpu_us(run, &node, idle_cores, &keyed, true)?;
+    run.record(AXIS, size, "request_keyed", "us", value);
+    let value = request_cpu_us(run, &node, idle_cores, &|_| String::new(), true)?;
+    run.record(AXIS, size, "request_unkeyed", "us", value);
+    servers.set_reply(ServerReply::Full);
+    let before = servers.request_count();
+    let value = request_cpu_us(run, &node, idle_cores, &keyed, false)?;
+    let attempts = (servers.request_count() - before) as f64;
+    run.record(
+        AXIS,
+        size,
+        "request_blocked_attempts",
+        "count",
+        attempts / (KEYS + run.workload.counts[2]) as f64,
+    );
+    run.record(AXIS, size, "request_blocked", "us", value);
     Ok(())
 }
 
-/// Draws below a bound, from a seed.
-fn fastrand_of(seed: u64) -> impl FnMut(usize) -> usize {
+/// Returns a generator of random numbers below a bound, from a seed.
+fn random_below(seed: u64) -> impl FnMut(usize) -> usize {
     let mut n = seed;
     move |below| {
         n = n.wrapping_add(1);
@@ -371,170 +403,182 @@
     }
 }
 
-/// Processor time of a request in microseconds, as the mean of many, one after the other.
-fn request_cpu(
-    run: &Run,
-    node: &Process,
-    rest: f64,
-    fields: &dyn Fn(usize) -> String,
-    serves: bool,
+/// Returns the mean processor time of a request in microseconds, over successive requests on one connection.
+///
+/// # Errors
+/// Returns [`MeasureError::Unexpected`] if the node responds with statuses that do not fit `must_succeed`.
+fn request_cpu_us(
+    run: &SizeRun,
+    node: &NodeProcess,
+    idle_cores: f64,
+    header_lines: &dyn Fn(usize) -> String,
+    must_succeed: bool,
 ) -> Result<f64, MeasureError> {
-    let times = run.extent.times[2];
+    let request_count = run.workload.counts[2];
     let mut client = Client::open(node.listen)?;
-    // Connections and first verdicts are not what is measured.
+    // The first requests open connections and judge the backends, which is not to be measured.
     for n in 0..KEYS {
-        client.ask(&fields(n), PATIENCE)?;
+        client.send_request(&header_lines(n), WAIT_TIMEOUT)?;
     }
     let mut done = 0;
     let mut statuses = BTreeMap::<u16, usize>::new();
-    let ms = cpu_of(node, rest, || {
-        let begun = Instant::now();
-        while done < times && begun.elapsed() < ENOUGH {
-            *statuses.entry(client.ask(&fields(KEYS + done), PATIENCE)?).or_insert(0) += 1;
+    let ms = cpu_ms_of(node, idle_cores, || {
+        let started = Instant::now();
+        while done < request_count && started.elapsed() < MAX_REQUESTS_DURATION {
+            *statuses.entry(client.send_request(&header_lines(KEYS + done), WAIT_TIMEOUT)?).or_insert(0) +=
+                1;
             done += 1;
         }
         Ok(())
     })?;
     let served = statuses.get(&200).copied().unwrap_or(0);
-    let other = statuses.keys().any(|s| ![200, 502, 503, 504].contains(s));
-    // Of a kind that is to be served one in 100 may be refused; of the others none can be served.
-    let wrong = if serves { served * 100 < done * 99 } else { served > 0 };
-    if other || wrong {
+    let has_other_status = statuses.keys().any(|s| ![200, 502, 503, 504].contains(s));
+    // One in 100 requests that must succeed may be refused; no other request may succeed.
+    let is_wrong = if must_succeed { served * 100 < done * 99 } else { served > 0 };
+    if has_other_status || is_wrong {
         return Err(MeasureError::Unexpected(format!(
-            "of {done} requests these were the answers: {statuses:?}"
+            "unexpected statuses of {done} requests: {statuses:?}"
         )));
     }
     Ok(ms * 1000.0 / done.max(1) as f64)
 }
 
-fn tenants(run: &mut Run, size: usize) -> Result<(), MeasureError> {
+fn measure_tenants(run: &mut SizeRun, size: usize) -> Result<(), MeasureError> {
     let entry = |n: usize, quota: f64| json!({"name": format!("tenant-{n:06}"), "quotaRps": quota});
     let list = move |quota| (0..size).map(|n| entry(n, quota)).collect::<Vec<Value>>();
     let last = format!("X-Object: o\r\nX-Customer: tenant-{:06}\r\n", size - 1);
-    settings_axis(run, "tenants", size, "tenants", &list, &last)
+    measure_settings_axis(run, "tenants", size, "tenants", &list, &last)
 }
 
-/// What routes map to where each is a class of its own: the dearest reading.
-fn classes(run: &mut Run, size: usize) -> Result<(), MeasureError> {
+/// Measures settings with one class for each route, the most expensive way to define classes.
+fn measure_classes(run: &mut SizeRun, size: usize) -> Result<(), MeasureError> {
     let list = move |worth: f64| {
         let mut all = process::classes();
-        let own = |n: usize| {
+        let route_class = |n: usize| {
             json!({"name": format!("route-{n:06}"), "semantics": "idempotent", "objectiveMs": 400.0,
                    "hardLimitMs": 1000.0, "value": worth / 1e5})
         };
-        all.extend((all.len()..size).map(own));
+        all.extend((all.len()..size).map(route_class));
         all
     };
     let last = format!("X-Object: o\r\nX-Qos: route-{:06}\r\n", size - 1);
-    settings_axis(run, "classes", size, "classes", &list, &last)
+    measure_settings_axis(run, "classes", size, "classes", &list, &last)
 }
 
-/// An axis that lies in the settings: a start with them, another of their kind by SIGHUP, a request that
-/// names the last.
-fn settings_axis(
-    run: &mut Run,
+/// Measures an axis that is the length of the list `key` in the settings: a start with that list, a reload on
+/// SIGHUP with other values in it, and requests whose header lines `last` name the list's last element.
+fn measure_settings_axis(
+    run: &mut SizeRun,
     axis: &'static str,
     size: usize,
     key: &str,
     list: &dyn Fn(f64) -> Vec<Value>,
     last: &str,
 ) -> Result<(), MeasureError> {
-    let servers = FakeServers::start(LIVE)?;
-    let discovery = FakeDiscovery::start(&run.list(LIVE, 1, &servers.addresses).whole(0))?;
+    let servers = FakeServers::start(LIVE_SERVERS)?;
+    let discovery =
+        FakeDiscovery::start(&run.list(LIVE_SERVERS, 1, &servers.addresses).entries_outside_zones(0))?;
     let (mut node, ready_ms) =
         run.start(discovery.address, |config| config["settings"][key] = list(1e5).into(), false)?;
-    run.note(axis, size, "ready", "ms", ready_ms);
-    sleep(run.extent.rest / 4);
-    run.note(axis, size, "memory_rest", "MB", node.memory_mb("VmRSS:")?);
-    let rest = at_rest(&node, run.extent.rest)?;
-    run.note(axis, size, "rest", "cores", rest);
-    let value = request_cpu(run, &node, rest, &|_| last.to_owned(), true)?;
-    run.note(axis, size, "request_last", "us", value);
-    let name = (run.role.to_owned(), "reload", "ms", axis);
-    let known = run.book.values.get(&name).and_then(|sizes| sizes.range(..=size).next_back());
-    let expected =
-        known.map_or(0.0, |(at, values)| super::fit::median(values) * (size as f64 / *at as f64).powi(2));
-    let again = run.book.values.get(&name).is_some_and(|sizes| sizes.contains_key(&size));
-    if expected > if again { LONG_RELOAD_MS } else { LONGEST_RELOAD_MS } {
+    run.record(axis, size, "ready", "ms", ready_ms);
+    sleep(run.workload.window / 4);
+    run.record(axis, size, "memory_rest", "MB", node.memory_mb("VmRSS:")?);
+    let idle_cores = used_cores(&node, run.workload.window)?;
+    run.record(axis, size, "rest", "cores", idle_cores);
+    let value = request_cpu_us(run, &node, idle_cores, &|_| last.to_owned(), true)?;
+    run.record(axis, size, "request_last", "us", value);
+    let series = (run.role.to_owned(), "reload", "ms", axis);
+    let previous = run.recorder.values.get(&series).and_then(|sizes| sizes.range(..=size).next_back());
+    let expected_ms = previous.map_or(0.0, |(measured_size, values)| {
+        super::fit::median(values) * (size as f64 / *measured_size as f64).powi(2)
+    });
+    let is_repetition = run.recorder.values.get(&series).is_some_and(|sizes| sizes.contains_key(&size));
+    if expected_ms > if is_repetition { MAX_REPEATED_RELOAD_MS } else { MAX_RELOAD_MS } {
         return Ok(());
     }
-    let gaps = LatencyProbe::watch(node.listen)?;
-    let begun = Instant::now();
-    node.reconfigure(|config| config["settings"][key] = list(2e5).into(), PATIENCE)?;
-    run.note(axis, size, "reload", "ms", begun.elapsed().as_secs_f64() * 1000.0);
-    run.note(axis, size, "gap_reload", "ms", gaps.longest_ms());
-    run.note(axis, size, "memory_peak", "MB", node.memory_mb("VmHWM:")?);
+    let latency_probe = LatencyProbe::start(node.listen)?;
+    let started = Instant::now();
+    node.reload_settings(|config| config["settings"][key] = list(2e5).into(), WAIT_TIMEOUT)?;
+    run.record(axis, size, "reload", "ms", started.elapsed().as_secs_f64() * 1000.0);
+    run.record(axis, size, "gap_reload", "ms", latency_probe.max_gap_ms());
+    run.record(axis, size, "memory_peak", "MB", node.memory_mb("VmHWM:")?);
     Ok(())
 }
 
-/// Zones are judged as a whole here, which costs most.
-fn zones(run: &mut Run, size: usize) -> Result<(), MeasureError> {
+/// Measures the axis of zones with a topology configured, under which the node also judges whole zones: the most
+/// expensive configuration.
+fn measure_zones(run: &mut SizeRun, size: usize) -> Result<(), MeasureError> {
     const AXIS: &str = "zones";
-    let servers = FakeServers::start(LIVE)?;
-    let list = run.list(run.extent.few[0], size, &servers.addresses);
-    let all = list.whole(0);
+    let servers = FakeServers::start(LIVE_SERVERS)?;
+    let list = run.list(run.workload.backends_on_axis[0], size, &servers.addresses);
+    let all = list.entries_outside_zones(0);
     let discovery = FakeDiscovery::start(&all)?;
     let areas: Vec<String> = (0..size).map(|n| format!("zone-{n}")).collect();
     let (node, _) =
         run.start(discovery.address, |config| config["settings"]["areas"] = json!(areas), true)?;
-    sleep(run.extent.rest / 4);
-    let rest = at_rest(&node, run.extent.rest)?;
-    run.note(AXIS, size, "rest", "cores", rest);
-    let same = cpu_of(&node, rest, || discovery.tell_whole(&all, PATIENCE))?;
-    run.note(AXIS, size, "list_same", "ms", same);
-    let value = request_cpu(run, &node, rest, &|_| String::new(), true)?;
-    run.note(AXIS, size, "request_unkeyed", "us", value);
+    sleep(run.workload.window / 4);
+    let idle_cores = used_cores(&node, run.workload.window)?;
+    run.record(AXIS, size, "rest", "cores", idle_cores);
+    let same = cpu_ms_of(&node, idle_cores, || discovery.send_list(&all, WAIT_TIMEOUT))?;
+    run.record(AXIS, size, "list_same", "ms", same);
+    let value = request_cpu_us(run, &node, idle_cores, &|_| String::new(), true)?;
+    run.record(AXIS, size, "request_unkeyed", "us", value);
     Ok(())
 }
 
-fn change_rates(run: &mut Run, rate: usize) -> Result<(), MeasureError> {
-    let dead = closed_port()?;
-    let list = run.list(run.extent.few[1], ZONES, &[dead.address]);
-    let discovery = FakeDiscovery::start(&list.whole(0))?;
+/// Measures processor time and calls to discovery at a constant rate of single changes per second.
+fn measure_change_rates(run: &mut SizeRun, rate: usize) -> Result<(), MeasureError> {
+    let closed = closed_port()?;
+    let list = run.list(run.workload.backends_on_axis[1], ZONES, &[closed.address]);
+    let discovery = FakeDiscovery::start(&list.entries_outside_zones(0))?;
     let (node, _) = run.start(discovery.address, |_| {}, false)?;
-    sleep(run.extent.rest / 4);
-    let mut draw = fastrand_of(run.seed);
-    let (from, calls, begun) = (node.cpu_ns()?, discovery.calls(), Instant::now());
+    sleep(run.workload.window / 4);
+    let mut draw = random_below(run.seed);
+    let (cpu_before_ns, calls, started) = (node.cpu_ns()?, discovery.call_count(), Instant::now());
     let mut n = 0;
-    while begun.elapsed() < run.extent.rest {
-        discovery.put_changes(&[list.entry(draw(list.count), if n % 2 == 0 { "draining" } else { "up" })]);
+    while started.elapsed() < run.workload.window {
+        discovery
+            .publish_changes(&[list.entry(draw(list.count), if n % 2 == 0 { "draining" } else { "up" })]);
         n += 1;
         sleep(
-            (begun + Duration::from_secs_f64(n as f64 / rate as f64))
+            (started + Duration::from_secs_f64(n as f64 / rate as f64))
                 .saturating_duration_since(Instant::now()),
         );
     }
-    let cores = (node.cpu_ns()? - from) as f64 / begun.elapsed().as_nanos() as f64;
-    run.note("changes_per_s", rate, "changes_cpu", "cores", cores);
-    let per_second = (discovery.calls() - calls) as f64 / begun.elapsed().as_secs_f64();
-    run.note("changes_per_s", rate, "changes_calls", "calls/s", per_second);
+    let cores = (node.cpu_ns()? - cpu_before_ns) as f64 / started.elapsed().as_nanos() as f64;
+    run.record("changes_per_s", rate, "changes_cpu", "cores", cores);
+    let per_second = (discovery.call_count() - calls) as f64 / started.elapsed().as_secs_f64();
+    run.record("changes_per_s", rate, "changes_calls", "calls/s", per_second);
     Ok(())
 }
 
-fn request_rates(run: &mut Run, rate: usize) -> Result<(), MeasureError> {
-    let servers = FakeServers::start(LIVE)?;
-    let discovery = FakeDiscovery::start(&run.list(run.extent.few[2], ZONES, &servers.addresses).whole(0))?;
+/// Measures processor time at a constant rate of requests per second.
+fn measure_request_rates(run: &mut SizeRun, rate: usize) -> Result<(), MeasureError> {
+    let servers = FakeServers::start(LIVE_SERVERS)?;
+    let discovery = FakeDiscovery::start(
+        &run.list(run.workload.backends_on_axis[2], ZONES, &servers.addresses).entries_outside_zones(0),
+    )?;
     let (node, _) = run.start(discovery.address, |_| {}, false)?;
-    sleep(run.extent.rest / 4);
+    sleep(run.workload.window / 4);
     let mut client = Client::open(node.listen)?;
     let keyed = |n: usize| format!("X-Object: o-{}\r\n", n % KEYS);
     for n in 0..KEYS {
-        client.ask(&keyed(n), PATIENCE)?;
+        client.send_request(&keyed(n), WAIT_TIMEOUT)?;
     }
-    let (from, begun) = (node.cpu_ns()?, Instant::now());
+    let (cpu_before_ns, started) = (node.cpu_ns()?, Instant::now());
     let mut n = 0;
-    while begun.elapsed() < run.extent.rest {
-        client.ask(&keyed(n), PATIENCE)?;
+    while started.elapsed() < run.workload.window {
+        client.send_request(&keyed(n), WAIT_TIMEOUT)?;
         n += 1;
         sleep(
-            (begun + Duration::from_secs_f64(n as f64 / rate as f64))
+            (started + Duration::from_secs_f64(n as f64 / rate as f64))
                 .saturating_duration_since(Instant::now()),
         );
     }
-    let elapsed = begun.elapsed();
-    let cores = (node.cpu_ns()? - from) as f64 / elapsed.as_nanos() as f64;
-    // Where one connection cannot keep up, the figure is scaled to what was due.
-    let kept = n as f64 / (elapsed.as_secs_f64() * rate as f64);
-    run.note("requests_per_s", rate, "requests_cpu", "cores", cores / kept.min(1.0));
+    let elapsed = started.elapsed();
+    let cores = (node.cpu_ns()? - cpu_before_ns) as f64 / elapsed.as_nanos() as f64;
+    // If one connection cannot reach the rate, the result is scaled to the requested rate.
+    let reached_share = n as f64 / (elapsed.as_secs_f64() * rate as f64);
+    run.record("requests_per_s", rate, "requests_cpu", "cores", cores / reached_share.min(1.0));
     Ok(())
 }
--- a/crates/lab/src/capacity/node/environment.rs
+++ b/crates/lab/src/capacity/node/environment.rs
@@ -1,6 +1,6 @@
-//! The parties around a measured node: a discovery that tells what it is told to, servers that answer at
-//! once, a client, and a watch on how long the node answers nobody. They use as little of the machine as
-//! they can.
+//! The environment of a measured node: a fake discovery service, fake servers that respond immediately, a client,
+//! and a probe of the longest time without a response from the node. All of them use little processor time, to
+//! leave the machine to the node.
 
 use super::super::MeasureError;
 use std::io::{self, Read, Write};
@@ -13,50 +13,50 @@
 use tokio::runtime::Runtime;
 use tokio::sync::Notify;
 
-/// A longer head is none of a node's.
-const LONGEST_HEAD: usize = 16 * 1024;
-/// The longest that a call of discovery may wait.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// Between two questions of a watch.
-const BEAT: Duration = Duration::from_micros(100);
+/// Longest accepted request head; a node's requests are shorter.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Longest time that discovery holds a call of the node open.
+const MAX_LONG_POLL: Duration = Duration::from_secs(60);
+/// Pause between two requests of a [`LatencyProbe`], and before a failed accept is repeated.
+const POLL_INTERVAL: Duration = Duration::from_micros(100);
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn failed(what: &'static str) -> impl FnOnce(io::Error) -> MeasureError {
+fn io_error(what: &'static str) -> impl FnOnce(io::Error) -> MeasureError {
     move |cause| MeasureError::Io { what: what.to_owned(), cause }
 }
 
-/// Threads for a party, and a way to end them all: they go when this is dropped.
-struct Threads(Option<Runtime>);
+/// The threads of one fake service. Dropping it shuts them down.
+struct ServerRuntime(Option<Runtime>);
 
-impl Threads {
-    fn new() -> Result<Threads, MeasureError> {
+impl ServerRuntime {
+    fn new() -> Result<ServerRuntime, MeasureError> {
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-        Ok(Threads(Some(runtime.map_err(failed("threads"))?)))
+        Ok(ServerRuntime(Some(runtime.map_err(io_error("starting threads"))?)))
     }
 
-    /// Listens, and hands each connection to `converse`.
+    /// Listens on a loopback port, runs `handle` for each connection, and returns the address.
     fn listen<F: Future<Output = ()> + Send + 'static>(
         &self,
-        converse: impl Fn(tokio::net::TcpStream) -> F + Send + 'static,
+        handle: impl Fn(tokio::net::TcpStream) -> F + Send + 'static,
     ) -> Result<SocketAddr, MeasureError> {
         let Some(runtime) = &self.0 else {
-            return Err(MeasureError::Unexpected("threads have ended".to_owned()));
+            return Err(MeasureError::Unexpected("the threads have ended".to_owned()));
         };
         let listener = runtime.block_on(tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)));
-        let listener = listener.map_err(failed("a loopback port"))?;
-        let address = listener.local_addr().map_err(failed("a loopback port"))?;
+        let listener = listener.map_err(io_error("listening on a loopback port"))?;
+        let address = listener.local_addr().map_err(io_error("listening on a loopback port"))?;
         runtime.spawn(async move {
             loop {
                 match listener.accept().await {
                     Ok((stream, _)) => {
                         let _ = stream.set_nodelay(true);
-                        tokio::spawn(converse(stream));
+                        tokio::spawn(handle(stream));
                     }
-                    // Out of descriptors, for a moment.
-                    Err(_) => tokio::time::sleep(BEAT).await,
+                    // The process has no free file descriptor at the moment.
+                    Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
                 }
             }
         });
@@ -64,7 +64,7 @@
     }
 }
 
-impl Drop for Threads {
+impl Drop for ServerRuntime {
     fn drop(&mut self) {
         if let Some(runtime) = self.0.take() {
             runtime.shutdown_background();
@@ -72,275 +72,299 @@
     }
 }
 
-/// The next head on a connection, without a body; none once the connection is over.
-async fn head(stream: &mut tokio::net::TcpStream, kept: &mut Vec<u8>) -> Option<String> {
+/// Reads the head of the next request, which has no body. Returns `None` once the connection is closed, fails, or
+/// sends a head that is too long or not UTF-8.
+async fn read_head(stream: &mut tokio::net::TcpStream, buffer: &mut Vec<u8>) -> Option<String> {
     loop {
-        if let Some(end) = kept.windows(4).position(|w| w == b"\r\n\r\n") {
-            let rest = kept.split_off(end + 4);
-            let head = std::mem::replace(kept, rest);
+        if let Some(end) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
+            let rest = buffer.split_off(end + 4);
+            let head = std::mem::replace(buffer, rest);
             return String::from_utf8(head).ok();
         }
-        if kept.len() > LONGEST_HEAD || stream.read_buf(kept).await.ok()? == 0 {
+        if buffer.len() > MAX_HEAD_BYTES || stream.read_buf(buffer).await.ok()? == 0 {
             return None;
         }
     }
 }
 
-fn reply(status: &str, fields: &str, body: &str) -> Arc<Vec<u8>> {
+fn http_response(status: &str, fields: &str, body: &str) -> Arc<Vec<u8>> {
     let length = body.len();
     Arc::new(format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n{fields}\r\n{body}").into_bytes())
 }
 
 #[derive(Default)]
-struct Told {
+struct ListState {
     version: u64,
-    /// The whole list as a reply, and the version up to which it alone tells.
-    whole: Arc<Vec<u8>>,
-    whole_at: u64,
+    /// HTTP response with the full list of version `full_version`. Calls from older versions receive it.
+    full_response: Arc<Vec<u8>>,
+    full_version: u64,
+    /// Entries changed since `full_version`, each with the version of its change.
     changes: Vec<(u64, String)>,
-    /// The greatest version that a call goes on from: its list has been taken.
-    taken: u64,
+    /// Highest version in the `after` parameter of a call: the node has applied the list up to it.
+    acknowledged: u64,
 }
 
 struct State {
-    told: Mutex<Told>,
-    taken: Condvar,
-    news: Notify,
-    written: AtomicU64,
+    list: Mutex<ListState>,
+    acknowledged: Condvar,
+    changed: Notify,
+    bytes_written: AtomicU64,
     calls: AtomicU64,
 }
 
-/// A discovery of one node.
+/// A fake discovery service for one node.
 pub struct FakeDiscovery {
-    /// Where it answers.
+    /// Address at which the service listens.
     pub address: SocketAddr,
     state: Arc<State>,
-    _threads: Threads,
+    _runtime: ServerRuntime,
 }
 
 impl FakeDiscovery {
-    /// One that knows these targets, in its form and joined by commas.
+    /// Starts a service that lists `targets`, which are JSON objects joined by commas.
     pub fn start(targets: &str) -> Result<FakeDiscovery, MeasureError> {
-        let told = Told { version: 1, whole: whole(1, targets), whole_at: 1, ..Told::default() };
+        let list = ListState {
+            version: 1,
+            full_response: full_response(1, targets),
+            full_version: 1,
+            ..ListState::default()
+        };
         let state = Arc::new(State {
-            told: Mutex::new(told),
-            taken: Condvar::new(),
-            news: Notify::new(),
-            written: AtomicU64::new(0),
+            list: Mutex::new(list),
+            acknowledged: Condvar::new(),
+            changed: Notify::new(),
+            bytes_written: AtomicU64::new(0),
             calls: AtomicU64::new(0),
         });
-        let threads = Threads::new()?;
-        let own = state.clone();
-        let address = threads.listen(move |stream| converse(own.clone(), stream))?;
-        Ok(FakeDiscovery { address, state, _threads: threads })
+        let runtime = ServerRuntime::new()?;
+        let shared = state.clone();
+        let address = runtime.listen(move |stream| handle_discovery(shared.clone(), stream))?;
+        Ok(FakeDiscovery { address, state, _runtime: runtime })
     }
 
-    /// Bytes written so far, heads included.
-    pub fn written(&self) -> u64 {
-        self.state.written.load(Ordering::SeqCst)
+    /// Returns the number of bytes written to the node so far, including response heads.
+    pub fn bytes_written(&self) -> u64 {
+        self.state.bytes_written.load(Ordering::SeqCst)
     }
 
-    /// Calls so far.
-    pub fn calls(&self) -> u64 {
+    /// Returns the number of calls received so far.
+    pub fn call_count(&self) -> u64 {
         self.state.calls.load(Ordering::SeqCst)
     }
 
-    /// Tells this whole list, and waits until the node goes on from it.
-    pub fn tell_whole(&self, targets: &str, limit: Duration) -> Result<(), MeasureError> {
-        // Made beforehand: the lock is not held for it.
-        let version = lock(&self.state.told).version + 1;
-        let reply = whole(version, targets);
-        let mut told = lock(&self.state.told);
-        (told.version, told.whole, told.whole_at) = (version, reply, version);
-        told.changes.clear();
-        drop(told);
-        self.state.news.notify_waiters();
-        self.wait_for(version, limit)
+    /// Replaces the list with `targets` as a new version, and waits until the node acknowledges that version.
+    ///
+    /// # Errors
+    /// Returns [`MeasureError::Unexpected`] if the node does not acknowledge it within `limit`.
+    pub fn send_list(&self, targets: &str, limit: Duration) -> Result<(), MeasureError> {
+        // The response is built before the lock is taken, to hold the lock only briefly.
+        let version = lock(&self.state.list).version + 1;
+        let response = full_response(version, targets);
+        let mut list = lock(&self.state.list);
+        (list.version, list.full_response, list.full_version) = (version, response, version);
+        list.changes.clear();
+        drop(list);
+        self.state.changed.notify_waiters();
+        self.wait_until_acknowledged(version, limit)
     }
 
-    /// Tells these changes as one version, and waits until the node goes on from it.
-    pub fn tell_changes(&self, entries: &[String], limit: Duration) -> Result<(), MeasureError> {
-        let version = self.put_changes(entries);
-        self.wait_for(version, limit)
+    /// Publishes changed entries as a new version, and waits until the node acknowledges that version.
+    ///
+    /// # Errors
+    /// Returns [`MeasureError::Unexpected`] if the node does not acknowledge it within `limit`.
+    pub fn send_changes(&self, entries: &[String], limit: Duration) -> Result<(), MeasureError> {
+        let version = self.publish_changes(entries);
+        self.wait_until_acknowledged(version, limit)
     }
 
-    /// Tells these changes as one version.
-    pub fn put_changes(&self, entries: &[String]) -> u64 {
-        let mut told = lock(&self.state.told);
-        told.version += 1;
-        let version = told.version;
-        told.changes.extend(entries.iter().map(|e| (version, e.clone())));
-        drop(told);
-        self.state.news.notify_waiters();
+    /// Publishes changed entries as a new version, and returns that version.
+    pub fn publish_changes(&self, entries: &[String]) -> u64 {
+        let mut list = lock(&self.state.list);
+        list.version += 1;
+        let version = list.version;
+        list.changes.extend(entries.iter().map(|e| (version, e.clone())));
+        drop(list);
+        self.state.changed.notify_waiters();
         version
     }
 
-    fn wait_for(&self, version: u64, limit: Duration) -> Result<(), MeasureError> {
-        let told = lock(&self.state.told);
-        let waited = self.state.taken.wait_timeout_while(told, limit, |t| t.taken < version);
-        let (told, late) = waited.unwrap_or_else(PoisonError::into_inner);
-        if late.timed_out() {
-            let why = format!("the node goes on from version {}, and was told {version}", told.taken);
-            return Err(MeasureError::Unexpected(why));
+    fn wait_until_acknowledged(&self, version: u64, limit: Duration) -> Result<(), MeasureError> {
+        let list = lock(&self.state.list);
+        let waited = self.state.acknowledged.wait_timeout_while(list, limit, |l| l.acknowledged < version);
+        let (list, timeout) = waited.unwrap_or_else(PoisonError::into_inner);
+        if timeout.timed_out() {
+            let reason =
+                format!("the node acknowledged list version {}, expected {version}", list.acknowledged);
+            return Err(MeasureError::Unexpected(reason));
         }
         Ok(())
     }
 }
 
-fn whole(version: u64, targets: &str) -> Arc<Vec<u8>> {
-    reply("200 OK", "", &format!("{{\"rev\":{version},\"all\":true,\"targets\":[{targets}]}}"))
+/// Returns the HTTP response that contains a full list.
+fn full_response(version: u64, targets: &str) -> Arc<Vec<u8>> {
+    http_response("200 OK", "", &format!("{{\"rev\":{version},\"all\":true,\"targets\":[{targets}]}}"))
 }
 
-async fn converse(state: Arc<State>, mut stream: tokio::net::TcpStream) {
-    let mut kept = Vec::new();
-    while let Some(head) = head(&mut stream, &mut kept).await {
+/// Answers the calls on one connection. A call whose version is current is held open until the list changes or
+/// its `wait_ms` has passed.
+async fn handle_discovery(state: Arc<State>, mut stream: tokio::net::TcpStream) {
+    let mut buffer = Vec::new();
+    while let Some(head) = read_head(&mut stream, &mut buffer).await {
         state.calls.fetch_add(1, Ordering::SeqCst);
         let number = |name: &str| {
             let (_, rest) = head.split_once(name)?;
             rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
         };
         let after = number("after=");
-        let wait = Duration::from_millis(number("wait_ms=").unwrap_or(0)).min(LONGEST_WAIT);
+        let wait = Duration::from_millis(number("wait_ms=").unwrap_or(0)).min(MAX_LONG_POLL);
         let end = tokio::time::Instant::now() + wait;
         if let Some(after) = after {
-            let mut told = lock(&state.told);
-            told.taken = told.taken.max(after);
-            state.taken.notify_all();
+            let mut list = lock(&state.list);
+            list.acknowledged = list.acknowledged.max(after);
+            state.acknowledged.notify_all();
         }
-        let answer = loop {
-            let news = state.news.notified();
-            tokio::pin!(news);
-            // From here on no news is missed.
-            news.as_mut().enable();
-            if let Some(answer) = state.answer(after, false) {
-                break answer;
+        let response = loop {
+            let changed = state.changed.notified();
+            tokio::pin!(changed);
+            // Registers for changes before the list is read: a change in between is not missed.
+            changed.as_mut().enable();
+            if let Some(response) = state.list_response(after, false) {
+                break response;
             }
-            if tokio::time::timeout_at(end, news).await.is_err() {
-                break state.answer(after, true).unwrap_or_default();
+            if tokio::time::timeout_at(end, changed).await.is_err() {
+                break state.list_response(after, true).unwrap_or_default();
             }
         };
-        state.written.fetch_add(answer.len() as u64, Ordering::SeqCst);
-        if stream.write_all(&answer).await.is_err() {
+        state.bytes_written.fetch_add(response.len() as u64, Ordering::SeqCst);
+        if stream.write_all(&response).await.is_err() {
             return;
         }
     }
 }
 
 impl State {
-    /// What there is to tell after a version; `now`: also where that is nothing.
-    fn answer(&self, after: Option<u64>, now: bool) -> Option<Arc<Vec<u8>>> {
-        let told = lock(&self.told);
-        let Some(after) = after.filter(|a| *a >= told.whole_at) else { return Some(told.whole.clone()) };
-        let news: Vec<&str> =
-            told.changes.iter().filter(|(v, _)| *v > after).map(|(_, entry)| entry.as_str()).collect();
+    /// Returns the changes after a version, or the full list if the version is absent or too old. Without changes
+    /// it returns an empty list of changes if `may_be_empty`, else `None`.
+    fn list_response(&self, after: Option<u64>, may_be_empty: bool) -> Option<Arc<Vec<u8>>> {
+        let list = lock(&self.list);
+        let Some(after) = after.filter(|a| *a >= list.full_version) else {
+            return Some(list.full_response.clone());
+        };
+        let changed: Vec<&str> =
+            list.changes.iter().filter(|(v, _)| *v > after).map(|(_, entry)| entry.as_str()).collect();
         let body = format!(
             "{{\"rev\":{},\"all\":false,\"targets\":[{}]}}",
-            told.version.max(after),
-            news.join(",")
+            list.version.max(after),
+            changed.join(",")
         );
-        (now || !news.is_empty()).then(|| reply("200 OK", "", &body))
+        (may_be_empty || !changed.is_empty()).then(|| http_response("200 OK", "", &body))
     }
 }
 
-/// What the live servers say.
+/// Response of the fake servers to every request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerReply {
-    /// Yes, at once.
+    /// Status 200.
     Success = 0,
-    /// That they are full and the request has not run.
+    /// Status 503 with the header that says that the request was not executed.
     Full = 1,
 }
 
-/// Live servers that answer at once.
+/// Fake servers that respond immediately.
 pub struct FakeServers {
-    /// Where.
+    /// Addresses at which the servers listen.
     pub addresses: Vec<SocketAddr>,
-    say: Arc<AtomicU8>,
-    asked: Arc<AtomicU64>,
-    _threads: Threads,
+    reply: Arc<AtomicU8>,
+    request_count: Arc<AtomicU64>,
+    _runtime: ServerRuntime,
 }
 
 impl FakeServers {
-    /// Starts some.
+    /// Starts `count` servers, which respond with [`ServerReply::Success`].
     pub fn start(count: usize) -> Result<FakeServers, MeasureError> {
-        let say = Arc::new(AtomicU8::new(ServerReply::Success as u8));
-        let asked = Arc::<AtomicU64>::default();
-        let threads = Threads::new()?;
+        let reply = Arc::new(AtomicU8::new(ServerReply::Success as u8));
+        let request_count = Arc::<AtomicU64>::default();
+        let runtime = ServerRuntime::new()?;
         let mut addresses = Vec::new();
         for _ in 0..count {
-            let (say, asked) = (say.clone(), asked.clone());
-            addresses.push(threads.listen(move |stream| serve(say.clone(), asked.clone(), stream))?);
+            let (reply, request_count) = (reply.clone(), request_count.clone());
+            addresses
+                .push(runtime.listen(move |stream| serve(reply.clone(), request_count.clone(), stream))?);
         }
-        Ok(FakeServers { addresses, say, asked, _threads: threads })
+        Ok(FakeServers { addresses, reply, request_count, _runtime: runtime })
     }
 
-    /// Requests so far.
-    pub fn asked(&self) -> u64 {
-        self.asked.load(Ordering::SeqCst)
+    /// Returns the number of requests received so far, by all servers.
+    pub fn request_count(&self) -> u64 {
+        self.request_count.load(Ordering::SeqCst)
     }
 
-    /// What they say from now on.
-    pub fn answer(&self, say: ServerReply) {
-        self.say.store(say as u8, Ordering::SeqCst);
+    /// Sets the response to all further requests.
+    pub fn set_reply(&self, reply: ServerReply) {
+        self.reply.store(reply as u8, Ordering::SeqCst);
     }
 }
 
-async fn serve(say: Arc<AtomicU8>, asked: Arc<AtomicU64>, mut stream: tokio::net::TcpStream) {
-    let mut kept = Vec::new();
-    while head(&mut stream, &mut kept).await.is_some() {
-        asked.fetch_add(1, Ordering::SeqCst);
-        let full = say.load(Ordering::SeqCst) == ServerReply::Full as u8;
-        let answer = if full {
-            reply("503 Service Unavailable", "x-never-ran: 1\r\n", "")
+/// Answers the requests on one connection.
+async fn serve(reply: Arc<AtomicU8>, request_count: Arc<AtomicU64>, mut stream: tokio::net::TcpStream) {
+    let mut buffer = Vec::new();
+    while read_head(&mut stream, &mut buffer).await.is_some() {
+        request_count.fetch_add(1, Ordering::SeqCst);
+        let is_full = reply.load(Ordering::SeqCst) == ServerReply::Full as u8;
+        let response = if is_full {
+            http_response("503 Service Unavailable", "x-never-ran: 1\r\n", "")
         } else {
-            reply("200 OK", "", "yes")
+            http_response("200 OK", "", "yes")
         };
-        if stream.write_all(&answer).await.is_err() {
+        if stream.write_all(&response).await.is_err() {
             return;
         }
     }
 }
 
-/// A port that refuses connections for as long as it is held: bound, and nobody listens.
+/// A port that refuses connections while this value exists: its socket is bound and does not listen.
 pub struct ClosedPort {
-    /// Where.
+    /// Address of the port.
     pub address: SocketAddr,
     _socket: socket2::Socket,
 }
 
-/// Takes one.
+/// Binds a loopback port that refuses connections.
 pub fn closed_port() -> Result<ClosedPort, MeasureError> {
-    let taken = || {
+    let bind = || {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
         let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
         Ok(ClosedPort { address, _socket: socket })
     };
-    taken().map_err(failed("a port that nobody listens on"))
+    bind().map_err(io_error("binding a port that does not listen"))
 }
 
-/// A client with one connection.
+/// An HTTP client with one connection to the node.
 pub struct Client {
     stream: TcpStream,
-    kept: Vec<u8>,
+    buffer: Vec<u8>,
+    /// Number of requests sent, from which trace IDs are made.
     number: u64,
 }
 
 impl Client {
-    /// Connects.
-    pub fn open(at: SocketAddr) -> Result<Client, MeasureError> {
-        let stream = TcpStream::connect(at).map_err(failed("a connection to the node"))?;
-        stream.set_nodelay(true).map_err(failed("a connection to the node"))?;
-        Ok(Client { stream, kept: Vec::new(), number: 0 })
+    /// Connects to the node.
+    pub fn open(address: SocketAddr) -> Result<Client, MeasureError> {
+        let stream = TcpStream::connect(address).map_err(io_error("connecting to the node"))?;
+        stream.set_nodelay(true).map_err(io_error("connecting to the node"))?;
+        Ok(Client { stream, buffer: Vec::new(), number: 0 })
     }
 
-    /// Whether the node takes clients: the status.
-    pub fn up(&mut self, limit: Duration) -> Result<u16, MeasureError> {
+    /// Returns the status of the node's health check, which is 200 once the node accepts clients.
+    pub fn health_status(&mut self, limit: Duration) -> Result<u16, MeasureError> {
         self.exchange("GET /up HTTP/1.1\r\nHost: n\r\n\r\n", limit)
     }
 
-    /// Sends a request with further fields; of what class it is unless these say: `page`.
-    pub fn ask(&mut self, fields: &str, limit: Duration) -> Result<u16, MeasureError> {
+    /// Sends a request with additional header lines and returns the status of its response. The class is `page`
+    /// unless `fields` sets another.
+    pub fn send_request(&mut self, fields: &str, limit: Duration) -> Result<u16, MeasureError> {
         self.number += 1;
         let class = if fields.contains("X-Qos:") { "" } else { "X-Qos: page\r\n" };
         let number = self.number;
@@ -351,70 +375,73 @@
     }
 
     fn exchange(&mut self, request: &str, limit: Duration) -> Result<u16, MeasureError> {
-        self.try_exchange(request, limit).map_err(failed("an exchange with the node"))
+        self.try_exchange(request, limit).map_err(io_error("a request to the node"))
     }
 
     fn try_exchange(&mut self, request: &str, limit: Duration) -> io::Result<u16> {
         self.stream.set_read_timeout(Some(limit))?;
         self.stream.write_all(request.as_bytes())?;
         loop {
-            if let Some((status, length)) = whole_answer(&self.kept) {
-                self.kept.drain(..length);
+            if let Some((status, length)) = parse_response(&self.buffer) {
+                self.buffer.drain(..length);
                 return Ok(status);
             }
-            let mut part = [0; 4096];
-            let n = self.stream.read(&mut part)?;
+            let mut chunk = [0; 4096];
+            let n = self.stream.read(&mut chunk)?;
             if n == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            self.kept.extend_from_slice(&part[..n]);
+            self.buffer.extend_from_slice(&chunk[..n]);
         }
     }
 }
 
-/// Status and length of the answer that these bytes begin with, once all of it is there.
-fn whole_answer(bytes: &[u8]) -> Option<(u16, usize)> {
+/// Returns the status and the length in bytes of the response at the start of `bytes`, or `None` if it is
+/// incomplete or invalid.
+fn parse_response(bytes: &[u8]) -> Option<(u16, usize)> {
     let end = bytes.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
-    let head = std::str::from_utf8(&bytes[..end]).ok()?;
-    let status = head.split(' ').nth(1)?.parse().ok()?;
-    let length = head.lines().find_map(|l| {
+    let read_head = std::str::from_utf8(&bytes[..end]).ok()?;
+    let status = read_head.split(' ').nth(1)?.parse().ok()?;
+    let length = read_head.lines().find_map(|l| {
         let (name, value) = l.split_once(':')?;
         name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse::<usize>().ok())?
     });
-    let all = end + length.unwrap_or(0);
-    (bytes.len() >= all).then_some((status, all))
+    let total = end + length.unwrap_or(0);
+    (bytes.len() >= total).then_some((status, total))
 }
 
-/// Asks a node for a word every tenth of a millisecond or so, and keeps the longest time that one took.
+/// Sends health checks to a node, with a pause of [`POLL_INTERVAL`] after each, and records the longest response
+/// time.
 pub struct LatencyProbe {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<f64>>,
 }
 
 impl LatencyProbe {
-    /// Begins, once the node has answered a first time.
-    pub fn watch(node: SocketAddr) -> Result<LatencyProbe, MeasureError> {
+    /// Starts the probe after a first health check has been answered.
+    pub fn start(node: SocketAddr) -> Result<LatencyProbe, MeasureError> {
         let mut client = Client::open(node)?;
-        client.up(super::PATIENCE)?;
+        client.health_status(super::WAIT_TIMEOUT)?;
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
         let thread = std::thread::spawn(move || {
-            let mut longest: f64 = 0.0;
+            let mut max_ms: f64 = 0.0;
             while !stopped.load(Ordering::SeqCst) {
-                let begun = Instant::now();
-                if client.up(super::PATIENCE).is_err() {
+                let started = Instant::now();
+                if client.health_status(super::WAIT_TIMEOUT).is_err() {
                     return f64::NAN;
                 }
-                longest = longest.max(begun.elapsed().as_secs_f64() * 1000.0);
-                sleep(BEAT);
+                max_ms = max_ms.max(started.elapsed().as_secs_f64() * 1000.0);
+                sleep(POLL_INTERVAL);
             }
-            longest
+            max_ms
         });
         Ok(LatencyProbe { stop, thread: Some(thread) })
     }
 
-    /// Ends; the longest time in milliseconds, NaN where the node has answered no more.
-    pub fn longest_ms(mut self) -> f64 {
+    /// Stops the probe and returns the longest response time in milliseconds, or NaN if the node stopped
+    /// responding.
+    pub fn max_gap_ms(mut self) -> f64 {
         self.stop.store(true, Ordering::SeqCst);
         self.thread.take().and_then(|t| t.join().ok()).unwrap_or(f64::NAN)
     }
--- a/crates/lab/src/capacity/node/process.rs
+++ b/crates/lab/src/capacity/node/process.rs
@@ -1,9 +1,9 @@
-//! One process of a node: started with files of its own, looked at from outside, and gone when it is
-//! dropped or when this program ends.
+//! A node process with its own files. It is measured from outside through `/proc`, and ends when its
+//! [`NodeProcess`] is dropped or this program ends.
 
 use super::super::MeasureError;
 use super::environment::Client;
-use super::{PATIENCE, ZONES};
+use super::{WAIT_TIMEOUT, ZONES};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
@@ -14,31 +14,31 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// The shell ends the node and removes its files once nobody holds the shell's input any more: also where
-/// this program is killed.
-const KEEPER: &str = "trap : INT TERM HUP\nulimit -n 1024\n\"$0\" 2>\"$1/log\" >/dev/null &\np=$!\necho $p\n\
-                      read -r _\nkill -9 $p\nwait $p\nrm -rf -- \"$1\"\n";
-/// A line of the log that tells of settings that were taken on SIGHUP.
-const TAKEN: &str = "config.taken";
-/// One that tells of settings that were not.
-const REFUSED: &str = "config.refused";
+/// Shell script that runs the node, then kills it and removes its files when the script's standard input is
+/// closed, which also happens if this program is killed.
+const SUPERVISOR_SCRIPT: &str = "trap : INT TERM HUP\nulimit -n 1024\n\"$0\" 2>\"$1/log\" >/dev/null &\np=$!\necho $p\n\
+     read -r _\nkill -9 $p\nwait $p\nrm -rf -- \"$1\"\n";
+/// Log event of settings that were applied on SIGHUP.
+const SETTINGS_APPLIED_EVENT: &str = "config.taken";
+/// Log event of settings that were rejected on SIGHUP.
+const SETTINGS_REJECTED_EVENT: &str = "config.refused";
 
-/// A node's process.
-pub struct Process {
-    /// Where clients connect.
+/// A running node process.
+pub struct NodeProcess {
+    /// Address at which the node accepts clients.
     pub listen: SocketAddr,
-    keeper: Child,
+    supervisor: Child,
     pid: Pid,
     dir: PathBuf,
     config: Value,
 }
 
-fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> MeasureError {
+fn io_error(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> MeasureError {
     let what = what.into();
     move |cause| MeasureError::Io { what, cause }
 }
 
-/// Classes of the settings, each with another effect.
+/// Returns the request classes of the settings: one idempotent and one at-most-once.
 pub fn classes() -> Vec<Value> {
     let class = |(name, semantics)| {
         json!({"name": name, "semantics": semantics, "objectiveMs": 400.0, "hardLimitMs": 1000.0,
@@ -61,62 +61,69 @@
     })
 }
 
-impl Process {
-    /// Starts one and waits until it says that it can serve; the milliseconds from its start to then.
+impl NodeProcess {
+    /// Starts a node and waits until its health check succeeds. Returns the process and the time from its start
+    /// until then, in milliseconds. `edit_config` changes the configuration before the start; with
+    /// `has_topology` the zones are divided into four regions.
+    ///
+    /// # Errors
+    /// Returns [`MeasureError::Io`] if the files or the process cannot be created, and
+    /// [`MeasureError::Unexpected`] if the node ends or does not become ready in time.
     pub fn start(
         program: &Path,
         discovery: SocketAddr,
         seed: u64,
-        change: impl FnOnce(&mut Value),
-        topology: bool,
-    ) -> Result<(Process, f64), MeasureError> {
+        edit_config: impl FnOnce(&mut Value),
+        has_topology: bool,
+    ) -> Result<(NodeProcess, f64), MeasureError> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("daleturn-capacity-{}-{n}", std::process::id()));
-        std::fs::create_dir_all(&dir).map_err(io(dir.display().to_string()))?;
-        // An address of this process's own: nobody else takes a port of it between here and the node's start.
+        std::fs::create_dir_all(&dir).map_err(io_error(dir.display().to_string()))?;
+        // A loopback address made from the process ID, which no other process uses: the port stays free until
+        // the node binds it.
         let pid = std::process::id();
         let ip = Ipv4Addr::new(127, 32 + (pid % 200) as u8, (pid / 200 % 250) as u8, (n % 250 + 1) as u8);
         let listen = TcpListener::bind((ip, 0)).and_then(|l| l.local_addr());
-        let listen = listen.map_err(io("an address for clients"))?;
+        let listen = listen.map_err(io_error("reserving an address for clients"))?;
         let mut config = json!({
             "name": "n7", "listen": listen.to_string(), "discovery": discovery.to_string(),
             "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 1024, "sockets": 1024},
             "known": {"rev": 0, "all": true, "targets": []}, "settings": settings()
         });
-        change(&mut config);
-        let file = dir.join("config.json");
-        std::fs::write(&file, config.to_string()).map_err(io(file.display().to_string()))?;
+        edit_config(&mut config);
+        let path = dir.join("config.json");
+        std::fs::write(&path, config.to_string()).map_err(io_error(path.display().to_string()))?;
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", KEEPER]).arg(program).arg(&dir).env_clear().env("LB_CONFIG", &file);
+        command.args(["-c", SUPERVISOR_SCRIPT]).arg(program).arg(&dir).env_clear().env("LB_CONFIG", &path);
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::null());
-        if topology {
+        if has_topology {
             let zones = config["settings"]["areas"].as_array().into_iter().flatten().enumerate();
             let regions: Vec<String> =
                 zones.map(|(n, z)| format!("{} = \"region-{}\"\n", z, n % 4)).collect();
             let options = dir.join("daleturn.toml");
             let text = format!("[topology]\non = true\n[topology.regions]\n{}", regions.concat());
-            std::fs::write(&options, text).map_err(io(options.display().to_string()))?;
+            std::fs::write(&options, text).map_err(io_error(options.display().to_string()))?;
             command.env("DALETURN_CONFIG", options);
         }
-        let begun = Instant::now();
-        let mut keeper = command.spawn().map_err(io(program.display().to_string()))?;
+        let started = Instant::now();
+        let mut supervisor = command.spawn().map_err(io_error(program.display().to_string()))?;
         let mut line = String::new();
-        let said = keeper.stdout.take().map(|out| BufReader::new(out).read_line(&mut line));
+        let read = supervisor.stdout.take().map(|out| BufReader::new(out).read_line(&mut line));
         let pid = line.trim().parse::<i32>().ok().and_then(Pid::from_raw);
-        let Some(pid) = pid.filter(|_| matches!(said, Some(Ok(_)))) else {
-            drop(keeper.stdin.take());
-            let _ = keeper.wait();
+        let Some(pid) = pid.filter(|_| matches!(read, Some(Ok(_)))) else {
+            drop(supervisor.stdin.take());
+            let _ = supervisor.wait();
             return Err(MeasureError::Unexpected(format!("{}: cannot be started", program.display())));
         };
-        let own = Process { listen, keeper, pid, dir, config };
+        let node = NodeProcess { listen, supervisor, pid, dir, config };
         loop {
-            let up = Client::open(listen).and_then(|mut c| c.up(PATIENCE));
-            if up.is_ok_and(|status| status == 200) {
-                return Ok((own, begun.elapsed().as_secs_f64() * 1000.0));
+            let status = Client::open(listen).and_then(|mut c| c.health_status(WAIT_TIMEOUT));
+            if status.is_ok_and(|status| status == 200) {
+                return Ok((node, started.elapsed().as_secs_f64() * 1000.0));
             }
-            if begun.elapsed() > PATIENCE || own.memory_mb("VmHWM:").is_err() {
-                let log = own.log().lines().last().unwrap_or("it wrote nothing").to_owned();
+            if started.elapsed() > WAIT_TIMEOUT || node.memory_mb("VmHWM:").is_err() {
+                let log = node.log().lines().last().unwrap_or("its log is empty").to_owned();
                 return Err(MeasureError::Unexpected(format!("{} is not ready: {log}", program.display())));
             }
             sleep(Duration::from_millis(1));
@@ -127,56 +134,67 @@
         std::fs::read_to_string(self.dir.join("log")).unwrap_or_default()
     }
 
-    fn proc(&self, name: &str) -> PathBuf {
+    fn proc_path(&self, name: &str) -> PathBuf {
         Path::new("/proc").join(self.pid.as_raw_nonzero().to_string()).join(name)
     }
 
-    /// Processor time so far, of all threads that run, in nanoseconds.
+    /// Returns the processor time used so far by all running threads, in nanoseconds.
+    ///
+    /// # Errors
+    /// Returns [`MeasureError::Io`] if the node has ended.
     pub fn cpu_ns(&self) -> Result<u64, MeasureError> {
-        let dir = self.proc("task");
+        let dir = self.proc_path("task");
         let tasks =
-            std::fs::read_dir(&dir).map_err(io(format!("{}: the node has ended", dir.display())))?;
-        let of = |task: std::fs::DirEntry| {
+            std::fs::read_dir(&dir).map_err(io_error(format!("{}: the node has ended", dir.display())))?;
+        let thread_ns = |task: std::fs::DirEntry| {
             let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
             text.split(' ').next()?.parse::<u64>().ok()
         };
-        Ok(tasks.flatten().filter_map(of).sum())
+        Ok(tasks.flatten().filter_map(thread_ns).sum())
     }
 
-    /// A line of the process's status that counts kilobytes, in megabytes.
+    /// Returns a kilobyte field of `/proc/PID/status`, such as `VmRSS:`, in megabytes.
+    ///
+    /// # Errors
+    /// Returns an error if the node has ended.
     pub fn memory_mb(&self, name: &str) -> Result<f64, MeasureError> {
-        let path = self.proc("status");
+        let path = self.proc_path("status");
         let text = std::fs::read_to_string(&path)
-            .map_err(io(format!("{}: the node has ended", path.display())))?;
+            .map_err(io_error(format!("{}: the node has ended", path.display())))?;
         let kb = text
             .lines()
             .find_map(|l| l.strip_prefix(name)?.trim().trim_end_matches(" kB").parse::<f64>().ok());
         kb.map(|kb| kb / 1024.0)
-            .ok_or_else(|| MeasureError::Unexpected(format!("{name} the node has ended")))
+            .ok_or_else(|| MeasureError::Unexpected(format!("{name} not found: the node has ended")))
     }
 
-    /// Changes its file, tells it, and waits until it has taken it.
-    pub fn reconfigure(
+    /// Changes the node's configuration file, sends SIGHUP, and waits until the log shows that the new settings
+    /// are applied.
+    ///
+    /// # Errors
+    /// Returns [`MeasureError::Unexpected`] if the node rejects the settings or does not apply them within
+    /// `limit`.
+    pub fn reload_settings(
         &mut self,
-        change: impl FnOnce(&mut Value),
+        edit_config: impl FnOnce(&mut Value),
         limit: Duration,
     ) -> Result<(), MeasureError> {
-        let taken = |log: &str| log.matches(TAKEN).count();
-        let before = taken(&self.log());
-        change(&mut self.config);
-        let file = self.dir.join("config.json");
-        std::fs::write(&file, self.config.to_string()).map_err(io(file.display().to_string()))?;
-        kill_process(self.pid, Signal::HUP).map_err(|e| io("SIGHUP")(e.into()))?;
+        let applied_count = |log: &str| log.matches(SETTINGS_APPLIED_EVENT).count();
+        let before = applied_count(&self.log());
+        edit_config(&mut self.config);
+        let path = self.dir.join("config.json");
+        std::fs::write(&path, self.config.to_string()).map_err(io_error(path.display().to_string()))?;
+        kill_process(self.pid, Signal::HUP).map_err(|e| io_error("SIGHUP")(e.into()))?;
         let end = Instant::now() + limit;
         loop {
             let log = self.log();
-            if taken(&log) > before {
+            if applied_count(&log) > before {
                 return Ok(());
             }
-            if log.contains(REFUSED) || Instant::now() > end {
+            if log.contains(SETTINGS_REJECTED_EVENT) || Instant::now() > end {
                 let last = log.lines().last().unwrap_or_default().to_owned();
                 return Err(MeasureError::Unexpected(format!(
-                    "settings were not taken on SIGHUP: {last:.300}"
+                    "settings were not applied on SIGHUP: {last:.300}"
                 )));
             }
             sleep(Duration::from_millis(1));
@@ -184,10 +202,10 @@
     }
 }
 
-impl Drop for Process {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // The keeper sees its input end, and ends the node.
-        drop(self.keeper.stdin.take());
-        let _ = self.keeper.wait();
+        // Closing its input makes the supervisor end the node and remove its files.
+        drop(self.supervisor.stdin.take());
+        let _ = self.supervisor.wait();
     }
 }
