--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -1,12 +1,12 @@
-//! What membership and shared state cost a node, by the number of members: the machines of
-//! `daleturn::control::gossip` in virtual time, over a network that loses and delays as links between
-//! regions do.
+//! Measures what membership and shared state cost a node, by the number of members. It simulates a fleet of
+//! `daleturn::control::gossip` state machines in virtual time, over a network with the loss and delay of links
+//! between regions.
 //!
-//! Every node asks twelve tenants, so that each wave is as long as it gets. Bytes count both ways and
-//! with 28 of headers for each datagram. What is random is drawn by each sender, and events of one moment
-//! are taken in the order of their receivers and senders, so a play is always the same; just processor
-//! time and memory are the machine's. Times are virtual and end at 60 s: a goal that is not
-//! reached by then is no point of the series, and `..._not_reached` counts it.
+//! Every node reports requests of twelve tenants, the maximum, which makes the datagrams as long as possible.
+//! Bytes are counted in both directions, with 28 header bytes for each datagram. Each sender draws its own random
+//! numbers, and simultaneous events are handled in the order of receivers and senders: a run is deterministic,
+//! except for processor time and memory, which are those of this machine. Virtual times are limited to 60 s: an
+//! event that takes longer gives no point in its series and is counted by `..._not_reached`.
 
 use super::{MeasureError, MeasureOptions, Point, Series};
 use daleturn::control::gossip::{Action, Event, Gossip, MaxAges};
@@ -17,235 +17,268 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::ops::RangeInclusive;
 
-/// As often as a node's loop hands the machine a tick.
+/// Interval of ticks, the same as in a node.
 const TICK_MS: Ms = 20;
-const BOUNDS: MaxAges = MaxAges { limits_ms: 7500, verdicts_ms: 3000, affinity_ms: 5000 };
-/// Bytes of IP and UDP about a datagram.
-const HEADERS: u64 = 28;
-const LOSS: f64 = 0.05;
-const DELAY_MS: (Ms, Ms) = (2, 37);
+const MAX_AGES: MaxAges = MaxAges { limits_ms: 7500, verdicts_ms: 3000, affinity_ms: 5000 };
+/// Bytes of the IP and UDP headers of a datagram.
+const IP_UDP_HEADER_BYTES: u64 = 28;
+/// Share of datagrams that are lost.
+const LOSS_SHARE: f64 = 0.05;
+/// Shortest and longest delay of a datagram.
+const DELAY_RANGE_MS: (Ms, Ms) = (2, 37);
 const ZONES: usize = 12;
-const RACK: usize = 40;
-/// No goal is waited for longer.
-const REACH_MS: Ms = 60_000;
-/// Until a fleet that starts at once has settled.
+/// Number of members in a rack.
+const RACK_MEMBERS: usize = 40;
+/// Longest virtual time to wait for an event.
+const MAX_WAIT_MS: Ms = 60_000;
+/// Time until a fleet whose members start simultaneously has settled.
 const SETTLE_MS: Ms = 6000;
-/// Time between two looks at whether a goal is reached.
-const LOOK_MS: Ms = 100;
-/// 5,800 restarts a day.
+/// Time between two checks whether an event has happened.
+const CHECK_INTERVAL_MS: Ms = 100;
+/// Time between restarts: 5,800 a day.
 const RESTART_EVERY_MS: Ms = 86_400_000 / 5800;
-/// A process that is started again is away for so long; a machine that is replaced until it is found gone.
-const AWAY_MS: Ms = 3000;
-const REPLACED_MS: Ms = 12_000;
+/// Downtime of a process that is restarted.
+const RESTART_DOWNTIME_MS: Ms = 3000;
+/// Downtime of a machine that is replaced, long enough for the other members to declare it dead.
+const REPLACEMENT_DOWNTIME_MS: Ms = 12_000;
 
-/// A datagram that arrives, or a tick. The least is the next, by moment, receiver, sender and number.
+/// The arrival of a datagram, or a tick. Events are ordered by time, receiver, sender and datagram number.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct ScheduledEvent {
     at: Ms,
     to: usize,
-    /// The sender and its datagram's number; none for a tick.
+    /// Sender and number of the datagram; `None` for a tick.
     from: Option<(usize, u64)>,
     bytes: Vec<u8>,
 }
 
-struct Host {
-    fleet: Option<Box<Gossip>>,
+/// A member of the simulated fleet and its counters.
+struct SimulatedNode {
+    /// `None` while the node is down.
+    gossip: Option<Box<Gossip>>,
     incarnation: u32,
-    side: u8,
+    /// Network partition of the node; datagrams between different partitions are lost.
+    partition: u8,
     rng: fastrand::Rng,
-    sent: u64,
-    messages: u64,
+    sent_count: u64,
+    datagrams: u64,
     bytes: u64,
-    /// The same since the last whole second, and in the worst one.
-    second: u64,
-    worst: u64,
+    /// Bytes in the current second.
+    second_bytes: u64,
+    /// Highest number of bytes in any previous second.
+    worst_second_bytes: u64,
     processor_ns: u64,
 }
 
-fn thread_ns() -> u64 {
+/// Returns the processor time of the current thread in nanoseconds.
+fn thread_cpu_ns() -> u64 {
     let now = clock_gettime(ClockId::ThreadCPUTime);
     u64::try_from(now.tv_sec).unwrap_or(0) * 1_000_000_000 + u64::try_from(now.tv_nsec).unwrap_or(0)
 }
 
-/// What reading the clock twice costs, which is no cost of the node.
-fn clock_ns() -> u64 {
-    (0..2000).map(|_| thread_ns()).map(|before| thread_ns() - before).min().unwrap_or(0)
+/// Returns the shortest processor time between two successive clock readings, which is subtracted from each
+/// measurement.
+fn clock_overhead_ns() -> u64 {
+    (0..2000).map(|_| thread_cpu_ns()).map(|before| thread_cpu_ns() - before).min().unwrap_or(0)
 }
 
-impl Host {
+impl SimulatedNode {
+    /// Counts a datagram that the node sends or receives.
     fn count(&mut self, bytes: usize) {
-        let bytes = bytes as u64 + HEADERS;
-        self.messages += 1;
+        let bytes = bytes as u64 + IP_UDP_HEADER_BYTES;
+        self.datagrams += 1;
         self.bytes += bytes;
-        self.second += bytes;
+        self.second_bytes += bytes;
     }
 }
 
-struct World {
+/// A fleet and its network in virtual time.
+struct Simulation {
     now: Ms,
-    /// Whose bytes are counted.
-    second: Ms,
-    hosts: Vec<Host>,
-    queue: BinaryHeap<Reverse<Due>>,
+    /// Number of the second whose bytes `second_bytes` counts.
+    current_second: Ms,
+    nodes: Vec<SimulatedNode>,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
     rng: fastrand::Rng,
-    /// What reading the clock costs, while processor time is measured.
-    clock_ns: Option<u64>,
+    /// Cost of reading the clock; `None` while processor time is not measured.
+    clock_overhead_ns: Option<u64>,
 }
 
-impl World {
-    fn new(count: usize, seed: u64) -> World {
+impl Simulation {
+    /// Starts `count` nodes and runs them until the fleet has settled.
+    fn new(count: usize, seed: u64) -> Simulation {
         let rng = fastrand::Rng::with_seed(seed);
         let queue = BinaryHeap::new();
-        let mut world = World { now: 0, second: 0, hosts: Vec::new(), queue, rng, clock_ns: None };
+        let mut simulation = Simulation {
+            now: 0,
+            current_second: 0,
+            nodes: Vec::new(),
+            queue,
+            rng,
+            clock_overhead_ns: None,
+        };
         for n in 0..count {
-            let rng = fastrand::Rng::with_seed(world.rng.u64(..));
-            world.hosts.push(Host {
-                fleet: None,
+            let rng = fastrand::Rng::with_seed(simulation.rng.u64(..));
+            simulation.nodes.push(SimulatedNode {
+                gossip: None,
                 incarnation: 1,
-                side: 0,
+                partition: 0,
                 rng,
-                sent: 0,
-                messages: 0,
+                sent_count: 0,
+                datagrams: 0,
                 bytes: 0,
-                second: 0,
-                worst: 0,
+                second_bytes: 0,
+                worst_second_bytes: 0,
                 processor_ns: 0,
             });
-            let at = world.rng.u64(..TICK_MS);
-            world.queue.push(Reverse(Due { at, to: n, from: None, bytes: Vec::new() }));
+            let at = simulation.rng.u64(..TICK_MS);
+            simulation.queue.push(Reverse(ScheduledEvent { at, to: n, from: None, bytes: Vec::new() }));
         }
-        (0..count).for_each(|n| world.start(n));
-        world.quiet(SETTLE_MS);
-        world
+        (0..count).for_each(|n| simulation.start(n));
+        simulation.run_for(SETTLE_MS);
+        simulation
     }
 
     fn start(&mut self, n: usize) {
-        let (now, count, seed) = (self.now, self.hosts.len(), self.rng.u64(..));
-        let Some(host) = self.hosts.get_mut(n) else { return };
-        let mut fleet = Gossip::new(now, n as NodeId, count as u16, host.incarnation, BOUNDS, seed);
-        let asked: Vec<(u32, f32)> = (1..=MAX_TENANTS as u32).map(|tenant| (tenant, 10.0)).collect();
-        fleet.handle(now, Event::TenantRates(&asked), &mut Vec::new());
-        host.incarnation += 1;
-        host.fleet = Some(Box::new(fleet));
+        let (now, count, seed) = (self.now, self.nodes.len(), self.rng.u64(..));
+        let Some(node) = self.nodes.get_mut(n) else { return };
+        let mut gossip = Gossip::new(now, n as NodeId, count as u16, node.incarnation, MAX_AGES, seed);
+        let tenant_rates: Vec<(u32, f32)> = (1..=MAX_TENANTS as u32).map(|tenant| (tenant, 10.0)).collect();
+        gossip.handle(now, Event::TenantRates(&tenant_rates), &mut Vec::new());
+        node.incarnation += 1;
+        node.gossip = Some(Box::new(gossip));
     }
 
     fn kill(&mut self, n: usize) {
-        if let Some(host) = self.hosts.get_mut(n) {
-            host.fleet = None;
+        if let Some(node) = self.nodes.get_mut(n) {
+            node.gossip = None;
         }
     }
 
-    /// Nodes on different sides hear nothing of each other.
-    fn part(&mut self, side: impl Fn(usize) -> u8) {
-        for (n, host) in self.hosts.iter_mut().enumerate() {
-            host.side = side(n);
+    /// Assigns each node to a network partition. Nodes in different partitions cannot reach each other.
+    fn set_partitions(&mut self, partition: impl Fn(usize) -> u8) {
+        for (n, node) in self.nodes.iter_mut().enumerate() {
+            node.partition = partition(n);
         }
     }
 
-    fn quiet(&mut self, for_ms: Ms) {
-        let end = self.now + for_ms;
+    /// Runs the simulation for a virtual time.
+    fn run_for(&mut self, duration_ms: Ms) {
+        let end = self.now + duration_ms;
         while self.queue.peek().is_some_and(|Reverse(due)| due.at < end) {
             let Some(Reverse(due)) = self.queue.pop() else { break };
-            if due.at / 1000 > self.second {
-                self.second = due.at / 1000;
-                for host in &mut self.hosts {
-                    host.worst = host.worst.max(std::mem::take(&mut host.second));
+            if due.at / 1000 > self.current_second {
+                self.current_second = due.at / 1000;
+                for node in &mut self.nodes {
+                    node.worst_second_bytes =
+                        node.worst_second_bytes.max(std::mem::take(&mut node.second_bytes));
                 }
             }
             self.now = due.at;
-            self.take(due);
+            self.process(due);
         }
         self.now = end;
     }
 
-    fn take(&mut self, due: Due) {
-        let Some(host) = self.hosts.get_mut(due.to) else { return };
+    /// Handles one event, and schedules the next tick or the datagrams that the node sends.
+    fn process(&mut self, due: ScheduledEvent) {
+        let Some(node) = self.nodes.get_mut(due.to) else { return };
         let event = match due.from {
             None => {
                 let at = due.at + TICK_MS;
-                self.queue.push(Reverse(Due { at, to: due.to, from: None, bytes: Vec::new() }));
+                self.queue.push(Reverse(ScheduledEvent { at, to: due.to, from: None, bytes: Vec::new() }));
                 Event::Tick
             }
             Some((from, _)) => Event::Datagram(from as NodeId, &due.bytes),
         };
-        if due.from.is_some() && host.fleet.is_some() {
-            host.count(due.bytes.len());
+        if due.from.is_some() && node.gossip.is_some() {
+            node.count(due.bytes.len());
         }
-        let Some(fleet) = &mut host.fleet else { return };
+        let Some(gossip) = &mut node.gossip else { return };
         let mut actions = Vec::new();
-        let before = self.clock_ns.map(|_| thread_ns());
-        fleet.handle(due.at, event, &mut actions);
-        if let (Some(before), Some(clock)) = (before, self.clock_ns) {
-            host.processor_ns += (thread_ns() - before).saturating_sub(clock);
+        let before = self.clock_overhead_ns.map(|_| thread_cpu_ns());
+        gossip.handle(due.at, event, &mut actions);
+        if let (Some(before), Some(clock_overhead)) = (before, self.clock_overhead_ns) {
+            node.processor_ns += (thread_cpu_ns() - before).saturating_sub(clock_overhead);
         }
         for action in actions {
             let Action::Send(to, bytes) = action else { continue };
             let to = usize::from(to);
-            let other = self.hosts.get(to).map(|h| h.side);
-            let Some(host) = self.hosts.get_mut(due.to) else { return };
-            host.count(bytes.len());
-            host.sent += 1;
-            let (lost, delay) = (host.rng.f64() < LOSS, host.rng.u64(DELAY_MS.0..=DELAY_MS.1));
-            if other == Some(host.side) && !lost {
-                let from = Some((due.to, host.sent));
-                self.queue.push(Reverse(Due { at: due.at + delay, to, from, bytes }));
+            let receiver_partition = self.nodes.get(to).map(|n| n.partition);
+            let Some(node) = self.nodes.get_mut(due.to) else { return };
+            node.count(bytes.len());
+            node.sent_count += 1;
+            let (is_lost, delay) =
+                (node.rng.f64() < LOSS_SHARE, node.rng.u64(DELAY_RANGE_MS.0..=DELAY_RANGE_MS.1));
+            if receiver_partition == Some(node.partition) && !is_lost {
+                let from = Some((due.to, node.sent_count));
+                self.queue.push(Reverse(ScheduledEvent { at: due.at + delay, to, from, bytes }));
             }
         }
     }
 
-    fn forget_counts(&mut self) {
-        for host in &mut self.hosts {
-            (host.messages, host.bytes, host.second, host.worst, host.processor_ns) = (0, 0, 0, 0, 0);
+    fn reset_counters(&mut self) {
+        for node in &mut self.nodes {
+            (node.datagrams, node.bytes, node.second_bytes, node.worst_second_bytes, node.processor_ns) =
+                (0, 0, 0, 0, 0);
         }
     }
 
-    /// Each knows of each whether it is there and on its side.
-    fn true_to_life(&self) -> bool {
-        let there: Vec<(bool, u8)> = self.hosts.iter().map(|h| (h.fleet.is_some(), h.side)).collect();
-        self.hosts.iter().filter_map(|h| Some((h.fleet.as_ref()?.members(), h.side))).all(
-            |(members, side)| {
-                there
-                    .iter()
-                    .enumerate()
-                    .all(|(of, (up, at))| members.is_present(of as NodeId) == (*up && *at == side))
+    /// True if every running node considers exactly the running nodes of its own partition as present.
+    fn membership_is_correct(&self) -> bool {
+        let actual: Vec<(bool, u8)> =
+            self.nodes.iter().map(|n| (n.gossip.is_some(), n.partition)).collect();
+        self.nodes.iter().filter_map(|n| Some((n.gossip.as_ref()?.members(), n.partition))).all(
+            |(members, partition)| {
+                actual.iter().enumerate().all(|(id, (is_up, other))| {
+                    members.is_present(id as NodeId) == (*is_up && *other == partition)
+                })
             },
         )
     }
 
-    /// Each has a total that counts all.
-    fn counted(&self) -> bool {
-        let all = |fleet: &Gossip| fleet.totals(self.now).map_or(0, |(t, _)| usize::from(t.counted));
-        self.hosts.iter().filter_map(|h| h.fleet.as_ref()).all(|fleet| all(fleet) == self.hosts.len())
+    /// True if the totals of every running node include all nodes.
+    fn totals_count_all(&self) -> bool {
+        let counted_nodes =
+            |gossip: &Gossip| gossip.totals(self.now).map_or(0, |(t, _)| usize::from(t.counted));
+        self.nodes
+            .iter()
+            .filter_map(|n| n.gossip.as_ref())
+            .all(|gossip| counted_nodes(gossip) == self.nodes.len())
     }
 
-    /// Milliseconds until all is known, as far as that is within reach.
-    fn until_known(&mut self) -> Option<f64> {
-        self.until(World::true_to_life)
+    /// Runs until [`Simulation::membership_is_correct`] and returns the time until then, as
+    /// [`Simulation::run_until`] does.
+    fn run_until_membership_correct(&mut self) -> Option<f64> {
+        self.run_until(Simulation::membership_is_correct)
     }
 
-    fn until(&mut self, reached: impl Fn(&World) -> bool) -> Option<f64> {
-        let begun = self.now;
-        while self.now < begun + REACH_MS {
-            self.quiet(LOOK_MS);
-            if reached(self) {
-                return Some((self.now - begun) as f64);
+    /// Runs until a condition holds. Returns the virtual time until then in milliseconds, or `None` if the
+    /// condition does not hold within [`MAX_WAIT_MS`].
+    fn run_until(&mut self, condition: impl Fn(&Simulation) -> bool) -> Option<f64> {
+        let started = self.now;
+        while self.now < started + MAX_WAIT_MS {
+            self.run_for(CHECK_INTERVAL_MS);
+            if condition(self) {
+                return Some((self.now - started) as f64);
             }
         }
         None
     }
 
-    /// Bytes of the node that had most of them in one second.
-    fn worst_second(&self) -> f64 {
-        self.hosts.iter().map(|h| h.worst.max(h.second)).max().unwrap_or(0) as f64
+    /// Returns the highest number of bytes that any node sent and received in one second.
+    fn max_second_bytes(&self) -> f64 {
+        self.nodes.iter().map(|n| n.worst_second_bytes.max(n.second_bytes)).max().unwrap_or(0) as f64
     }
 }
 
-/// The series as they grow, by role and cost.
+/// Collects the measured values: unit and points of each series, by role and cost.
 #[derive(Default)]
-struct Found(BTreeMap<(&'static str, &'static str), (&'static str, Vec<Point>)>);
+struct SeriesRecorder(BTreeMap<(&'static str, &'static str), (&'static str, Vec<Point>)>);
 
-impl Found {
-    fn put(
+impl SeriesRecorder {
+    /// Adds a value to a series; does nothing if `value` is `None`.
+    fn record(
         &mut self,
         role: &'static str,
         cost: &'static str,
@@ -261,26 +294,32 @@
         }
     }
 
-    /// A time that was reached, and how often it was not.
-    fn time(&mut self, cost: &'static str, not_reached: &'static str, size: usize, value: Option<f64>) {
-        self.put("member", cost, "ms", size, value);
-        self.put("member", not_reached, "count", size, if value.is_some() { 0.0 } else { 1.0 });
+    /// Records the time until an event in the series `cost`, and whether the event was missed in `not_reached`.
+    fn record_time(
+        &mut self,
+        cost: &'static str,
+        not_reached: &'static str,
+        size: usize,
+        value: Option<f64>,
+    ) {
+        self.record("member", cost, "ms", size, value);
+        self.record("member", not_reached, "count", size, if value.is_some() { 0.0 } else { 1.0 });
     }
 
     fn series(self) -> Vec<Series> {
-        let one = |((role, cost), (unit, points)): ((&str, &str), (&str, Vec<Point>))| Series {
+        let to_series = |((role, cost), (unit, points)): ((&str, &str), (&str, Vec<Point>))| Series {
             role: role.into(),
             cost: cost.into(),
             unit: unit.into(),
             axis: "members".into(),
             points,
         };
-        self.0.into_iter().map(one).collect()
+        self.0.into_iter().map(to_series).collect()
     }
 }
 
-/// Resident memory of this process in bytes.
-fn resident() -> Result<f64, MeasureError> {
+/// Returns the resident memory of this process in bytes.
+fn resident_bytes() -> Result<f64, MeasureError> {
     let what = "reading /proc/self/statm";
     let text = std::fs::read_to_string("/proc/self/statm")
         .map_err(|cause| MeasureError::Io { what: what.into(), cause })?;
@@ -289,205 +328,217 @@
         * rustix::param::page_size() as f64)
 }
 
-/// How long one kind of play lasts at a size.
+/// The experiments at one size.
 #[derive(Clone, Copy)]
-struct Span {
+struct SizePlan {
     size: usize,
     repetitions: usize,
-    rest_ms: Ms,
-    /// The cut through the middle.
-    cut: bool,
-    /// A rack and a zone are lost.
-    lost: bool,
-    /// Restarts.
-    restarts: bool,
-    /// A region is away for so long; 0: not played.
+    /// Time for which the undisturbed fleet is measured.
+    idle_ms: Ms,
+    /// Whether to cut the network into two halves.
+    has_cut: bool,
+    /// Whether to kill a rack and a zone.
+    has_loss: bool,
+    /// Whether to restart members.
+    has_restarts: bool,
+    /// Time for which a region is cut off; 0 skips this experiment.
     away_ms: Ms,
 }
 
-fn spans(m: &MeasureOptions) -> Vec<Span> {
-    let span = |size, repetitions, rest_ms, lost, away_ms| {
-        let (cut, restarts) = (size <= 1500, lost && size <= 1500);
-        Span { size, repetitions, rest_ms, cut, lost, restarts, away_ms }
+fn size_plans(options: &MeasureOptions) -> Vec<SizePlan> {
+    let plan = |size, repetitions, idle_ms, has_loss, away_ms| {
+        let (has_cut, has_restarts) = (size <= 1500, has_loss && size <= 1500);
+        SizePlan { size, repetitions, idle_ms, has_cut, has_loss, has_restarts, away_ms }
     };
-    if m.quick {
+    if options.quick {
         let sizes = [(10, 10_000), (30, 10_000), (100, 0), (300, 0)];
-        return sizes.map(|(size, away)| span(size, 1, 5000, size < 100, away)).to_vec();
+        return sizes.map(|(size, downtime_ms)| plan(size, 1, 5000, size < 100, downtime_ms)).to_vec();
     }
-    let some = m.repetitions.clamp(1, 3);
+    let repetitions = options.repetitions.clamp(1, 3);
     vec![
-        span(10, some, 20_000, true, 3_600_000),
-        span(30, some, 20_000, true, 3_600_000),
-        span(100, some, 20_000, true, 3_600_000),
-        span(300, some, 20_000, true, 3_600_000),
-        span(500, 1, 10_000, true, 60_000),
-        span(700, 1, 10_000, true, 60_000),
-        span(900, 1, 10_000, true, 60_000),
-        span(1500, 1, 5000, true, 0),
-        span(4200, 1, 3000, true, 0),
+        plan(10, repetitions, 20_000, true, 3_600_000),
+        plan(30, repetitions, 20_000, true, 3_600_000),
+        plan(100, repetitions, 20_000, true, 3_600_000),
+        plan(300, repetitions, 20_000, true, 3_600_000),
+        plan(500, 1, 10_000, true, 60_000),
+        plan(700, 1, 10_000, true, 60_000),
+        plan(900, 1, 10_000, true, 60_000),
+        plan(1500, 1, 5000, true, 0),
+        plan(4200, 1, 3000, true, 0),
     ]
 }
 
-/// Plays fleets of growing size.
+/// Simulates fleets of increasing size.
 ///
 /// # Errors
 ///
-/// The process's own memory cannot be read.
-pub fn measure(m: &MeasureOptions) -> Result<Vec<Series>, MeasureError> {
-    measure_sizes(m, 0..=usize::MAX)
+/// Returns an error if this process cannot read its own memory usage.
+pub fn measure(options: &MeasureOptions) -> Result<Vec<Series>, MeasureError> {
+    measure_sizes(options, 0..=usize::MAX)
 }
 
-/// Plays those fleets whose size is in a range: the largest take minutes, and may be played beside the
-/// others.
+/// Simulates only the fleets whose size is in a range. The largest take minutes; separate processes can
+/// simulate them in parallel with the others.
 ///
 /// # Errors
 ///
-/// As for [`measure`].
+/// Returns the errors of [`measure`].
 pub fn measure_sizes(
-    m: &MeasureOptions,
+    options: &MeasureOptions,
     sizes: RangeInclusive<usize>,
 ) -> Result<Vec<Series>, MeasureError> {
-    let mut found = Found::default();
-    let (before, clock) = (resident()?, clock_ns());
-    for span in spans(m).into_iter().filter(|s| sizes.contains(&s.size)) {
-        for round in 0..span.repetitions {
-            let seed = m.seed ^ (span.size as u64) << 20 ^ (round as u64) << 8;
-            let mut world = World::new(span.size, seed);
-            found.put(
+    let mut recorder = SeriesRecorder::default();
+    let (memory_before, clock_overhead) = (resident_bytes()?, clock_overhead_ns());
+    for plan in size_plans(options).into_iter().filter(|s| sizes.contains(&s.size)) {
+        for repetition in 0..plan.repetitions {
+            let seed = options.seed ^ (plan.size as u64) << 20 ^ (repetition as u64) << 8;
+            let mut simulation = Simulation::new(plan.size, seed);
+            recorder.record(
                 "member",
                 "memory",
                 "bytes",
-                span.size,
-                (resident()? - before).max(0.0) / span.size as f64,
+                plan.size,
+                (resident_bytes()? - memory_before).max(0.0) / plan.size as f64,
             );
-            rest(&mut world, &span, clock, &mut found);
-            dead(&mut world, &span, &mut found);
-            drop(world);
-            if span.cut && !(m.quick && span.size > 100) {
-                cut(&span, seed, &mut found);
+            measure_idle(&mut simulation, &plan, clock_overhead, &mut recorder);
+            measure_deaths(&mut simulation, &plan, &mut recorder);
+            drop(simulation);
+            if plan.has_cut && !(options.quick && plan.size > 100) {
+                measure_cut(&plan, seed, &mut recorder);
             }
-            if span.restarts {
-                restarts(&span, seed, &mut found);
+            if plan.has_restarts {
+                measure_restarts(&plan, seed, &mut recorder);
             }
-            if span.lost {
-                lost(&span, seed, &mut found);
+            if plan.has_loss {
+                measure_losses(&plan, seed, &mut recorder);
             }
-            if span.away_ms > 0 {
-                region(&span, seed, &mut found);
+            if plan.away_ms > 0 {
+                measure_region_cut(&plan, seed, &mut recorder);
             }
         }
     }
-    Ok(found.series())
+    Ok(recorder.series())
 }
 
-fn rest(world: &mut World, span: &Span, clock: u64, found: &mut Found) {
-    world.forget_counts();
-    world.clock_ns = Some(clock);
-    world.quiet(span.rest_ms);
-    world.clock_ns = None;
-    let seconds = span.rest_ms as f64 / 1000.0;
-    let mean =
-        |of: fn(&Host) -> u64| world.hosts.iter().map(of).sum::<u64>() as f64 / seconds / span.size as f64;
-    let most = |of: fn(&Host) -> u64| world.hosts.iter().map(of).max().unwrap_or(0) as f64 / seconds;
-    for (cost, unit, of, scale) in [
-        ("datagrams", "count_per_s", (|h| h.messages) as fn(&Host) -> u64, 1.0),
-        ("bytes", "bytes_per_s", |h| h.bytes, 1.0),
-        ("processor", "cores", |h| h.processor_ns, 1e-9),
+/// Measures datagrams, bytes and processor time of an undisturbed fleet: the mean of all members, and the
+/// maximum, which is that of the busiest hub.
+fn measure_idle(
+    simulation: &mut Simulation,
+    plan: &SizePlan,
+    clock_overhead: u64,
+    recorder: &mut SeriesRecorder,
+) {
+    simulation.reset_counters();
+    simulation.clock_overhead_ns = Some(clock_overhead);
+    simulation.run_for(plan.idle_ms);
+    simulation.clock_overhead_ns = None;
+    let seconds = plan.idle_ms as f64 / 1000.0;
+    let mean = |counter: fn(&SimulatedNode) -> u64| {
+        simulation.nodes.iter().map(counter).sum::<u64>() as f64 / seconds / plan.size as f64
+    };
+    let max = |counter: fn(&SimulatedNode) -> u64| {
+        simulation.nodes.iter().map(counter).max().unwrap_or(0) as f64 / seconds
+    };
+    for (cost, unit, counter, scale) in [
+        ("datagrams", "count_per_s", (|n| n.datagrams) as fn(&SimulatedNode) -> u64, 1.0),
+        ("bytes", "bytes_per_s", |n| n.bytes, 1.0),
+        ("processor", "cores", |n| n.processor_ns, 1e-9),
     ] {
-        found.put("member", cost, unit, span.size, mean(of) * scale);
-        found.put("hub", cost, unit, span.size, most(of) * scale);
+        recorder.record("member", cost, unit, plan.size, mean(counter) * scale);
+        recorder.record("hub", cost, unit, plan.size, max(counter) * scale);
     }
 }
 
-/// The root, a hub and three leaves die at once.
-fn dead(world: &mut World, span: &Span, found: &mut Found) {
-    let n = span.size;
-    world.forget_counts();
-    for who in [0, 2, n / 2, n - 2, n - 1] {
-        world.kill(who);
+/// Kills the root, a hub and three leaves of the gossip tree simultaneously.
+fn measure_deaths(simulation: &mut Simulation, plan: &SizePlan, recorder: &mut SeriesRecorder) {
+    let n = plan.size;
+    simulation.reset_counters();
+    for victim in [0, 2, n / 2, n - 2, n - 1] {
+        simulation.kill(victim);
     }
-    let known = world.until_known();
-    found.time("dead_found", "dead_found_not_reached", n, known);
-    found.put("hub", "dead_worst_second", "bytes", n, world.worst_second());
+    let converged_ms = simulation.run_until_membership_correct();
+    recorder.record_time("dead_found", "dead_found_not_reached", n, converged_ms);
+    recorder.record("hub", "dead_worst_second", "bytes", n, simulation.max_second_bytes());
 }
 
-/// Half of the regions lose the other half, for 20 s after that is known, and have each other back.
-fn cut(span: &Span, seed: u64, found: &mut Found) {
-    let n = span.size;
-    let mut world = World::new(n, seed ^ 1);
-    world.forget_counts();
-    world.part(|n| u8::from(n % ZONES >= ZONES / 2));
-    let known = world.until_known();
-    found.time("cut_found", "cut_found_not_reached", n, known);
-    found.put("hub", "cut_worst_second", "bytes", n, world.worst_second());
-    world.quiet(20_000);
-    world.forget_counts();
-    world.part(|_| 0);
-    let known = world.until_known();
-    found.time("cut_healed", "cut_healed_not_reached", n, known);
-    found.put("hub", "cut_healed_worst_second", "bytes", n, world.worst_second());
+/// Cuts the network into two halves, heals it 20 s after all members know of the cut, and measures both.
+fn measure_cut(plan: &SizePlan, seed: u64, recorder: &mut SeriesRecorder) {
+    let n = plan.size;
+    let mut simulation = Simulation::new(n, seed ^ 1);
+    simulation.reset_counters();
+    simulation.set_partitions(|n| u8::from(n % ZONES >= ZONES / 2));
+    let converged_ms = simulation.run_until_membership_correct();
+    recorder.record_time("cut_found", "cut_found_not_reached", n, converged_ms);
+    recorder.record("hub", "cut_worst_second", "bytes", n, simulation.max_second_bytes());
+    simulation.run_for(20_000);
+    simulation.reset_counters();
+    simulation.set_partitions(|_| 0);
+    let converged_ms = simulation.run_until_membership_correct();
+    recorder.record_time("cut_healed", "cut_healed_not_reached", n, converged_ms);
+    recorder.record("hub", "cut_healed_worst_second", "bytes", n, simulation.max_second_bytes());
 }
 
-/// A minute of an ordinary day's restarts, by turns short and long; then a tenth at once.
-fn restarts(span: &Span, seed: u64, found: &mut Found) {
-    let n = span.size;
-    let mut world = World::new(n, seed ^ 2);
-    world.forget_counts();
-    let begun = world.now;
-    for round in 0..4 {
-        let who = world.rng.usize(..n);
-        let away = if round % 2 == 0 { AWAY_MS } else { REPLACED_MS };
-        world.kill(who);
-        world.quiet(away);
-        world.start(who);
-        world.quiet(RESTART_EVERY_MS - away);
+/// Restarts members at the daily rate for a minute, with alternately short and long downtimes; then restarts a
+/// tenth of all members simultaneously.
+fn measure_restarts(plan: &SizePlan, seed: u64, recorder: &mut SeriesRecorder) {
+    let n = plan.size;
+    let mut simulation = Simulation::new(n, seed ^ 2);
+    simulation.reset_counters();
+    let started = simulation.now;
+    for repetition in 0..4 {
+        let victim = simulation.rng.usize(..n);
+        let downtime_ms = if repetition % 2 == 0 { RESTART_DOWNTIME_MS } else { REPLACEMENT_DOWNTIME_MS };
+        simulation.kill(victim);
+        simulation.run_for(downtime_ms);
+        simulation.start(victim);
+        simulation.run_for(RESTART_EVERY_MS - downtime_ms);
     }
-    let seconds = (world.now - begun) as f64 / 1000.0;
-    let all: u64 = world.hosts.iter().map(|h| h.bytes).sum();
-    found.put("member", "restarts_bytes", "bytes_per_s", n, all as f64 / seconds / n as f64);
-    let most = world.hosts.iter().map(|h| h.bytes).max().unwrap_or(0);
-    found.put("hub", "restarts_bytes", "bytes_per_s", n, most as f64 / seconds);
-    world.until_known();
-    world.forget_counts();
-    let tenth: Vec<usize> = (0..n).filter(|who| who % 10 == 3).collect();
-    tenth.iter().for_each(|who| world.kill(*who));
-    world.quiet(AWAY_MS);
-    tenth.iter().for_each(|who| world.start(*who));
-    let known = world.until(|w| w.true_to_life() && w.counted());
-    found.time("tenth_back", "tenth_back_not_reached", n, known);
-    found.put("hub", "tenth_worst_second", "bytes", n, world.worst_second());
+    let seconds = (simulation.now - started) as f64 / 1000.0;
+    let total_bytes: u64 = simulation.nodes.iter().map(|n| n.bytes).sum();
+    recorder.record("member", "restarts_bytes", "bytes_per_s", n, total_bytes as f64 / seconds / n as f64);
+    let max_bytes = simulation.nodes.iter().map(|n| n.bytes).max().unwrap_or(0);
+    recorder.record("hub", "restarts_bytes", "bytes_per_s", n, max_bytes as f64 / seconds);
+    simulation.run_until_membership_correct();
+    simulation.reset_counters();
+    let every_tenth: Vec<usize> = (0..n).filter(|id| id % 10 == 3).collect();
+    every_tenth.iter().for_each(|victim| simulation.kill(*victim));
+    simulation.run_for(RESTART_DOWNTIME_MS);
+    every_tenth.iter().for_each(|victim| simulation.start(*victim));
+    let converged_ms = simulation.run_until(|s| s.membership_is_correct() && s.totals_count_all());
+    recorder.record_time("tenth_back", "tenth_back_not_reached", n, converged_ms);
+    recorder.record("hub", "tenth_worst_second", "bytes", n, simulation.max_second_bytes());
 }
 
-/// A rack, and then in another fleet a zone, is lost.
-fn lost(span: &Span, seed: u64, found: &mut Found) {
-    let n = span.size;
-    let zone: Vec<usize> = (0..n).filter(|who| who % ZONES == 5).collect();
-    let rack = (zone.len() >= RACK).then(|| zone.iter().copied().take(RACK).collect());
-    let whole: Option<Vec<usize>> = Some(zone);
-    for (cost, missed, bytes, gone) in [
+/// Kills a rack, and in another fleet a zone.
+fn measure_losses(plan: &SizePlan, seed: u64, recorder: &mut SeriesRecorder) {
+    let n = plan.size;
+    let zone: Vec<usize> = (0..n).filter(|id| id % ZONES == 5).collect();
+    let rack = (zone.len() >= RACK_MEMBERS).then(|| zone.iter().copied().take(RACK_MEMBERS).collect());
+    let zone: Option<Vec<usize>> = Some(zone);
+    for (cost, not_reached, bytes, victims) in [
         ("rack_found", "rack_found_not_reached", "rack_worst_second", rack),
-        ("zone_found", "zone_found_not_reached", "zone_worst_second", whole),
+        ("zone_found", "zone_found_not_reached", "zone_worst_second", zone),
     ] {
-        let Some(gone) = gone else { continue };
-        let mut world = World::new(n, seed ^ 3);
-        world.forget_counts();
-        gone.iter().for_each(|who| world.kill(*who));
-        let known = world.until_known();
-        found.time(cost, missed, n, known);
-        found.put("hub", bytes, "bytes", n, world.worst_second());
+        let Some(victims) = victims else { continue };
+        let mut simulation = Simulation::new(n, seed ^ 3);
+        simulation.reset_counters();
+        victims.iter().for_each(|victim| simulation.kill(*victim));
+        let converged_ms = simulation.run_until_membership_correct();
+        recorder.record_time(cost, not_reached, n, converged_ms);
+        recorder.record("hub", bytes, "bytes", n, simulation.max_second_bytes());
     }
 }
 
-/// A region of four is cut off, for long, and comes back.
-fn region(span: &Span, seed: u64, found: &mut Found) {
-    let n = span.size;
-    let mut world = World::new(n, seed ^ 4);
-    world.part(|n| u8::from(n % ZONES < ZONES / 4));
-    world.quiet(span.away_ms);
-    world.forget_counts();
-    world.part(|_| 0);
-    let known = world.until_known();
-    found.put("member", "region_away", "ms", n, span.away_ms as f64);
-    found.time("region_back", "region_back_not_reached", n, known);
-    found.put("hub", "region_back_worst_second", "bytes", n, world.worst_second());
+/// Cuts off one of four regions for `away_ms`, reconnects it, and measures the time until all members know each other again.
+fn measure_region_cut(plan: &SizePlan, seed: u64, recorder: &mut SeriesRecorder) {
+    let n = plan.size;
+    let mut simulation = Simulation::new(n, seed ^ 4);
+    simulation.set_partitions(|n| u8::from(n % ZONES < ZONES / 4));
+    simulation.run_for(plan.away_ms);
+    simulation.reset_counters();
+    simulation.set_partitions(|_| 0);
+    let converged_ms = simulation.run_until_membership_correct();
+    recorder.record("member", "region_away", "ms", n, plan.away_ms as f64);
+    recorder.record_time("region_back", "region_back_not_reached", n, converged_ms);
+    recorder.record("hub", "region_back_worst_second", "bytes", n, simulation.max_second_bytes());
 }
