--- a/crates/lab/src/capacity/discovery.rs
+++ b/crates/lab/src/capacity/discovery.rs
@@ -1,12 +1,12 @@
-//! What one discovery service costs by the number of its watches and of the backends that it lists: hollow
-//! nodes before a stand-in of the platform's protocol, over loopback sockets.
+//! Measures what one discovery service costs, by the number of its watches and of the backends that it lists.
+//! Simulated nodes call a test service that speaks the platform's protocol, over loopback sockets.
 //!
-//! A hollow node is the node's own course of asking (`daleturn::control::list_sync`) with one connection; of
-//! an answer it reads version and kind, and drops the lines. The service has a thread of its own, whose
-//! processor time is its cost; it writes a list once for each version, all answers share those bytes, so
-//! the cost of `list_written` is not in the others. The kernel's work for what it sends is in it. Each
-//! goal is waited for 20 s at most: one that is not reached is no point, and `..._not_reached` counts
-//! it. Sizes that need more descriptors than the process may open are left out.
+//! A simulated node runs the node's `daleturn::control::list_sync` with one connection. Of a response it reads
+//! the version and whether the list is full, and discards the entries. The service runs on its own thread, whose
+//! processor time is the cost of the service, including the kernel's work for sending. It encodes a list once
+//! for each version and shares the bytes among all responses; that cost is in `list_written` only. The wait for
+//! an event is limited to 20 s: an event that takes longer gives no point in its series and is counted by
+//! `..._not_reached`. Sizes that need more file descriptors than the process may open are left out.
 
 use super::{MeasureError, MeasureOptions, Point, Series};
 use bytes::Bytes;
@@ -31,74 +31,83 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-/// None that calls come from: one that nobody listens at would be answered by a caller's own port now and
-/// then.
-const HOST: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
-/// No goal is waited for longer.
-const REACH: Duration = Duration::from_secs(20);
-/// A node starts so long after the one before it.
+/// Loopback address of the service, different from the source address of the calls. With the same address, a call
+/// to the closed port could use that port as its source port and connect to itself.
+const SERVICE_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
+/// Longest time to wait for an event.
+const MAX_WAIT: Duration = Duration::from_secs(20);
+/// Time between the starts of two nodes.
 const START_EVERY_MS: f64 = 1.0;
-/// All hollow nodes share so many threads: the service must be what is busy.
-const THREADS: usize = 2;
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Number of threads that run the simulated nodes. Few threads leave the machine to the service.
+const NODE_THREADS: usize = 2;
+/// Longest time that the service holds a call open.
+const MAX_LONG_POLL: Duration = Duration::from_secs(60);
+/// Length of the queue of connections that are not accepted yet.
 const BACKLOG: u32 = 4096;
-const MUST_ASK_MS: f64 = 20_000.0;
-/// The fleet's list.
-const MOST_BACKENDS: usize = 47_000;
-const FEW_BACKENDS: usize = 1000;
-const FEW_WATCHES: usize = 100;
-
-/// What the service has, and what it is to do.
+/// Longest time between the calls of a node to discovery.
+const MUST_ASK_IN_MS: f64 = 20_000.0;
+/// Number of backends in the list of the planned fleet.
+const MAX_BACKENDS: usize = 47_000;
+const BACKENDS_ON_WATCHES_AXIS: usize = 1000;
+const WATCHES_ON_BACKENDS_AXIS: usize = 100;
+
+/// The list that the service sends, and commands to its thread.
 #[derive(Clone)]
-struct Content {
+struct ServiceState {
     version: u64,
-    whole: Bytes,
-    change: Bytes,
-    /// Nobody is answered, and connections are refused.
-    down: bool,
-    end: bool,
+    /// Response body with all entries.
+    full_list: Bytes,
+    /// Response body with the change from the previous version.
+    change_list: Bytes,
+    /// Makes the service close its connections and refuse new ones.
+    is_down: bool,
+    should_stop: bool,
 }
 
-/// What the service has counted.
+/// Calls, full lists and body bytes that the service has answered or sent.
 #[derive(Default)]
-struct Served {
+struct ServiceCounters {
     calls: AtomicU64,
-    wholes: AtomicU64,
+    full_lists: AtomicU64,
     bytes: AtomicU64,
 }
 
+/// The test service and its thread.
 struct Service {
     address: SocketAddr,
     thread: Option<JoinHandle<()>>,
-    task: i32,
-    content: watch::Sender<Content>,
-    served: Arc<Served>,
+    /// Thread ID in the kernel, to read its processor time.
+    thread_id: i32,
+    state: watch::Sender<ServiceState>,
+    counters: Arc<ServiceCounters>,
 }
 
-fn lines(backends: usize, version: u64) -> (Bytes, Bytes) {
-    let mut whole = format!("{{\"rev\":{version},\"all\":true,\"targets\":[");
-    let mut change = format!("{{\"rev\":{version},\"all\":false,\"targets\":[");
+/// Returns the response bodies of a version: the full list, and the change of its first entry.
+fn encode_list(backends: usize, version: u64) -> (Bytes, Bytes) {
+    let mut full_list = format!("{{\"rev\":{version},\"all\":true,\"targets\":[");
+    let mut change_list = format!("{{\"rev\":{version},\"all\":false,\"targets\":[");
     for n in 0..backends {
         let (state, comma) = (if n == 0 { "draining" } else { "up" }, if n == 0 { "" } else { "," });
         let (a, b, c) = (n / 65_536, n / 256 % 256, n % 256);
-        let line = format!(
+        let entry = format!(
             "{{\"uid\":\"s-{n:08x}\",\"endpoint\":\"10.{a}.{b}.{c}:8081\",\"az\":\"{}\",\"model\":\"m2\",\
              \"pod_group\":{},\"state\":\"{state}\",\"capacity_hint\":1.0,\"boot_ms\":0}}",
             n % 12,
             n % 1700,
         );
         // Writing to a string does not fail.
-        let _ = write!(whole, "{comma}{line}");
+        let _ = write!(full_list, "{comma}{entry}");
         if n == 0 {
-            change.push_str(&line);
+            change_list.push_str(&entry);
         }
     }
-    (Bytes::from(whole + "]}"), Bytes::from(change + "]}"))
+    (Bytes::from(full_list + "]}"), Bytes::from(change_list + "]}"))
 }
 
-async fn answer(
-    mut content: watch::Receiver<Content>,
-    served: &Served,
+/// Responds to a call. A call with the current version waits for the next one, at most for its `wait_ms`.
+async fn respond(
+    mut state: watch::Receiver<ServiceState>,
+    counters: &ServiceCounters,
     request: Request<Incoming>,
 ) -> io::Result<Response<Full<Bytes>>> {
     let query = request.uri().query().unwrap_or_default();
@@ -108,60 +117,61 @@
     };
     let after = number("after");
     if let Some(after) = after {
-        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0)).min(LONGEST_WAIT);
-        let news = content.wait_for(|c| c.version > after || c.down || c.end);
-        // Either way it is answered with what there is.
-        let _ = tokio::time::timeout(wait, news).await;
+        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0)).min(MAX_LONG_POLL);
+        let changed = state.wait_for(|s| s.version > after || s.is_down || s.should_stop);
+        // After a change and after the timeout, the response has the current version.
+        let _ = tokio::time::timeout(wait, changed).await;
     }
-    let now = content.borrow();
-    if now.down || now.end {
+    let current = state.borrow();
+    if current.is_down || current.should_stop {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
-    served.calls.fetch_add(1, Relaxed);
+    counters.calls.fetch_add(1, Relaxed);
     let body = match after {
-        Some(after) if after == now.version => {
+        Some(after) if after == current.version => {
             Bytes::from(format!("{{\"rev\":{after},\"all\":false,\"targets\":[]}}"))
         }
-        Some(after) if after + 1 == now.version => now.change.clone(),
+        Some(after) if after + 1 == current.version => current.change_list.clone(),
         _ => {
-            served.wholes.fetch_add(1, Relaxed);
-            now.whole.clone()
+            counters.full_lists.fetch_add(1, Relaxed);
+            current.full_list.clone()
         }
     };
-    served.bytes.fetch_add(body.len() as u64, Relaxed);
+    counters.bytes.fetch_add(body.len() as u64, Relaxed);
     Ok(Response::new(Full::new(body)))
 }
 
+/// Runs the service until it is told to stop. While it is down, it neither listens nor keeps connections.
 async fn serve(
     address: SocketAddr,
-    mut content: watch::Receiver<Content>,
-    served: Arc<Served>,
+    mut state: watch::Receiver<ServiceState>,
+    counters: Arc<ServiceCounters>,
 ) -> io::Result<()> {
     loop {
-        if content.wait_for(|c| !c.down || c.end).await.is_err() || content.borrow().end {
+        if state.wait_for(|s| !s.is_down || s.should_stop).await.is_err() || state.borrow().should_stop {
             return Ok(());
         }
         let listener = listen(address)?;
         loop {
             let (stream, _) = tokio::select! {
                 accepted = listener.accept() => accepted?,
-                _ = content.wait_for(|c| c.down || c.end) => break,
+                _ = state.wait_for(|s| s.is_down || s.should_stop) => break,
             };
-            let (mut ended, each, served) = (content.clone(), content.clone(), served.clone());
+            let (mut stop_state, call_state, counters) = (state.clone(), state.clone(), counters.clone());
             spawn_local(async move {
-                let service = service_fn(|request| answer(each.clone(), &served, request));
+                let service = service_fn(|request| respond(call_state.clone(), &counters, request));
                 let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 tokio::select! {
-                    // Errors are a node's leaving.
+                    // An error means that the node closed the connection.
                     _ = connection => {}
-                    _ = ended.wait_for(|c| c.down || c.end) => {}
+                    _ = stop_state.wait_for(|s| s.is_down || s.should_stop) => {}
                 }
             });
         }
     }
 }
 
-/// The same address again after it was down.
+/// Listens on the service's address. The address can be bound again after the service was down.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -169,7 +179,7 @@
     socket.listen(BACKLOG)
 }
 
-/// One thread with a loop of its own.
+/// Runs a future on a single-threaded runtime in the current thread.
 fn run_local<F: Future<Output = ()>>(work: impl FnOnce() -> F) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, work());
@@ -178,156 +188,181 @@
 
 impl Service {
     fn start(backends: usize) -> Result<Service, MeasureError> {
-        let io = |what: &str| {
+        let io_error = |what: &str| {
             let what = what.to_owned();
             move |cause| MeasureError::Io { what, cause }
         };
-        // The port is held until the thread has it.
-        let held = std::net::TcpListener::bind((HOST, 0)).map_err(io("a port for discovery"))?;
-        let address = held.local_addr().map_err(io("a port for discovery"))?;
-        drop(held);
-        let (whole, change) = lines(backends, 1);
-        let (content, receiver) =
-            watch::channel(Content { version: 1, whole, change, down: false, end: false });
-        let served = Arc::new(Served::default());
-        let (told, task) = mpsc::channel();
-        let counts = served.clone();
+        // Finds a free port, which the service's thread then binds.
+        let listener = std::net::TcpListener::bind((SERVICE_IP, 0))
+            .map_err(io_error("reserving a port for discovery"))?;
+        let address = listener.local_addr().map_err(io_error("reserving a port for discovery"))?;
+        drop(listener);
+        let (full_list, change_list) = encode_list(backends, 1);
+        let (state, receiver) = watch::channel(ServiceState {
+            version: 1,
+            full_list,
+            change_list,
+            is_down: false,
+            should_stop: false,
+        });
+        let counters = Arc::new(ServiceCounters::default());
+        let (id_sender, id_receiver) = mpsc::channel();
+        let thread_counters = counters.clone();
         let thread = std::thread::Builder::new()
             .spawn(move || {
-                let _ = told.send(rustix::thread::gettid().as_raw_nonzero().get());
-                // Who waits for its answers finds out.
+                let _ = id_sender.send(rustix::thread::gettid().as_raw_nonzero().get());
+                // An error ends the service, which the nodes notice as failed calls.
                 let _ = run_local(|| async {
-                    let _ = serve(address, receiver, counts).await;
+                    let _ = serve(address, receiver, thread_counters).await;
                 });
             })
-            .map_err(io("a thread for discovery"))?;
-        let task = task.recv().map_err(|_| MeasureError::Unexpected("discovery's thread ended".into()))?;
-        Ok(Service { address, thread: Some(thread), task, content, served })
+            .map_err(io_error("starting a thread for discovery"))?;
+        let thread_id =
+            id_receiver.recv().map_err(|_| MeasureError::Unexpected("discovery's thread ended".into()))?;
+        Ok(Service { address, thread: Some(thread), thread_id, state, counters })
     }
 
-    /// Milliseconds of processor time so far.
-    fn processor_ms(&self) -> Result<f64, MeasureError> {
-        let what = format!("/proc/self/task/{}/schedstat", self.task);
+    /// Returns the processor time of the service's thread so far, in milliseconds.
+    fn cpu_ms(&self) -> Result<f64, MeasureError> {
+        let what = format!("/proc/self/task/{}/schedstat", self.thread_id);
         let text = std::fs::read_to_string(&what)
             .map_err(|cause| MeasureError::Io { what: what.clone(), cause })?;
-        let spent = text.split(' ').next().and_then(|n| n.parse::<f64>().ok());
-        Ok(spent.ok_or_else(|| MeasureError::Unexpected(format!("{what}: {text}")))? / 1e6)
+        let cpu_ns = text.split(' ').next().and_then(|n| n.parse::<f64>().ok());
+        Ok(cpu_ns.ok_or_else(|| MeasureError::Unexpected(format!("{what}: {text}")))? / 1e6)
     }
 }
 
 impl Drop for Service {
     fn drop(&mut self) {
-        self.content.send_modify(|c| c.end = true);
+        self.state.send_modify(|s| s.should_stop = true);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// What all hollow nodes are to do at once: the numbers rise with each order.
+/// Commands to all simulated nodes. A node carries out a command when its count increases.
 #[derive(Clone, Copy, Default)]
-struct Order {
-    moved: u64,
-    tenth: u64,
-    end: bool,
+struct NodeCommands {
+    /// Reconnects every node, as after a change of discovery's address.
+    move_count: u64,
+    /// Restarts every tenth node.
+    tenth_restart_count: u64,
+    should_stop: bool,
 }
 
-/// How far a hollow node has come.
+/// Version of a simulated node's list, and number of full lists that it received.
 #[derive(Default)]
-struct Known {
+struct NodeProgress {
     version: AtomicU64,
-    wholes: AtomicU64,
+    full_lists: AtomicU64,
 }
 
-struct Nodes {
-    known: Arc<Vec<Known>>,
-    failed: Arc<AtomicU64>,
-    order: watch::Sender<Order>,
+/// The simulated nodes and their threads.
+struct SimulatedNodes {
+    progress: Arc<Vec<NodeProgress>>,
+    failed_calls: Arc<AtomicU64>,
+    commands: watch::Sender<NodeCommands>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Nodes {
-    fn start(count: usize, at: SocketAddr, how: Discovery, seed: u64) -> Result<Nodes, MeasureError> {
-        let (order, orders) = watch::channel(Order::default());
-        let mut nodes = Nodes {
-            known: Arc::new((0..count).map(|_| Known::default()).collect()),
-            failed: Arc::default(),
-            order,
+impl SimulatedNodes {
+    fn start(
+        count: usize,
+        address: SocketAddr,
+        mode: Discovery,
+        seed: u64,
+    ) -> Result<SimulatedNodes, MeasureError> {
+        let (commands, command_updates) = watch::channel(NodeCommands::default());
+        let mut nodes = SimulatedNodes {
+            progress: Arc::new((0..count).map(|_| NodeProgress::default()).collect()),
+            failed_calls: Arc::default(),
+            commands,
             threads: Vec::new(),
         };
-        for first in 0..THREADS {
-            let (known, failed, orders) = (nodes.known.clone(), nodes.failed.clone(), orders.clone());
+        for first in 0..NODE_THREADS {
+            let (progress, failed_calls, command_updates) =
+                (nodes.progress.clone(), nodes.failed_calls.clone(), command_updates.clone());
             let thread = std::thread::Builder::new().spawn(move || {
                 let _ = run_local(|| async {
                     let started = Instant::now();
-                    let all = (first..count).step_by(THREADS).map(|n| {
-                        let (known, failed, orders) = (known.clone(), failed.clone(), orders.clone());
+                    let nodes = (first..count).step_by(NODE_THREADS).map(|n| {
+                        let (progress, failed_calls, command_updates) =
+                            (progress.clone(), failed_calls.clone(), command_updates.clone());
                         spawn_local(async move {
-                            let Some(known) = known.get(n) else { return };
-                            let node = Node { number: n, count, at, how, seed, started };
-                            node.live(known, &failed, orders).await;
+                            let Some(progress) = progress.get(n) else { return };
+                            let node = Node { number: n, count, address, mode, seed, started };
+                            node.run(progress, &failed_calls, command_updates).await;
                         })
                     });
-                    for node in all.collect::<Vec<_>>() {
+                    for node in nodes.collect::<Vec<_>>() {
                         let _ = node.await;
                     }
                 });
             });
-            let what = "a thread for hollow nodes".to_owned();
+            let what = "starting a thread for simulated nodes".to_owned();
             nodes.threads.push(thread.map_err(|cause| MeasureError::Io { what, cause })?);
         }
         Ok(nodes)
     }
 
-    fn wholes(&self) -> Vec<u64> {
-        self.known.iter().map(|k| k.wholes.load(Relaxed)).collect()
+    fn full_lists(&self) -> Vec<u64> {
+        self.progress.iter().map(|p| p.full_lists.load(Relaxed)).collect()
     }
 }
 
-impl Drop for Nodes {
+impl Drop for SimulatedNodes {
     fn drop(&mut self) {
-        self.order.send_modify(|o| o.end = true);
+        self.commands.send_modify(|c| c.should_stop = true);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
     }
 }
 
+/// One simulated node.
 struct Node {
     number: usize,
     count: usize,
-    at: SocketAddr,
-    how: Discovery,
+    address: SocketAddr,
+    mode: Discovery,
     seed: u64,
     started: Instant,
 }
 
 impl Node {
-    fn asking(&self) -> ListSync {
-        let mut asking = ListSync::new(self.how, MUST_ASK_MS, None, self.seed ^ self.number as u64);
-        asking.set_wanted(true);
-        asking
+    /// Returns the list synchronization of a node that has just started.
+    fn list_sync(&self) -> ListSync {
+        let mut list_sync = ListSync::new(self.mode, MUST_ASK_IN_MS, None, self.seed ^ self.number as u64);
+        list_sync.set_wanted(true);
+        list_sync
     }
 
-    async fn live(&self, known: &Known, failed: &AtomicU64, mut orders: watch::Receiver<Order>) {
+    /// Calls discovery and carries out commands until it is told to stop.
+    async fn run(
+        &self,
+        progress: &NodeProgress,
+        failed_calls: &AtomicU64,
+        mut command_updates: watch::Receiver<NodeCommands>,
+    ) {
         let now = || self.started.elapsed().as_secs_f64() * 1000.0;
-        // A fleet starts by and by; what all at once would cost is `moved`.
+        // The nodes start one after the other. The cost of simultaneous calls is measured by the event `moved`.
         sleep_ms(self.number as f64 * START_EVERY_MS).await;
-        let mut asking = self.asking();
-        let mut conn = None;
-        let mut last = *orders.borrow_and_update();
-        let mut paced = 0_u32;
+        let mut list_sync = self.list_sync();
+        let mut connection = None;
+        let mut last = *command_updates.borrow_and_update();
+        let mut failures = 0_u32;
         let mut rng = fastrand::Rng::with_seed(!self.seed ^ self.number as u64);
         loop {
-            let next = asking.next(now());
+            let next = list_sync.next(now());
             let step = async {
                 match next {
                     NextStep::Idle => {
-                        // The decisions' pace after failures.
-                        let least = (25.0 * self.count as f64).min(MUST_ASK_MS / 2.0);
-                        let most = (4.0 * least).clamp(MUST_ASK_MS / 2.0, 2.0 * MUST_ASK_MS);
-                        let pause = (least * f64::from(1_u32 << paced.min(5))).min(most);
-                        sleep_ms(pause * (0.5 + 0.5 * rng.f64())).await;
+                        // The exponential back-off after failures, as in a node's decision logic.
+                        let min_ms = (25.0 * self.count as f64).min(MUST_ASK_IN_MS / 2.0);
+                        let max_ms = (4.0 * min_ms).clamp(MUST_ASK_IN_MS / 2.0, 2.0 * MUST_ASK_IN_MS);
+                        let pause_ms = (min_ms * f64::from(1_u32 << failures.min(5))).min(max_ms);
+                        sleep_ms(pause_ms * (0.5 + 0.5 * rng.f64())).await;
                         None
                     }
                     NextStep::Pause(ms) => {
@@ -336,45 +371,49 @@
                     }
                     NextStep::Call(call) => {
                         let limit = Duration::from_secs_f64(call.timeout_ms / 1000.0);
-                        let told = tokio::time::timeout(limit, exchange(self.at, &call, &mut conn)).await;
-                        Some((call, told.unwrap_or_else(|late| Err(late.into()))))
+                        let response = tokio::time::timeout(
+                            limit,
+                            call_discovery(self.address, &call, &mut connection),
+                        )
+                        .await;
+                        Some((call, response.unwrap_or_else(|timeout| Err(timeout.into()))))
                     }
                 }
             };
-            let done = tokio::select! {
+            let completed_call = tokio::select! {
                 biased;
-                changed = orders.changed() => {
-                    let order = *orders.borrow_and_update();
-                    if changed.is_err() || order.end {
+                changed = command_updates.changed() => {
+                    let commands = *command_updates.borrow_and_update();
+                    if changed.is_err() || commands.should_stop {
                         return;
                     }
-                    if order.moved != last.moved {
-                        conn = None;
-                        asking.discovery_changed(now(), self.how);
+                    if commands.move_count != last.move_count {
+                        connection = None;
+                        list_sync.discovery_changed(now(), self.mode);
                     }
-                    if order.tenth != last.tenth && self.number.is_multiple_of(10) {
-                        conn = None;
-                        asking = self.asking();
+                    if commands.tenth_restart_count != last.tenth_restart_count && self.number.is_multiple_of(10) {
+                        connection = None;
+                        list_sync = self.list_sync();
                     }
-                    last = order;
+                    last = commands;
                     continue;
                 }
-                done = step => done,
+                completed_call = step => completed_call,
             };
-            match done {
-                None => asking.set_wanted(true),
-                Some((call, Ok(told))) => {
-                    paced = 0;
-                    if asking.answered(now(), &call, told) {
-                        known.version.store(told.version, Relaxed);
-                        known.wholes.fetch_add(u64::from(told.full), Relaxed);
+            match completed_call {
+                None => list_sync.set_wanted(true),
+                Some((call, Ok(response))) => {
+                    failures = 0;
+                    if list_sync.answered(now(), &call, response) {
+                        progress.version.store(response.version, Relaxed);
+                        progress.full_lists.fetch_add(u64::from(response.full), Relaxed);
                     }
                 }
                 Some((call, Err(_))) => {
-                    conn = None;
-                    failed.fetch_add(1, Relaxed);
-                    if asking.failed(now(), &call) {
-                        paced += 1;
+                    connection = None;
+                    failed_calls.fetch_add(1, Relaxed);
+                    if list_sync.failed(now(), &call) {
+                        failures += 1;
                     }
                 }
             }
@@ -386,61 +425,69 @@
     tokio::time::sleep(Duration::from_secs_f64(ms.max(0.0) / 1000.0)).await;
 }
 
-/// Makes a call; of the answer only the first bytes are kept.
-async fn exchange(
-    at: SocketAddr,
+/// Calls discovery and returns the version of the response and whether it is a full list. `connection` is reused
+/// and kept open; the entries of the list are read and discarded.
+///
+/// # Errors
+/// Returns the error of the connection, or `InvalidData` for a response that cannot be parsed.
+async fn call_discovery(
+    address: SocketAddr,
     call: &ListCall,
-    kept: &mut Option<TcpStream>,
+    connection: &mut Option<TcpStream>,
 ) -> io::Result<ListResponse> {
-    let odd = || io::Error::from(io::ErrorKind::InvalidData);
-    let mut stream = match kept.take() {
+    let invalid = || io::Error::from(io::ErrorKind::InvalidData);
+    let mut stream = match connection.take() {
         Some(stream) => stream,
-        None => TcpStream::connect(at).await?,
+        None => TcpStream::connect(address).await?,
     };
     let query = match call.request {
         ListRequest::FullList => String::new(),
         ListRequest::Changes { after, wait_ms } => format!("?after={after}&wait_ms={wait_ms}"),
     };
     stream
-        .write_all(format!("GET /discovery/hosts{query} HTTP/1.1\r\nhost: {at}\r\n\r\n").as_bytes())
+        .write_all(format!("GET /discovery/hosts{query} HTTP/1.1\r\nhost: {address}\r\n\r\n").as_bytes())
         .await?;
     let mut first = Vec::new();
-    let (head, length) = loop {
+    // Reads the head, and of the body the first 48 bytes, which contain the version and the kind of the list.
+    let (head_length, body_length) = loop {
         if stream.read_buf(&mut first).await? == 0 || first.len() > 16 * 1024 {
-            return Err(odd());
+            return Err(invalid());
         }
         if let Some(end) = first.windows(4).position(|w| w == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&first[..end]).to_ascii_lowercase();
             let length = head.lines().find_map(|l| l.strip_prefix("content-length:"));
-            let length: usize = length.and_then(|l| l.trim().parse().ok()).ok_or_else(odd)?;
+            let length: usize = length.and_then(|l| l.trim().parse().ok()).ok_or_else(invalid)?;
             if first.len() - end - 4 >= length.min(48) {
                 break (end + 4, length);
             }
         }
     };
-    let body = String::from_utf8_lossy(first.get(head..).unwrap_or_default()).into_owned();
-    let version =
-        body.strip_prefix("{\"rev\":").and_then(|b| b.split(',').next()?.parse().ok()).ok_or_else(odd)?;
-    let all = body.get(..48).is_some_and(|b| b.contains("\"all\":true"));
-    let mut left = length.checked_sub(first.len() - head).ok_or_else(odd)?;
-    let mut part = vec![0; left.min(128 * 1024)];
-    while left > 0 {
-        let most = left.min(part.len());
-        match stream.read(&mut part[..most]).await? {
-            0 => return Err(odd()),
-            n => left -= n,
+    let body = String::from_utf8_lossy(first.get(head_length..).unwrap_or_default()).into_owned();
+    let version = body
+        .strip_prefix("{\"rev\":")
+        .and_then(|b| b.split(',').next()?.parse().ok())
+        .ok_or_else(invalid)?;
+    let is_full = body.get(..48).is_some_and(|b| b.contains("\"all\":true"));
+    let mut remaining = body_length.checked_sub(first.len() - head_length).ok_or_else(invalid)?;
+    let mut chunk = vec![0; remaining.min(128 * 1024)];
+    while remaining > 0 {
+        let max_bytes = remaining.min(chunk.len());
+        match stream.read(&mut chunk[..max_bytes]).await? {
+            0 => return Err(invalid()),
+            n => remaining -= n,
         }
     }
-    *kept = Some(stream);
-    Ok(ListResponse { version, full: all, skipped: 0 })
+    *connection = Some(stream);
+    Ok(ListResponse { version, full: is_full, skipped: 0 })
 }
 
-/// The series as they grow, by axis and cost.
+/// Collects the measured values: unit and points of each series, by axis and cost.
 #[derive(Default)]
-struct Found(BTreeMap<(&'static str, String), (&'static str, Vec<Point>)>);
+struct SeriesRecorder(BTreeMap<(&'static str, String), (&'static str, Vec<Point>)>);
 
-impl Found {
-    fn put(
+impl SeriesRecorder {
+    /// Adds a value to a series.
+    fn record(
         &mut self,
         axis: &'static str,
         cost: impl Into<String>,
@@ -456,254 +503,325 @@
     }
 
     fn series(self) -> Vec<Series> {
-        let one = |((axis, cost), (unit, points)): ((&str, String), (&str, Vec<Point>))| Series {
+        let to_series = |((axis, cost), (unit, points)): ((&str, String), (&str, Vec<Point>))| Series {
             role: "discovery".into(),
             cost,
             unit: unit.into(),
             axis: axis.into(),
             points,
         };
-        self.0.into_iter().map(one).collect()
+        self.0.into_iter().map(to_series).collect()
     }
 }
 
-/// Service and nodes, and what was counted before an event.
-struct Play {
-    // Ended in this order: nodes that lose the service first would beat on its address.
-    nodes: Nodes,
+/// A running service and its simulated nodes.
+struct Experiment {
+    // Dropped in this order: nodes whose service ends first would repeat calls to its address.
+    nodes: SimulatedNodes,
     service: Service,
     watches: usize,
     backends: usize,
 }
 
-struct Before {
-    at: Instant,
-    processor_ms: f64,
+/// Counters of service and nodes at one time.
+struct Snapshot {
+    time: Instant,
+    cpu_ms: f64,
     calls: u64,
-    wholes: u64,
+    full_lists: u64,
     bytes: u64,
-    failed: u64,
+    failed_calls: u64,
 }
 
-impl Play {
-    /// None where not all nodes had their first list within reach, which is counted.
-    fn begin(
-        found: &mut Found,
+impl Experiment {
+    /// Starts a service and its nodes, and waits until all nodes have a list. Returns `None` if they do not have
+    /// one in time, which is counted in the series `..._not_reached`.
+    fn start(
+        recorder: &mut SeriesRecorder,
         axis: &'static str,
         watches: usize,
         backends: usize,
-        how: Discovery,
+        mode: Discovery,
         seed: u64,
-    ) -> Result<Option<Play>, MeasureError> {
+    ) -> Result<Option<Experiment>, MeasureError> {
         let service = Service::start(backends)?;
-        let nodes = Nodes::start(watches, service.address, how, seed)?;
-        let play = Play { nodes, service, watches, backends };
-        let reach = REACH + Duration::from_secs_f64(watches as f64 * START_EVERY_MS / 1000.0);
-        let all = play.until(reach, |_, known| known.version.load(Relaxed) > 0).is_some();
-        let way = if how == Discovery::Pushed { "pushed" } else { "asked" };
-        let large = if backends == MOST_BACKENDS && axis == "watches" { "largest_" } else { "" };
+        let nodes = SimulatedNodes::start(watches, service.address, mode, seed)?;
+        let experiment = Experiment { nodes, service, watches, backends };
+        let limit = MAX_WAIT + Duration::from_secs_f64(watches as f64 * START_EVERY_MS / 1000.0);
+        let all_started =
+            experiment.wait_until(limit, |_, progress| progress.version.load(Relaxed) > 0).is_some();
+        let mode_name = if mode == Discovery::Pushed { "pushed" } else { "asked" };
+        let prefix = if backends == MAX_BACKENDS && axis == "watches" { "largest_" } else { "" };
         let size = if axis == "watches" { watches } else { backends };
-        let missed = if all { 0.0 } else { 1.0 };
-        found.put(axis, format!("{large}first_{way}_not_reached"), "count", size, missed);
-        // The last of them begin their watches.
+        let not_reached = if all_started { 0.0 } else { 1.0 };
+        recorder.record(axis, format!("{prefix}first_{mode_name}_not_reached"), "count", size, not_reached);
+        // Gives the last nodes time to start their watches.
         std::thread::sleep(Duration::from_millis(300));
-        Ok(all.then_some(play))
+        Ok(all_started.then_some(experiment))
     }
 
-    fn before(&self) -> Result<Before, MeasureError> {
-        Ok(Before {
-            at: Instant::now(),
-            processor_ms: self.service.processor_ms()?,
-            calls: self.service.served.calls.load(Relaxed),
-            wholes: self.service.served.wholes.load(Relaxed),
-            bytes: self.service.served.bytes.load(Relaxed),
-            failed: self.nodes.failed.load(Relaxed),
+    fn snapshot(&self) -> Result<Snapshot, MeasureError> {
+        Ok(Snapshot {
+            time: Instant::now(),
+            cpu_ms: self.service.cpu_ms()?,
+            calls: self.service.counters.calls.load(Relaxed),
+            full_lists: self.service.counters.full_lists.load(Relaxed),
+            bytes: self.service.counters.bytes.load(Relaxed),
+            failed_calls: self.nodes.failed_calls.load(Relaxed),
         })
     }
 
-    /// Milliseconds until it holds of each node.
-    fn until(&self, reach: Duration, holds: impl Fn(usize, &Known) -> bool) -> Option<f64> {
-        let begun = Instant::now();
-        let mut left = (0..self.watches).collect::<Vec<_>>();
+    /// Waits until a condition has held for each node once. Returns the time until then in milliseconds, or `None`
+    /// after `limit`.
+    fn wait_until(&self, limit: Duration, condition: impl Fn(usize, &NodeProgress) -> bool) -> Option<f64> {
+        let started = Instant::now();
+        let mut remaining = (0..self.watches).collect::<Vec<_>>();
         loop {
-            left.retain(|n| self.nodes.known.get(*n).is_some_and(|known| !holds(*n, known)));
-            let spent = begun.elapsed();
-            if left.is_empty() {
-                return Some(spent.as_secs_f64() * 1000.0);
+            remaining
+                .retain(|n| self.nodes.progress.get(*n).is_some_and(|progress| !condition(*n, progress)));
+            let elapsed = started.elapsed();
+            if remaining.is_empty() {
+                return Some(elapsed.as_secs_f64() * 1000.0);
             }
-            if spent > reach {
+            if elapsed > limit {
                 return None;
             }
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// What an event cost up to now, by the axis that is played.
-    fn put(
+    /// Records the cost of an event, from `snapshot` until now, on an axis. `elapsed_ms` is the time until the event
+    /// reached all affected nodes, or `None` if it did not.
+    fn record(
         &self,
-        found: &mut Found,
+        recorder: &mut SeriesRecorder,
         axis: &'static str,
         event: &str,
-        before: &Before,
-        reached: Option<f64>,
+        snapshot: &Snapshot,
+        elapsed_ms: Option<f64>,
     ) -> Result<(), MeasureError> {
         let size = if axis == "watches" { self.watches } else { self.backends };
-        let now = self.before()?;
-        let mut put =
-            |what: &str, unit, value| found.put(axis, format!("{event}_{what}"), unit, size, value);
-        if let Some(ms) = reached {
-            put("last", "ms", ms);
+        let now = self.snapshot()?;
+        let mut record =
+            |what: &str, unit, value| recorder.record(axis, format!("{event}_{what}"), unit, size, value);
+        if let Some(ms) = elapsed_ms {
+            record("last", "ms", ms);
         }
-        put("not_reached", "count", if reached.is_some() { 0.0 } else { 1.0 });
-        put("processor", "ms", now.processor_ms - before.processor_ms);
-        put("calls", "count", (now.calls - before.calls) as f64);
-        put("whole_lists", "count", (now.wholes - before.wholes) as f64);
-        put("bytes", "bytes", (now.bytes - before.bytes) as f64);
-        put("failed_calls", "count", (now.failed - before.failed) as f64);
+        record("not_reached", "count", if elapsed_ms.is_some() { 0.0 } else { 1.0 });
+        record("processor", "ms", now.cpu_ms - snapshot.cpu_ms);
+        record("calls", "count", (now.calls - snapshot.calls) as f64);
+        record("whole_lists", "count", (now.full_lists - snapshot.full_lists) as f64);
+        record("bytes", "bytes", (now.bytes - snapshot.bytes) as f64);
+        record("failed_calls", "count", (now.failed_calls - snapshot.failed_calls) as f64);
         Ok(())
     }
 
-    fn rest(&self, found: &mut Found, name: &str, for_ms: u64) -> Result<(), MeasureError> {
-        let before = self.before()?;
-        std::thread::sleep(Duration::from_millis(for_ms));
-        let now = self.before()?;
-        let seconds = now.at.duration_since(before.at).as_secs_f64();
-        let cores = (now.processor_ms - before.processor_ms) / 1000.0 / seconds;
-        let mut put = |what: &str, unit, value| {
-            found.put("watches", format!("{name}_{what}"), unit, self.watches, value);
+    /// Measures the cost of watches without changes over `duration_ms`.
+    fn measure_idle(
+        &self,
+        recorder: &mut SeriesRecorder,
+        name: &str,
+        duration_ms: u64,
+    ) -> Result<(), MeasureError> {
+        let snapshot = self.snapshot()?;
+        std::thread::sleep(Duration::from_millis(duration_ms));
+        let now = self.snapshot()?;
+        let seconds = now.time.duration_since(snapshot.time).as_secs_f64();
+        let cores = (now.cpu_ms - snapshot.cpu_ms) / 1000.0 / seconds;
+        let mut record = |what: &str, unit, value| {
+            recorder.record("watches", format!("{name}_{what}"), unit, self.watches, value);
         };
-        put("processor", "cores", cores);
-        put("calls", "count_per_s", (now.calls - before.calls) as f64 / seconds);
-        put("bytes", "bytes_per_s", (now.bytes - before.bytes) as f64 / seconds);
+        record("processor", "cores", cores);
+        record("calls", "count_per_s", (now.calls - snapshot.calls) as f64 / seconds);
+        record("bytes", "bytes_per_s", (now.bytes - snapshot.bytes) as f64 / seconds);
         Ok(())
     }
 
-    /// One entry is another.
-    fn change(&self, found: &mut Found, axis: &'static str) -> Result<(), MeasureError> {
-        let version = self.service.content.borrow().version + 1;
-        let (whole, change) = lines(self.backends, version);
-        let before = self.before()?;
-        self.service.content.send_modify(|c| (c.version, c.whole, c.change) = (version, whole, change));
-        let reached = self.until(REACH, |_, known| known.version.load(Relaxed) >= version);
-        self.put(found, axis, "change", &before, reached)
+    /// Measures the event `change`: one entry of the list changes.
+    fn measure_change(
+        &self,
+        recorder: &mut SeriesRecorder,
+        axis: &'static str,
+    ) -> Result<(), MeasureError> {
+        let version = self.service.state.borrow().version + 1;
+        let (full_list, change_list) = encode_list(self.backends, version);
+        let snapshot = self.snapshot()?;
+        self.service
+            .state
+            .send_modify(|s| (s.version, s.full_list, s.change_list) = (version, full_list, change_list));
+        let elapsed_ms = self.wait_until(MAX_WAIT, |_, progress| progress.version.load(Relaxed) >= version);
+        self.record(recorder, axis, "change", &snapshot, elapsed_ms)
     }
 
-    /// Some nodes take the whole list after `begin`; `who` says which.
-    fn storm(
+    /// Measures an event that is caused by `start` and after which every node selected by `is_affected` requests
+    /// the full list.
+    fn measure_resync(
         &self,
-        found: &mut Found,
+        recorder: &mut SeriesRecorder,
         axis: &'static str,
         event: &str,
-        who: impl Fn(usize) -> bool,
-        begin: impl FnOnce(),
+        is_affected: impl Fn(usize) -> bool,
+        start: impl FnOnce(),
     ) -> Result<(), MeasureError> {
-        let had = self.nodes.wholes();
-        let before = self.before()?;
-        begin();
-        let more =
-            |n: usize, known: &Known| had.get(n).is_some_and(|had| known.wholes.load(Relaxed) > *had);
-        let reached = self.until(REACH, |n, known| !who(n) || more(n, known));
-        self.put(found, axis, event, &before, reached)
+        let previous_lists = self.nodes.full_lists();
+        let snapshot = self.snapshot()?;
+        start();
+        let has_new_list = |n: usize, progress: &NodeProgress| {
+            previous_lists
+                .get(n)
+                .is_some_and(|previous_lists| progress.full_lists.load(Relaxed) > *previous_lists)
+        };
+        let elapsed_ms =
+            self.wait_until(MAX_WAIT, |n, progress| !is_affected(n) || has_new_list(n, progress));
+        self.record(recorder, axis, event, &snapshot, elapsed_ms)
     }
 
-    /// Each is sent to another address, as after SIGHUP.
-    fn moved(&self, found: &mut Found, axis: &'static str, event: &str) -> Result<(), MeasureError> {
-        self.storm(found, axis, event, |_| true, || self.nodes.order.send_modify(|o| o.moved += 1))
+    /// Measures the event that all nodes connect to a new address of discovery, as after SIGHUP.
+    fn measure_move(
+        &self,
+        recorder: &mut SeriesRecorder,
+        axis: &'static str,
+        event: &str,
+    ) -> Result<(), MeasureError> {
+        self.measure_resync(
+            recorder,
+            axis,
+            event,
+            |_| true,
+            || self.nodes.commands.send_modify(|c| c.move_count += 1),
+        )
     }
 
-    fn tenth(&self, found: &mut Found, axis: &'static str) -> Result<(), MeasureError> {
-        let tenth = |n: usize| n.is_multiple_of(10);
-        self.storm(found, axis, "tenth", tenth, || self.nodes.order.send_modify(|o| o.tenth += 1))
+    /// Measures the event `tenth`: every tenth node restarts.
+    fn measure_tenth_restart(
+        &self,
+        recorder: &mut SeriesRecorder,
+        axis: &'static str,
+    ) -> Result<(), MeasureError> {
+        let is_tenth = |n: usize| n.is_multiple_of(10);
+        self.measure_resync(recorder, axis, "tenth", is_tenth, || {
+            self.nodes.commands.send_modify(|c| c.tenth_restart_count += 1)
+        })
     }
 
-    /// It is away, and there again. Pauses between calls stop growing long before a second.
-    fn back(&self, found: &mut Found, axis: &'static str, away: Duration) -> Result<(), MeasureError> {
-        let before = self.nodes.failed.load(Relaxed);
-        self.service.content.send_modify(|c| c.down = true);
-        std::thread::sleep(away);
-        let beats = (self.nodes.failed.load(Relaxed) - before) as f64 / away.as_secs_f64();
+    /// Measures an outage of the service: the calls per second meanwhile, and the event `back`, its end. The nodes'
+    /// pauses between calls reach their maximum well before one second.
+    fn measure_outage(
+        &self,
+        recorder: &mut SeriesRecorder,
+        axis: &'static str,
+        outage: Duration,
+    ) -> Result<(), MeasureError> {
+        let failed_before = self.nodes.failed_calls.load(Relaxed);
+        self.service.state.send_modify(|s| s.is_down = true);
+        std::thread::sleep(outage);
+        let failed_per_s =
+            (self.nodes.failed_calls.load(Relaxed) - failed_before) as f64 / outage.as_secs_f64();
         let size = if axis == "watches" { self.watches } else { self.backends };
-        found.put(axis, "away_calls", "count_per_s", size, beats);
-        self.storm(found, axis, "back", |_| true, || self.service.content.send_modify(|c| c.down = false))
+        recorder.record(axis, "away_calls", "count_per_s", size, failed_per_s);
+        self.measure_resync(
+            recorder,
+            axis,
+            "back",
+            |_| true,
+            || self.service.state.send_modify(|s| s.is_down = false),
+        )
     }
 }
 
-/// Two ends of each connection, the old ones besides while a storm lasts, and what the process has, may all be
-/// open.
-fn fits(watches: usize) -> bool {
-    let open = rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX);
-    watches as u64 * 4 + 300 <= open
+/// True if the process may open enough file descriptors: both ends of a connection for each watch, both ends of
+/// its previous connection while all nodes reconnect, and 300 for the rest of the process.
+fn has_descriptors_for(watches: usize) -> bool {
+    let max_open =
+        rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX);
+    watches as u64 * 4 + 300 <= max_open
 }
 
-/// Plays hollow nodes before the service: watches with 1,000 backends, and backends with 100 watches.
+/// Measures the discovery service by the number of watches, with 1,000 backends, and by the number of backends,
+/// with 100 watches.
 ///
 /// # Errors
 ///
-/// Sockets or threads cannot be had.
-pub fn measure(m: &MeasureOptions) -> Result<Vec<Series>, MeasureError> {
-    let mut found = Found::default();
-    let (watches, backends): (&[usize], &[usize]) = if m.quick {
+/// Returns an error if sockets or threads cannot be created, or if the processor time cannot be read.
+pub fn measure(options: &MeasureOptions) -> Result<Vec<Series>, MeasureError> {
+    let mut recorder = SeriesRecorder::default();
+    let (watches, backends): (&[usize], &[usize]) = if options.quick {
         (&[10, 30, 100, 300], &[100, 300, 1000, 3000])
     } else {
-        (&[100, 300, 1000, 2000, 4200], &[100, 300, 1000, 5000, 15_000, MOST_BACKENDS])
+        (&[100, 300, 1000, 2000, 4200], &[100, 300, 1000, 5000, 15_000, MAX_BACKENDS])
     };
-    let rounds = if m.quick { 1 } else { m.repetitions.clamp(1, 3) };
-    let (rest_ms, away) = if m.quick { (500, 200) } else { (5000, 2000) };
-    let away = Duration::from_millis(away);
-    for &count in watches.iter().filter(|w| fits(**w)) {
-        for round in 0..rounds {
-            let seed = m.seed ^ (count as u64) << 20 ^ round as u64;
-            let few = if m.quick { 100 } else { FEW_BACKENDS };
-            if round == 0
-                && let Some(play) =
-                    Play::begin(&mut found, "watches", count, few, Discovery::OnRequest, seed)?
+    let repetitions = if options.quick { 1 } else { options.repetitions.clamp(1, 3) };
+    let (idle_ms, outage_ms) = if options.quick { (500, 200) } else { (5000, 2000) };
+    let outage = Duration::from_millis(outage_ms);
+    for &count in watches.iter().filter(|w| has_descriptors_for(**w)) {
+        for repetition in 0..repetitions {
+            let seed = options.seed ^ (count as u64) << 20 ^ repetition as u64;
+            let backend_count = if options.quick { 100 } else { BACKENDS_ON_WATCHES_AXIS };
+            if repetition == 0
+                && let Some(experiment) = Experiment::start(
+                    &mut recorder,
+                    "watches",
+                    count,
+                    backend_count,
+                    Discovery::OnRequest,
+                    seed,
+                )?
             {
-                // Until the first waits are over.
-                std::thread::sleep(Duration::from_millis(if m.quick { 0 } else { 10_000 }));
-                play.rest(&mut found, "rest_asked", 2 * rest_ms)?;
+                // Waits until the first long polls have ended.
+                std::thread::sleep(Duration::from_millis(if options.quick { 0 } else { 10_000 }));
+                experiment.measure_idle(&mut recorder, "rest_asked", 2 * idle_ms)?;
             }
-            let Some(play) = Play::begin(&mut found, "watches", count, few, Discovery::Pushed, seed)?
+            let Some(experiment) =
+                Experiment::start(&mut recorder, "watches", count, backend_count, Discovery::Pushed, seed)?
             else {
                 continue;
             };
-            play.rest(&mut found, "rest_pushed", rest_ms)?;
-            play.change(&mut found, "watches")?;
-            play.moved(&mut found, "watches", "moved")?;
-            play.tenth(&mut found, "watches")?;
-            play.back(&mut found, "watches", away)?;
+            experiment.measure_idle(&mut recorder, "rest_pushed", idle_ms)?;
+            experiment.measure_change(&mut recorder, "watches")?;
+            experiment.measure_move(&mut recorder, "watches", "moved")?;
+            experiment.measure_tenth_restart(&mut recorder, "watches")?;
+            experiment.measure_outage(&mut recorder, "watches", outage)?;
         }
     }
     for &count in backends {
-        for round in 0..rounds {
-            let seed = m.seed ^ (count as u64) << 20 ^ round as u64;
-            let begun = Instant::now();
-            let (whole, _) = lines(count, 1);
-            found.put("backends", "list_written", "ms", count, begun.elapsed().as_secs_f64() * 1000.0);
-            found.put("backends", "list_bytes", "bytes", count, whole.len() as f64);
-            let few = if m.quick { 10 } else { FEW_WATCHES };
-            let Some(play) = Play::begin(&mut found, "backends", few, count, Discovery::Pushed, seed)?
+        for repetition in 0..repetitions {
+            let seed = options.seed ^ (count as u64) << 20 ^ repetition as u64;
+            let started = Instant::now();
+            let (full_list, _) = encode_list(count, 1);
+            recorder.record(
+                "backends",
+                "list_written",
+                "ms",
+                count,
+                started.elapsed().as_secs_f64() * 1000.0,
+            );
+            recorder.record("backends", "list_bytes", "bytes", count, full_list.len() as f64);
+            let watch_count = if options.quick { 10 } else { WATCHES_ON_BACKENDS_AXIS };
+            let Some(experiment) =
+                Experiment::start(&mut recorder, "backends", watch_count, count, Discovery::Pushed, seed)?
             else {
                 continue;
             };
-            play.change(&mut found, "backends")?;
-            play.moved(&mut found, "backends", "moved")?;
-            play.back(&mut found, "backends", away)?;
+            experiment.measure_change(&mut recorder, "backends")?;
+            experiment.measure_move(&mut recorder, "backends", "moved")?;
+            experiment.measure_outage(&mut recorder, "backends", outage)?;
         }
     }
-    if !m.quick {
-        largest(&mut found, m.seed)?;
+    if !options.quick {
+        measure_largest_list(&mut recorder, options.seed)?;
     }
-    Ok(found.series())
+    Ok(recorder.series())
 }
 
-/// The largest list before a growing number of watches: where calls begin to end before their lists are
-/// whole.
-fn largest(found: &mut Found, seed: u64) -> Result<(), MeasureError> {
+/// Sends the largest list to an increasing number of watches, to find the number at which calls time out before
+/// the list is complete.
+fn measure_largest_list(recorder: &mut SeriesRecorder, seed: u64) -> Result<(), MeasureError> {
     let sizes = [3, 10, 30, 100, 200, 300, 500, 1000, 1500, 2500, 4200];
-    for watches in sizes.into_iter().filter(|w| fits(*w)) {
-        if let Some(play) = Play::begin(found, "watches", watches, MOST_BACKENDS, Discovery::Pushed, seed)?
+    for watches in sizes.into_iter().filter(|w| has_descriptors_for(*w)) {
+        if let Some(experiment) =
+            Experiment::start(recorder, "watches", watches, MAX_BACKENDS, Discovery::Pushed, seed)?
         {
-            play.moved(found, "watches", "largest")?;
+            experiment.measure_move(recorder, "watches", "largest")?;
         }
     }
     Ok(())
