--- a/crates/lab/src/capacity/discovery.rs
+++ b/crates/lab/src/capacity/discovery.rs
@@ -1,12 +1,13 @@
-//! Measures what one discovery service costs, by the number of its watches and of the backends that it lists.
-//! Simulated nodes call a test service that speaks the platform's protocol, over loopback sockets.
+//! Measures what one discovery service costs, by the number of its watches and of the backends that it
+//! lists. Simulated nodes call a test service that speaks the platform's protocol, over loopback sockets.
 //!
-//! A simulated node runs the node's `daleturn::control::list_sync` with one connection. Of a response it reads
-//! the version and whether the list is full, and discards the entries. The service runs on its own thread, whose
-//! processor time is the cost of the service, including the kernel's work for sending. It encodes a list once
-//! for each version and shares the bytes among all responses; that cost is in `list_written` only. The wait for
-//! an event is limited to 20 s: an event that takes longer gives no point in its series and is counted by
-//! `..._not_reached`. Sizes that need more file descriptors than the process may open are left out.
+//! A simulated node runs the node's `daleturn::control::list_sync` with one connection. Of a response it
+//! reads the version and whether the list is full, and discards the entries. The service runs on its own
+//! thread, whose processor time is the cost of the service, including the kernel's work for sending. It
+//! encodes a list once for each version and shares the bytes among all responses; that cost is in
+//! `list_written` only. The wait for an event is limited to 20 s: an event that takes longer gives no point
+//! in its series and is counted by `..._not_reached`. Sizes that need more file descriptors than the
+//! process may open are left out.
 
 use super::{MeasureError, MeasureOptions, Point, Series};
 use bytes::Bytes;
@@ -31,8 +32,8 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Loopback address of the service, different from the source address of the calls. With the same address, a call
-/// to the closed port could use that port as its source port and connect to itself.
+/// Loopback address of the service, different from the source address of the calls. With the same address,
+/// a call to the closed port could use that port as its source port and connect to itself.
 const SERVICE_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 /// Longest time to wait for an event.
 const MAX_WAIT: Duration = Duration::from_secs(20);
@@ -247,7 +248,7 @@
     /// Reconnects every node, as after a change of discovery's address.
     move_count: u64,
     /// Restarts every tenth node.
-    tenth_restart_count: u64,
+    restart_count: u64,
     should_stop: bool,
 }
 
@@ -346,7 +347,8 @@
         mut command_updates: watch::Receiver<NodeCommands>,
     ) {
         let now = || self.started.elapsed().as_secs_f64() * 1000.0;
-        // The nodes start one after the other. The cost of simultaneous calls is measured by the event `moved`.
+        // The nodes start one after the other. The cost of simultaneous calls is measured by the event
+        // `moved`.
         sleep_ms(self.number as f64 * START_EVERY_MS).await;
         let mut list_sync = self.list_sync();
         let mut connection = None;
@@ -391,7 +393,7 @@
                         connection = None;
                         list_sync.discovery_changed(now(), self.mode);
                     }
-                    if commands.tenth_restart_count != last.tenth_restart_count && self.number.is_multiple_of(10) {
+                    if commands.restart_count != last.restart_count && self.number.is_multiple_of(10) {
                         connection = None;
                         list_sync = self.list_sync();
                     }
@@ -425,8 +427,8 @@
     tokio::time::sleep(Duration::from_secs_f64(ms.max(0.0) / 1000.0)).await;
 }
 
-/// Calls discovery and returns the version of the response and whether it is a full list. `connection` is reused
-/// and kept open; the entries of the list are read and discarded.
+/// Calls discovery and returns the version of the response and whether it is a full list. `connection` is
+/// reused and kept open; the entries of the list are read and discarded.
 ///
 /// # Errors
 /// Returns the error of the connection, or `InvalidData` for a response that cannot be parsed.
@@ -448,7 +450,8 @@
         .write_all(format!("GET /discovery/hosts{query} HTTP/1.1\r\nhost: {address}\r\n\r\n").as_bytes())
         .await?;
     let mut first = Vec::new();
-    // Reads the head, and of the body the first 48 bytes, which contain the version and the kind of the list.
+    // Reads the head, and of the body the first 48 bytes, which contain the version and the kind of the
+    // list.
     let (head_length, body_length) = loop {
         if stream.read_buf(&mut first).await? == 0 || first.len() > 16 * 1024 {
             return Err(invalid());
@@ -534,8 +537,8 @@
 }
 
 impl Experiment {
-    /// Starts a service and its nodes, and waits until all nodes have a list. Returns `None` if they do not have
-    /// one in time, which is counted in the series `..._not_reached`.
+    /// Starts a service and its nodes, and waits until all nodes have a list. Returns `None` if they do not
+    /// have one in time, which is counted in the series `..._not_reached`.
     fn start(
         recorder: &mut SeriesRecorder,
         axis: &'static str,
@@ -571,8 +574,8 @@
         })
     }
 
-    /// Waits until a condition has held for each node once. Returns the time until then in milliseconds, or `None`
-    /// after `limit`.
+    /// Waits until a condition has held for each node once. Returns the time until then in milliseconds, or
+    /// `None` after `limit`.
     fn wait_until(&self, limit: Duration, condition: impl Fn(usize, &NodeProgress) -> bool) -> Option<f64> {
         let started = Instant::now();
         let mut remaining = (0..self.watches).collect::<Vec<_>>();
@@ -590,8 +593,8 @@
         }
     }
 
-    /// Records the cost of an event, from `snapshot` until now, on an axis. `elapsed_ms` is the time until the event
-    /// reached all affected nodes, or `None` if it did not.
+    /// Records the cost of an event, from `snapshot` until now, on an axis. `elapsed_ms` is the time until
+    /// the event reached all affected nodes, or `None` if it did not.
     fn record(
         &self,
         recorder: &mut SeriesRecorder,
@@ -653,8 +656,8 @@
         self.record(recorder, axis, "change", &snapshot, elapsed_ms)
     }
 
-    /// Measures an event that is caused by `start` and after which every node selected by `is_affected` requests
-    /// the full list.
+    /// Measures an event that is caused by `start` and after which every node selected by `is_affected`
+    /// requests the full list.
     fn measure_resync(
         &self,
         recorder: &mut SeriesRecorder,
@@ -700,12 +703,12 @@
     ) -> Result<(), MeasureError> {
         let is_tenth = |n: usize| n.is_multiple_of(10);
         self.measure_resync(recorder, axis, "tenth", is_tenth, || {
-            self.nodes.commands.send_modify(|c| c.tenth_restart_count += 1)
+            self.nodes.commands.send_modify(|c| c.restart_count += 1)
         })
     }
 
-    /// Measures an outage of the service: the calls per second meanwhile, and the event `back`, its end. The nodes'
-    /// pauses between calls reach their maximum well before one second.
+    /// Measures an outage of the service: the calls per second meanwhile, and the event `back`, its end.
+    /// The nodes' pauses between calls reach their maximum well before one second.
     fn measure_outage(
         &self,
         recorder: &mut SeriesRecorder,
@@ -729,16 +732,16 @@
     }
 }
 
-/// True if the process may open enough file descriptors: both ends of a connection for each watch, both ends of
-/// its previous connection while all nodes reconnect, and 300 for the rest of the process.
+/// True if the process may open enough file descriptors: both ends of a connection for each watch, both
+/// ends of its previous connection while all nodes reconnect, and 300 for the rest of the process.
 fn has_descriptors_for(watches: usize) -> bool {
     let max_open =
         rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX);
     watches as u64 * 4 + 300 <= max_open
 }
 
-/// Measures the discovery service by the number of watches, with 1,000 backends, and by the number of backends,
-/// with 100 watches.
+/// Measures the discovery service by the number of watches, with 1,000 backends, and by the number of
+/// backends, with 100 watches.
 ///
 /// # Errors
 ///
@@ -813,8 +816,8 @@
     Ok(recorder.series())
 }
 
-/// Sends the largest list to an increasing number of watches, to find the number at which calls time out before
-/// the list is complete.
+/// Sends the largest list to an increasing number of watches, to find the number at which calls time out
+/// before the list is complete.
 fn measure_largest_list(recorder: &mut SeriesRecorder, seed: u64) -> Result<(), MeasureError> {
     let sizes = [3, 10, 30, 100, 200, 300, 500, 1000, 1500, 2500, 4200];
     for watches in sizes.into_iter().filter(|w| has_descriptors_for(*w)) {
--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -1,5 +1,5 @@
-//! Fits how a cost grows with a size: as a power, as two powers joined at a bend, and as a line. The fit with
-//! the smallest error estimates the cost at sizes that were not measured.
+//! Fits how a cost grows with a size: as a power, as two powers joined at a bend, and as a line. The fit
+//! with the smallest error estimates the cost at sizes that were not measured.
 //!
 //! Powers are fitted by least squares to the logarithms of each size's median, which gives all sizes equal
 //! weight. A cost with a constant part, such as memory, is closer to a line; its points are weighted by the
@@ -69,7 +69,8 @@
 pub struct Target {
     /// Planned size.
     pub size: f64,
-    /// Cost at that size: the measured median, or the value of the nearest shape if the size was not measured.
+    /// Cost at that size: the measured median, or the value of the nearest shape if the size was not
+    /// measured.
     pub value: f64,
     /// True if that size was measured.
     pub played: bool,
@@ -88,8 +89,8 @@
     }
 }
 
-/// Fits the medians of a series and estimates the cost at the size `target`. Returns `None` if fewer than two
-/// sizes have a cost above zero.
+/// Fits the medians of a series and estimates the cost at the size `target`. Returns `None` if fewer than
+/// two sizes have a cost above zero.
 pub fn fit(series: &Series, target: Option<f64>) -> Option<Fit> {
     let points: Vec<(f64, f64)> = (series.points.iter())
         .map(|p| (p.size, median(&p.values)))
@@ -191,8 +192,8 @@
     }
 }
 
-/// Solves `size` linear equations by Gaussian elimination; the last column of `m` is the right side. Returns
-/// `None` if the matrix is singular.
+/// Solves `size` linear equations by Gaussian elimination; the last column of `m` is the right side.
+/// Returns `None` if the matrix is singular.
 fn solve(mut m: [[f64; 4]; 3], size: usize) -> Option<[f64; 3]> {
     for i in 0..size {
         let pivot_row = (i..size).max_by(|a, b| m[*a][i].abs().total_cmp(&m[*b][i].abs()))?;
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -1,12 +1,13 @@
 //! Measures what membership and shared state cost a node, by the number of members. It simulates a fleet of
-//! `daleturn::control::gossip` state machines in virtual time, over a network with the loss and delay of links
-//! between regions.
+//! `daleturn::control::gossip` state machines in virtual time, over a network with the loss and delay of
+//! links between regions.
 //!
-//! Every node reports requests of twelve tenants, the maximum, which makes the datagrams as long as possible.
-//! Bytes are counted in both directions, with 28 header bytes for each datagram. Each sender draws its own random
-//! numbers, and simultaneous events are handled in the order of receivers and senders: a run is deterministic,
-//! except for processor time and memory, which are those of this machine. Virtual times are limited to 60 s: an
-//! event that takes longer gives no point in its series and is counted by `..._not_reached`.
+//! Every node reports requests of twelve tenants, the maximum, which makes the datagrams as long as
+//! possible. Bytes are counted in both directions, with 28 header bytes for each datagram. Each sender
+//! draws its own random numbers, and simultaneous events are handled in the order of receivers and senders:
+//! a run is deterministic, except for processor time and memory, which are those of this machine. Virtual
+//! times are limited to 60 s: an event that takes longer gives no point in its series and is counted by
+//! `..._not_reached`.
 
 use super::{MeasureError, MeasureOptions, Point, Series};
 use daleturn::control::gossip::{Action, Event, Gossip, MaxAges};
@@ -294,7 +295,8 @@
         }
     }
 
-    /// Records the time until an event in the series `cost`, and whether the event was missed in `not_reached`.
+    /// Records the time until an event in the series `cost`, and whether the event was missed in
+    /// `not_reached`.
     fn record_time(
         &mut self,
         cost: &'static str,
@@ -478,8 +480,8 @@
     recorder.record("hub", "cut_healed_worst_second", "bytes", n, simulation.max_second_bytes());
 }
 
-/// Restarts members at the daily rate for a minute, with alternately short and long downtimes; then restarts a
-/// tenth of all members simultaneously.
+/// Restarts members at the daily rate for a minute, with alternately short and long downtimes; then
+/// restarts a tenth of all members simultaneously.
 fn measure_restarts(plan: &SizePlan, seed: u64, recorder: &mut SeriesRecorder) {
     let n = plan.size;
     let mut simulation = Simulation::new(n, seed ^ 2);
@@ -529,7 +531,8 @@
     }
 }
 
-/// Cuts off one of four regions for `away_ms`, reconnects it, and measures the time until all members know each other again.
+/// Cuts off one of four regions for `away_ms`, reconnects it, and measures the time until all members know
+/// each other again.
 fn measure_region_cut(plan: &SizePlan, seed: u64, recorder: &mut SeriesRecorder) {
     let n = plan.size;
     let mut simulation = Simulation::new(n, seed ^ 4);
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! Measures what each role of the fleet costs at increasing sizes, as series of one cost over one size axis.
+//! Measures what each role of the fleet costs at increasing sizes, as series of one cost over one size
+//! axis.
 //!
 //! Each [`Measurement`] measures one or two roles and returns [`Series`]; it writes no files and prints
 //! nothing. Its running time, number of processes and memory are bounded, and it stops whatever it started,
@@ -19,8 +20,8 @@
 /// Options of a measurement run.
 #[derive(Clone, Debug)]
 pub struct MeasureOptions {
-    /// Measures few, small sizes, which show only the form of the results. All roles together take less than
-    /// a minute in a debug build.
+    /// Measures few, small sizes, which show only the form of the results. All roles together take less
+    /// than a minute in a debug build.
     pub quick: bool,
     /// Seed of all random draws; the same seed gives the same workload.
     pub seed: u64,
@@ -35,8 +36,8 @@
 pub struct Series {
     /// Role that bears the cost: `node`, `member`, `hub`, `discovery`, ...
     pub role: String,
-    /// Name of the cost: `ready`, `list_first`, `request_dead`, ... Record files and the capacity page refer to
-    /// it.
+    /// Name of the cost: `ready`, `list_first`, `request_dead`, ... Record files and the capacity page
+    /// refer to it.
     pub cost: String,
     /// Unit of the values: `ms`, `us`, `bytes`, `MB`, `cores`, `count`, ...
     pub unit: String,
@@ -66,8 +67,8 @@
         /// The error that it returned.
         cause: std::io::Error,
     },
-    /// The measured process, or another part of the setup, did not behave as expected within its time limit;
-    /// the text describes the deviation.
+    /// The measured process, or another part of the setup, did not behave as expected within its time
+    /// limit; the text describes the deviation.
     #[error("{0}")]
     Unexpected(String),
 }
@@ -103,8 +104,8 @@
     Measurement { roles: &["discovery"], measure: |options, _| discovery::measure(options) },
 ];
 
-/// Returns the planned size of the fleet on an axis, or `None` if no size is planned for it. The request rate
-/// is that of one node.
+/// Returns the planned size of the fleet on an axis, or `None` if no size is planned for it. The request
+/// rate is that of one node.
 pub fn planned_size(axis: &str) -> Option<f64> {
     Some(match axis {
         "backends" => 47_000.0,
@@ -114,7 +115,8 @@
         "zones" => 12.0,
         // 770,000 requests per second over 4,200 nodes.
         "requests_per_s" => 183.0,
-        // 7,800 configuration changes and 5,800 restarts a day; a restart removes the entry and adds it again.
+        // 7,800 configuration changes and 5,800 restarts a day; a restart removes the entry and adds it
+        // again.
         "changes_per_s" => 0.225,
         _ => return None,
     })
--- a/crates/lab/src/capacity/node.rs
+++ b/crates/lab/src/capacity/node.rs
@@ -1,8 +1,9 @@
-//! Measures what one node costs by size. A real node process gets its list from a fake discovery service; the
-//! backends of the list are either a port that refuses connections, or a few fake servers under many names.
+//! Measures what one node costs by size. A real node process gets its list from a fake discovery service;
+//! the backends of the list are either a port that refuses connections, or a few fake servers under many
+//! names.
 //!
-//! Processor time is that of all threads of the node's process, as the kernel counts it in nanoseconds. Each
-//! process runs under a shell script that kills it and removes its files whenever this program ends.
+//! Processor time is that of all threads of the node's process, as the kernel counts it in nanoseconds.
+//! Each process runs under a shell script that kills it and removes its files whenever this program ends.
 
 mod environment;
 mod process;
@@ -23,8 +24,8 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// A reload that takes longer than this at a size is not repeated at that size.
 const MAX_REPEATED_RELOAD_MS: f64 = 10_000.0;
-/// A reload is skipped if it is expected to take longer than this, assuming that it grows with the square of the
-/// size.
+/// A reload is skipped if it is expected to take longer than this, assuming that it grows with the square
+/// of the size.
 const MAX_RELOAD_MS: f64 = 45_000.0;
 /// Number of fake servers that serve all names of a list.
 const LIVE_SERVERS: usize = 8;
@@ -98,8 +99,8 @@
 /// Axes on which a node can be measured.
 pub const AXES: [&str; 6] = ["backends", "tenants", "classes", "zones", "changes_per_s", "requests_per_s"];
 
-/// Measures the node on the axes in `selected`, or on all axes if it is empty. The program `baseline`, if given,
-/// is measured alternately with the node, as role `node-before`.
+/// Measures the node on the axes in `selected`, or on all axes if it is empty. The program `baseline`, if
+/// given, is measured alternately with the node, as role `node-before`.
 ///
 /// # Errors
 /// Returns the errors of [`measure`], for either program.
@@ -249,8 +250,8 @@
     }
 }
 
-/// Waits until a node uses fewer than `max_cores` cores in two successive windows. A node acknowledges a list
-/// before it has processed all of it.
+/// Waits until a node uses fewer than `max_cores` cores in two successive windows. A node acknowledges a
+/// list before it has processed all of it.
 ///
 /// # Errors
 /// Returns [`MeasureError::Unexpected`] if the node does not become idle within [`WAIT_TIMEOUT`].
@@ -273,8 +274,8 @@
     Ok((node.cpu_ns()? - cpu_before_ns) as f64 / started.elapsed().as_nanos() as f64)
 }
 
-/// Returns the processor time that a node spends on `work`, in milliseconds, less the time that the idle node
-/// uses meanwhile. `idle_cores` is the processor time of the idle node, in cores.
+/// Returns the processor time that a node spends on `work`, in milliseconds, less the time that the idle
+/// node uses meanwhile. `idle_cores` is the processor time of the idle node, in cores.
 fn cpu_ms_of(
     node: &NodeProcess,
     idle_cores: f64,
@@ -293,8 +294,8 @@
     measure_live_backends(run, size)
 }
 
-/// Starts a node with a list of backends that refuse connections, and measures its start, its memory, its idle
-/// processor time, and requests that find no backend.
+/// Starts a node with a list of backends that refuse connections, and measures its start, its memory, its
+/// idle processor time, and requests that find no backend.
 fn measure_closed_backends(run: &mut SizeRun, size: usize) -> Result<(), MeasureError> {
     const AXIS: &str = "backends";
     let closed = closed_port()?;
@@ -403,7 +404,8 @@
     }
 }
 
-/// Returns the mean processor time of a request in microseconds, over successive requests on one connection.
+/// Returns the mean processor time of a request in microseconds, over successive requests on one
+/// connection.
 ///
 /// # Errors
 /// Returns [`MeasureError::Unexpected`] if the node responds with statuses that do not fit `must_succeed`.
@@ -465,8 +467,8 @@
     measure_settings_axis(run, "classes", size, "classes", &list, &last)
 }
 
-/// Measures an axis that is the length of the list `key` in the settings: a start with that list, a reload on
-/// SIGHUP with other values in it, and requests whose header lines `last` name the list's last element.
+/// Measures an axis that is the length of the list `key` in the settings: a start with that list, a reload
+/// on SIGHUP with other values in it, and requests whose header lines `last` name the list's last element.
 fn measure_settings_axis(
     run: &mut SizeRun,
     axis: &'static str,
@@ -505,8 +507,8 @@
     Ok(())
 }
 
-/// Measures the axis of zones with a topology configured, under which the node also judges whole zones: the most
-/// expensive configuration.
+/// Measures the axis of zones with a topology configured, under which the node also judges whole zones: the
+/// most expensive configuration.
 fn measure_zones(run: &mut SizeRun, size: usize) -> Result<(), MeasureError> {
     const AXIS: &str = "zones";
     let servers = FakeServers::start(LIVE_SERVERS)?;
--- a/crates/lab/src/capacity/node/environment.rs
+++ b/crates/lab/src/capacity/node/environment.rs
@@ -1,6 +1,6 @@
-//! The environment of a measured node: a fake discovery service, fake servers that respond immediately, a client,
-//! and a probe of the longest time without a response from the node. All of them use little processor time, to
-//! leave the machine to the node.
+//! The environment of a measured node: a fake discovery service, fake servers that respond immediately, a
+//! client, and a probe of the longest time without a response from the node. All of them use little
+//! processor time, to leave the machine to the node.
 
 use super::super::MeasureError;
 use std::io::{self, Read, Write};
@@ -72,8 +72,8 @@
     }
 }
 
-/// Reads the head of the next request, which has no body. Returns `None` once the connection is closed, fails, or
-/// sends a head that is too long or not UTF-8.
+/// Reads the head of the next request, which has no body. Returns `None` once the connection is closed,
+/// fails, or sends a head that is too long or not UTF-8.
 async fn read_head(stream: &mut tokio::net::TcpStream, buffer: &mut Vec<u8>) -> Option<String> {
     loop {
         if let Some(end) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -92,6 +92,7 @@
     Arc::new(format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n{fields}\r\n{body}").into_bytes())
 }
 
+/// The list that the service sends.
 #[derive(Default)]
 struct ListState {
     version: u64,
@@ -100,10 +101,12 @@
     full_version: u64,
     /// Entries changed since `full_version`, each with the version of its change.
     changes: Vec<(u64, String)>,
-    /// Highest version in the `after` parameter of a call: the node has applied the list up to it.
+    /// Highest version in the `after` parameter of a call. The node has received the list of that version,
+    /// and may still be processing it.
     acknowledged: u64,
 }
 
+/// State shared by the connections of a fake discovery service.
 struct State {
     list: Mutex<ListState>,
     acknowledged: Condvar,
@@ -152,7 +155,8 @@
         self.state.calls.load(Ordering::SeqCst)
     }
 
-    /// Replaces the list with `targets` as a new version, and waits until the node acknowledges that version.
+    /// Replaces the list with `targets` as a new version, and waits until the node acknowledges that
+    /// version.
     ///
     /// # Errors
     /// Returns [`MeasureError::Unexpected`] if the node does not acknowledge it within `limit`.
@@ -206,8 +210,8 @@
     http_response("200 OK", "", &format!("{{\"rev\":{version},\"all\":true,\"targets\":[{targets}]}}"))
 }
 
-/// Answers the calls on one connection. A call whose version is current is held open until the list changes or
-/// its `wait_ms` has passed.
+/// Answers the calls on one connection. A call whose version is current is held open until the list changes
+/// or its `wait_ms` has passed.
 async fn handle_discovery(state: Arc<State>, mut stream: tokio::net::TcpStream) {
     let mut buffer = Vec::new();
     while let Some(head) = read_head(&mut stream, &mut buffer).await {
@@ -244,8 +248,8 @@
 }
 
 impl State {
-    /// Returns the changes after a version, or the full list if the version is absent or too old. Without changes
-    /// it returns an empty list of changes if `may_be_empty`, else `None`.
+    /// Returns the changes after a version, or the full list if the version is absent or too old. Without
+    /// changes it returns an empty list of changes if `may_be_empty`, else `None`.
     fn list_response(&self, after: Option<u64>, may_be_empty: bool) -> Option<Arc<Vec<u8>>> {
         let list = lock(&self.list);
         let Some(after) = after.filter(|a| *a >= list.full_version) else {
@@ -362,8 +366,8 @@
         self.exchange("GET /up HTTP/1.1\r\nHost: n\r\n\r\n", limit)
     }
 
-    /// Sends a request with additional header lines and returns the status of its response. The class is `page`
-    /// unless `fields` sets another.
+    /// Sends a request with additional header lines and returns the status of its response. The class is
+    /// `page` unless `fields` sets another.
     pub fn send_request(&mut self, fields: &str, limit: Duration) -> Result<u16, MeasureError> {
         self.number += 1;
         let class = if fields.contains("X-Qos:") { "" } else { "X-Qos: page\r\n" };
@@ -410,8 +414,8 @@
     (bytes.len() >= total).then_some((status, total))
 }
 
-/// Sends health checks to a node, with a pause of [`POLL_INTERVAL`] after each, and records the longest response
-/// time.
+/// Sends health checks to a node, with a pause of [`POLL_INTERVAL`] after each, and records the longest
+/// response time.
 pub struct LatencyProbe {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<f64>>,
--- a/crates/lab/src/capacity/node/process.rs
+++ b/crates/lab/src/capacity/node/process.rs
@@ -16,8 +16,9 @@
 
 /// Shell script that runs the node, then kills it and removes its files when the script's standard input is
 /// closed, which also happens if this program is killed.
-const SUPERVISOR_SCRIPT: &str = "trap : INT TERM HUP\nulimit -n 1024\n\"$0\" 2>\"$1/log\" >/dev/null &\np=$!\necho $p\n\
-     read -r _\nkill -9 $p\nwait $p\nrm -rf -- \"$1\"\n";
+const SUPERVISOR_SCRIPT: &str = "trap : INT TERM HUP\nulimit -n 1024\n\
+    \"$0\" 2>\"$1/log\" >/dev/null &\np=$!\necho $p\n\
+    read -r _\nkill -9 $p\nwait $p\nrm -rf -- \"$1\"\n";
 /// Log event of settings that were applied on SIGHUP.
 const SETTINGS_APPLIED_EVENT: &str = "config.taken";
 /// Log event of settings that were rejected on SIGHUP.
@@ -62,8 +63,8 @@
 }
 
 impl NodeProcess {
-    /// Starts a node and waits until its health check succeeds. Returns the process and the time from its start
-    /// until then, in milliseconds. `edit_config` changes the configuration before the start; with
+    /// Starts a node and waits until its health check succeeds. Returns the process and the time from its
+    /// start until then, in milliseconds. `edit_config` changes the configuration before the start; with
     /// `has_topology` the zones are divided into four regions.
     ///
     /// # Errors
@@ -80,8 +81,8 @@
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("daleturn-capacity-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&dir).map_err(io_error(dir.display().to_string()))?;
-        // A loopback address made from the process ID, which no other process uses: the port stays free until
-        // the node binds it.
+        // A loopback address made from the process ID, which no other process uses: the port stays free
+        // until the node binds it.
         let pid = std::process::id();
         let ip = Ipv4Addr::new(127, 32 + (pid % 200) as u8, (pid / 200 % 250) as u8, (n % 250 + 1) as u8);
         let listen = TcpListener::bind((ip, 0)).and_then(|l| l.local_addr());
@@ -168,8 +169,8 @@
             .ok_or_else(|| MeasureError::Unexpected(format!("{name} not found: the node has ended")))
     }
 
-    /// Changes the node's configuration file, sends SIGHUP, and waits until the log shows that the new settings
-    /// are applied.
+    /// Changes the node's configuration file, sends SIGHUP, and waits until the log shows that the new
+    /// settings are applied.
     ///
     /// # Errors
     /// Returns [`MeasureError::Unexpected`] if the node rejects the settings or does not apply them within
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -1,11 +1,11 @@
 //! Computes the figures of the capacity page from the records of the measurements: each table row names its
 //! source, from which its need, verdict and slope are computed. A test compares the page with the result.
 //!
-//! A row has seven cells: what, need, budget, verdict, slope, mechanism, source. The source is `none`, in which
-//! case the need says why it is not measured, or a sum of terms separated by ` + `. The term
-//! `FILE:ROLE/COST/AXIS@SIZE` is the median at that size if it was measured, else the estimate of the fit; with
-//! the suffix `~last` the estimate extrapolates the power through the two largest sizes. A term such as `1.5 ms`
-//! is a constant. Each term may be followed by `* 3`, `/ 2` or `as UNIT`. In running text,
+//! A row has seven cells: what, need, budget, verdict, slope, mechanism, source. The source is `none`, in
+//! which case the need says why it is not measured, or a sum of terms separated by ` + `. The term
+//! `FILE:ROLE/COST/AXIS@SIZE` is the median at that size if it was measured, else the estimate of the fit;
+//! with the suffix `~last` the estimate extrapolates the power through the two largest sizes. A term such
+//! as `1.5 ms` is a constant. Each term may be followed by `* 3`, `/ 2` or `as UNIT`. In running text,
 //! `<!--= SOURCE -->12 ms<!--/-->` contains one figure.
 
 use super::fit::{Fit, Shape, fit, median};
@@ -173,8 +173,8 @@
     out
 }
 
-/// Formats a fit as [`growth_text`] does, and how the figure at `size` was obtained. `is_last` says that it is
-/// extrapolated from the two largest sizes; `point` is the measurement at that size, if any.
+/// Formats a fit as [`growth_text`] does, and how the figure at `size` was obtained. `is_last` says that it
+/// is extrapolated from the two largest sizes; `point` is the measurement at that size, if any.
 fn slope_text(fitted: Option<&Fit>, size: f64, point: Option<&Point>, is_last: bool) -> String {
     let Some(f) = fitted else { return "no growth seen".to_owned() };
     let shape = match f.nearest {
@@ -198,8 +198,8 @@
     format!("{}, {origin}", growth_text(f))
 }
 
-/// Evaluates a term `FILE:ROLE/COST/AXIS@SIZE`, with or without `~last`. Returns `None` if the record's file does
-/// not exist.
+/// Evaluates a term `FILE:ROLE/COST/AXIS@SIZE`, with or without `~last`. Returns `None` if the record's
+/// file does not exist.
 ///
 /// # Errors
 /// Returns an error if the term cannot be parsed, the record's name is unknown, or the record has no such
@@ -335,8 +335,8 @@
 /// Returns the page with all figures computed from the records, and its rows.
 ///
 /// # Errors
-/// Returns one message for each row or figure in error: an empty cell, neither a source nor a reason why the
-/// need is not measured, or a source that cannot be evaluated.
+/// Returns one message for each row or figure in error: an empty cell, neither a source nor a reason why
+/// the need is not measured, or a source that cannot be evaluated.
 pub fn render(page: &str, records: &Records) -> Result<(String, Vec<Row>), Vec<String>> {
     let (mut out, mut rows, mut errors) = (String::new(), Vec::new(), Vec::new());
     // `has_sources` is true inside a table whose last column is `source`.
--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -1,5 +1,5 @@
-//! Results of a measurement run: one JSON file with every series and its fit, a plot of each series, and table
-//! rows for a terminal.
+//! Results of a measurement run: one JSON file with every series and its fit, a plot of each series, and
+//! table rows for a terminal.
 //!
 //! Each file is written to a temporary file in the same directory and renamed, the JSON file last: an
 //! interrupted run leaves no incomplete result file.
@@ -41,8 +41,8 @@
     pub memory_mb: Option<u64>,
     /// Model name of the processor; `None` if it cannot be read.
     pub processor: Option<String>,
-    /// Git revision of the directory that contains the node's program, with a trailing `+` if tracked files are
-    /// modified; `None` outside a repository.
+    /// Git revision of the directory that contains the node's program, with a trailing `+` if tracked files
+    /// are modified; `None` outside a repository.
     pub revision: Option<String>,
 }
 
@@ -140,8 +140,8 @@
     written
 }
 
-/// Draws every value and a line through the medians on logarithmic axes, as SVG. Returns `None` if no value is
-/// above zero.
+/// Draws every value and a line through the medians on logarithmic axes, as SVG. Returns `None` if no value
+/// is above zero.
 fn plot(fitted: &FittedSeries) -> Result<Option<String>, Box<dyn std::error::Error>> {
     let s = &fitted.series;
     let values = s.points.iter().flat_map(|p| p.values.iter().map(|v| (p.size, *v)));
@@ -225,8 +225,8 @@
     }
 }
 
-/// Formats a number with three significant digits; in scientific notation only if it would need more than six
-/// decimal places.
+/// Formats a number with three significant digits; in scientific notation only if it would need more than
+/// six decimal places.
 fn format_number(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! Costs of a real node process at small sizes: counts, bytes, memory and growth exponents, with wide limits. No
-//! assertion depends on a duration, since those vary with the load of the machine.
+//! Costs of a real node process at small sizes: counts, bytes, memory and growth exponents, with wide
+//! limits. No assertion depends on a duration, since those vary with the load of the machine.
 
 use daleturn_lab::capacity::report::{RESULT_FILE, Report, build_report, write_report};
 use daleturn_lab::capacity::{MeasureError, MeasureOptions, Selection, measure, node};
--- a/crates/lab/tests/capacity_members.rs
+++ b/crates/lab/tests/capacity_members.rs
@@ -1,5 +1,5 @@
-//! Growth of the costs of membership and discovery by size. The assertions use counts, bytes and virtual times, and
-//! no times of this machine.
+//! Growth of the costs of membership and discovery by size. The assertions use counts, bytes and virtual
+//! times, and no times of this machine.
 
 use daleturn_lab::capacity::{MeasureOptions, Series, discovery, members};
 use std::path::PathBuf;
--- a/crates/lab/tests/capacity_page.rs
+++ b/crates/lab/tests/capacity_page.rs
@@ -1,5 +1,5 @@
-//! The capacity page agrees with its records: the need, verdict and slope of each row, and each marked figure in
-//! the text, are computed from the records and compared with the page.
+//! The capacity page agrees with its records: the need, verdict and slope of each row, and each marked
+//! figure in the text, are computed from the records and compared with the page.
 
 use daleturn_lab::capacity::page::{RECORDS, Records, read_records, render};
 use daleturn_lab::capacity::{Point, Series};
@@ -33,8 +33,8 @@
     {
         assert!(rows.iter().any(|r| r.section.contains(name)), "no row of {name}");
     }
-    // Every node row over its budget is listed in a ranked section: rows of the current build, whose names end
-    // with ", now", in the second section, and those of the previous build in the first.
+    // Every node row over its budget is listed in a ranked section: rows of the current build, whose names
+    // end with ", now", in the second section, and those of the previous build in the first.
     let ratios = |section: &str| {
         rows.iter().filter(|r| r.section == section).map(|r| r.budget_ratio).collect::<Vec<_>>()
     };
@@ -69,8 +69,8 @@
     )
 }
 
-/// Returns records with a cost that grows with the square of the size, and one whose event was reached only at
-/// the small sizes.
+/// Returns records with a cost that grows with the square of the size, and one whose event was reached only
+/// at the small sizes.
 fn sample_records() -> Records {
     let series = |role: &str, cost: &str, unit: &str, points: &[(f64, f64)]| Series {
         role: role.to_owned(),
