--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -5,7 +5,8 @@
 use crate::interface::{Reporting, Request};
 use crate::statistics::{ClassStatistics, DecayingRates, OutcomeBalance};
 
-/// Strain at which the concurrency caps and the admission level settle (share of outcomes that were late or failed).
+/// Strain at which the concurrency caps and the admission level settle (share of outcomes that were late or
+/// failed).
 pub(super) const TARGET_STRAIN: f64 = 0.2;
 /// Lowest mean reported pressure that admission counts as strain.
 pub(super) const MIN_FULL_PRESSURE: f64 = 0.85;
@@ -17,7 +18,8 @@
 pub(crate) struct Admission {
     /// Part of the offered work that is admitted, 0 to 1.
     pub(crate) level: f64,
-    /// Factor on the first estimate of the requests that this node may have in flight at all backends together.
+    /// Factor on the first estimate of the requests that this node may have in flight at all backends
+    /// together.
     pub(crate) in_flight_allowance: f64,
     /// True if a request was stopped by the allowance since the last tick.
     pub(super) allowance_reached: bool,
@@ -31,7 +33,8 @@
     pub(crate) offered: Vec<[f64; 2]>,
     /// Probability of admission, by class as in `offered`.
     pub(crate) admit_probability: Vec<[f64; 2]>,
-    /// Part of the in-flight allowance that a class may fill, as in `offered`: the less, the less it is worth.
+    /// Part of the in-flight allowance that a class may fill, as in `offered`: the less, the less it is
+    /// worth.
     pub(crate) allowance_part: Vec<[f64; 2]>,
     /// Requests per second of each tenant at this node.
     pub(crate) tenant_rates: DecayingRates,
@@ -50,12 +53,12 @@
         let keep = (-seconds / 2.0_f64).exp();
         let a = &mut self.admission;
         a.tenant_rates.tick(seconds);
-        // Few outcomes are weak evidence and count for less. Otherwise a node that admits next to nothing would keep
-        // the strain that closed its admission.
+        // Few outcomes are weak evidence and count for less. Otherwise a node that admits next to nothing
+        // would keep the strain that closed its admission.
         a.strain = a.outcomes.bad_share();
-        // Load reports show that the fleet is filling up before answers become late, and some backends stay slow
-        // long after one or two seconds of overload. High pressure therefore counts as strain. Where a full
-        // fleet still answers well within the aim, the threshold rises.
+        // Load reports show that the fleet is filling up before answers become late, and some backends stay
+        // slow long after one or two seconds of overload. High pressure therefore counts as strain. Where a
+        // full fleet still answers well within the aim, the threshold rises.
         if self.pressure > self.full_pressure && a.strain < TARGET_STRAIN {
             self.full_pressure += 0.03 * seconds;
         } else if a.strain > 2.0 * TARGET_STRAIN {
@@ -116,9 +119,9 @@
         self.class_statistics.iter_mut().for_each(|stats| stats.decay(seconds));
     }
 
-    /// Decides whether a request is admitted: by its class's probability, and only while this node's in-flight
-    /// allowance is not used up. `over`: the request is worth less than its class, because its tenant is over its
-    /// share or because it is late.
+    /// Decides whether a request is admitted: by its class's probability, and only while this node's
+    /// in-flight allowance is not used up. `over`: the request is worth less than its class, because its
+    /// tenant is over its share or because it is late.
     pub(super) fn admit(&mut self, request: &Request, cost: f64, worth: f64, over: bool) -> bool {
         let (class, over) = (request.class, usize::from(over));
         let Some(offered) = self.admission.offered.get_mut(class) else { return worth > 0.0 };
@@ -141,9 +144,9 @@
         admitted && !no_allowance
     }
 
-    /// Counts a tenant's request and decides by chance whether it is over the tenant's share, as often as the
-    /// tenant's traffic exceeds this node's part of its quota. Where the part within the share is known for the whole
-    /// fleet, that part decides instead.
+    /// Counts a tenant's request and decides by chance whether it is over the tenant's share, as often as
+    /// the tenant's traffic exceeds this node's part of its quota. Where the part within the share is known
+    /// for the whole fleet, that part decides instead.
     pub(super) fn is_over_share(&mut self, tenant: Option<usize>) -> bool {
         let Some((i, quota)) = tenant.and_then(|t| self.settings.tenants.get(t).map(|q| (t, q.quota_rps)))
         else {
--- a/src/policy/backend_list.rs
+++ b/src/policy/backend_list.rs
@@ -1,5 +1,5 @@
-//! The list of backends: applies updates, schedules the next call to discovery, and closes idle connections to
-//! backends that drain.
+//! The list of backends: applies updates, schedules the next call to discovery, and closes idle connections
+//! to backends that drain.
 
 use super::concurrency_cap::{ConcurrencyCap, initial_cap};
 use super::{Balancer, LIST_TIMER};
@@ -29,9 +29,9 @@
         actions: &mut Vec<Action>,
     ) {
         if kind == ListKind::Failed {
-            // Exponential back-off with jitter. The wait stays within the time after which discovery counts a
-            // silent node as informed, which is four times as long after a failed call. Even calls that time out
-            // cost the service work.
+            // Exponential back-off with jitter. The wait stays within the time after which discovery counts
+            // a silent node as informed, which is four times as long after a failed call. Even calls that
+            // time out cost the service work.
             self.list_failures = (self.list_failures + 1).min(5);
             let least = self.tick_interval_ms().max(self.list_call_spread_ms());
             let most = (self.settings.must_ask_in_ms / 2.0)
@@ -93,8 +93,8 @@
         self.rebuild_rendezvous_table(now);
     }
 
-    /// Closes the idle connections to a backend that drains or is gone, where the settings give a time for that: at
-    /// the notice, at each outcome there, and at each tick for half of that time after either.
+    /// Closes the idle connections to a backend that drains or is gone, where the settings give a time for
+    /// that: at the notice, at each outcome there, and at each tick for half of that time after either.
     pub(super) fn close_idle_connections(&mut self, now: f64, index: usize, actions: &mut Vec<Action>) {
         let b = &mut self.backends[index];
         if let Some(within) = self.settings.drain_close_ms.filter(|_| !b.up) {
--- a/src/policy/concurrency_cap.rs
+++ b/src/policy/concurrency_cap.rs
@@ -2,14 +2,15 @@
 
 use super::admission::TARGET_STRAIN;
 
-/// Cap on the requests in flight at one backend. Below 1 it is a duty cycle: one request at a time, with pauses
-/// between.
+/// Cap on the requests in flight at one backend. Below 1 it is a duty cycle: one request at a time, with
+/// pauses between.
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyCap {
     /// Requests that may be in flight.
     pub(crate) limit: f64,
-    /// Time of the last cut: the first reduction, or the time at which the reductions since the last cut exceeded the
-    /// whole limit; 0 before that. Strain of attempts sent earlier is ignored, because the cut answers it already.
+    /// Time of the last cut: the first reduction, or the time at which the reductions since the last cut
+    /// exceeded the whole limit; 0 before that. Strain of attempts sent earlier is ignored, because the cut
+    /// answers it already.
     pub(crate) cut_at: f64,
     /// Sum of the reductions since `cut_at`.
     pub(crate) reduced: f64,
@@ -26,9 +27,9 @@
         f64::from(in_flight) + 1.0 > self.limit.max(1.0) || now < self.blocked_until
     }
 
-    /// Updates the limit by the strain of one outcome: 0 for an answer well within the aim, 1 for a late one.
-    /// `elapsed` is the attempt's time in milliseconds, `shrink` the part of the unused limit that strain removes,
-    /// and `floor` the lowest limit.
+    /// Updates the limit by the strain of one outcome: 0 for an answer well within the aim, 1 for a late
+    /// one. `elapsed` is the attempt's time in milliseconds, `shrink` the part of the unused limit that
+    /// strain removes, and `floor` the lowest limit.
     pub(super) fn record_outcome(
         &mut self,
         now: f64,
@@ -40,8 +41,9 @@
     ) {
         let step = ConcurrencyCap::GROWTH_STEP * self.limit.min(1.0) * (1.0 - strain / TARGET_STRAIN);
         if step < 0.0 && now - elapsed >= self.cut_at {
-            // The part of the limit that was unused when strain showed is unproven. Some of it goes at once, the
-            // more the more the fleet is strained; one late answer in an unstrained fleet removes next to nothing.
+            // The part of the limit that was unused when strain showed is unproven. Some of it goes at
+            // once, the more the more the fleet is strained; one late answer in an unstrained fleet removes
+            // next to nothing.
             let unused = (self.limit - f64::from(in_flight) - 1.0).max(0.0);
             self.limit = (self.limit + step - shrink * unused).max(floor.min(self.limit));
             self.reduced -= step;
@@ -58,8 +60,9 @@
     }
 }
 
-/// Initial cap of a backend without history: 8 over all nodes where they are few, 2 where there are more. Many nodes
-/// share 32, at least 0.4 each, because 2 from each would overload the backend before any node has learned.
+/// Initial cap of a backend without history: 8 over all nodes where they are few, 2 where there are more.
+/// Many nodes share 32, at least 0.4 each, because 2 from each would overload the backend before any node
+/// has learned.
 pub(super) fn initial_cap(nodes_per_backend: u32) -> f64 {
     let nodes = f64::from(nodes_per_backend.max(1));
     (32.0 / nodes).clamp(0.4, 2.0).max(8.0 / nodes)
--- a/src/policy/failure_record.rs
+++ b/src/policy/failure_record.rs
@@ -1,6 +1,7 @@
-//! The failure record of a backend: failures and tries in a sliding window, the congested state with its PRAT, and
-//! the trials that end that state. The record sees outcomes of attempts, not requests. PRAT (proxy retry-after time) is
-//! the congestion paper's term for the time at which a node may try a congested backend again.
+//! The failure record of a backend: failures and tries in a sliding window, the congested state with its
+//! PRAT, and the trials that end that state. The record sees outcomes of attempts, not requests. PRAT
+//! (proxy retry-after time) is the congestion paper's term for the time at which a node may try a congested
+//! backend again.
 
 use super::Balancer;
 use crate::interface::{Action, LogNote};
@@ -55,19 +56,19 @@
 }
 
 impl Balancer {
-    /// Length of the failure window (N in the paper): half of the time in which a restarted backend becomes warm, so
-    /// that a failure is forgotten before its cause recurs.
+    /// Length of the failure window (N in the paper): half of the time in which a restarted backend becomes
+    /// warm, so that a failure is forgotten before its cause recurs.
     pub(super) fn failure_window_ms(&self) -> f64 {
         (self.settings.cold_ms / 2.0).max(2.0 * self.settings.max_aim_ms())
     }
 
-    /// Time to the next trial (t in the paper): the longest aim at first, doubled by each failed trial, and at most a
-    /// quarter of `cold_ms`.
+    /// Time to the next trial (t in the paper): the longest aim at first, doubled by each failed trial, and
+    /// at most a quarter of `cold_ms`.
     pub(super) fn trial_pause_ms(&mut self, failed_trials: u32) -> f64 {
         let max_pause = (self.settings.cold_ms / 4.0).max(self.settings.max_aim_ms());
         let pause = (self.settings.max_aim_ms() * f64::from(1_u32 << failed_trials.min(6))).min(max_pause);
-        // Nodes that report to each other mark a backend at the same time. Spreading their trials lets the first
-        // result spare the others theirs.
+        // Nodes that report to each other mark a backend at the same time. Spreading their trials lets the
+        // first result spare the others theirs.
         let spread = if self.relies_on_peers() {
             TRIAL_SPACING_MS * f64::from(self.settings.nodes_per_backend())
         } else {
@@ -82,9 +83,10 @@
         let record = &self.backends[i].failure_record;
         let (own, tries) = record.window.totals();
         let (failures, tries) = (own + reports, tries + reports);
-        // The allowed number of failures (M in the paper) grows with the tries and with the fleet's failure share: a
-        // failure that the whole fleet shares says little about one backend. Where nodes report to each other, only
-        // a backend that answers hardly any request is marked: an overloaded one still answers some.
+        // The allowed number of failures (M in the paper) grows with the tries and with the fleet's failure
+        // share: a failure that the whole fleet shares says little about one backend. Where nodes report to
+        // each other, only a backend that answers hardly any request is marked: an overloaded one still
+        // answers some.
         let allowed_share = 0.25 + 3.0 * self.fleet_failure_share;
         let max_failures = 1.0
             + tries
@@ -93,8 +95,8 @@
                 } else {
                     allowed_share
                 };
-        // A backend that has just stopped answering still has a window full of answers. A run of failures with a
-        // probability of 0.005 at the fleet's failure share marks it too.
+        // A backend that has just stopped answering still has a window full of answers. A run of failures
+        // with a probability of 0.005 at the fleet's failure share marks it too.
         let max_run = 1.0 + 0.005_f64.ln() / self.fleet_failure_share.clamp(0.02, 0.95).ln();
         if !record.congested
             && (failures > max_failures || f64::from(record.consecutive_failures) + reports > max_run)
@@ -145,8 +147,8 @@
             b.failure_record.prat = now + pause;
             return;
         }
-        // A backend that did not answer at least one trial may have restarted before the list says so: it counts as
-        // cold.
+        // A backend that did not answer at least one trial may have restarted before the list says so: it
+        // counts as cold.
         if failed_trials > 0 {
             b.cold_since = now;
             b.cold_tokens = self.rng.f64();
--- a/src/policy/locality.rs
+++ b/src/policy/locality.rs
@@ -1,5 +1,6 @@
-//! Zone locality: the weight of backends outside this node's zone. The weight is low while the zone's own backends
-//! carry the zone's traffic. It grows while they show more strain than the others, until both are strained alike.
+//! Zone locality: the weight of backends outside this node's zone. The weight is low while the zone's own
+//! backends carry the zone's traffic. It grows while they show more strain than the others, until both are
+//! strained alike.
 
 use super::Balancer;
 use super::admission::TARGET_STRAIN;
@@ -8,10 +9,11 @@
 
 /// Lowest weight of other zones: enough traffic to keep measuring their strain.
 const MIN_REMOTE_WEIGHT: f64 = 0.01;
-/// Strain that one more request causes for the other requests of a zone near its capacity, as a multiple of the strain
-/// that it meets itself: strain grows with about the cube of the load there.
+/// Strain that one more request causes for the other requests of a zone near its capacity, as a multiple of
+/// the strain that it meets itself: strain grows with about the cube of the load there.
 const MARGINAL_STRAIN: f64 = 3.0;
-/// Largest growth of the weight, as an exponent per second. Traffic moves within the time in which strain shows.
+/// Largest growth of the weight, as an exponent per second. Traffic moves within the time in which strain
+/// shows.
 const GROWTH_PER_S: f64 = 2.0;
 /// Largest decrease of the weight, as an exponent per second. Traffic returns more slowly than it left.
 const DECREASE_PER_S: f64 = 0.5;
@@ -37,11 +39,12 @@
         self.outcomes[usize::from(remote)].record(1.0 - strain, strain, 1.0);
     }
 
-    /// Updates the weight after `seconds`. `price` is the price of a crossing, as a part of a request's worth.
+    /// Updates the weight after `seconds`. `price` is the price of a crossing, as a part of a request's
+    /// worth.
     pub(super) fn tick(&mut self, seconds: f64, price: f64) {
         let [local, remote] = &self.outcomes;
-        // A crossing pays where it saves more strain than it costs. Where the other zones are strained as much,
-        // it saves none.
+        // A crossing pays where it saves more strain than it costs. Where the other zones are strained as
+        // much, it saves none.
         let excess = local.bad_share() - remote.bad_share() - price / MARGINAL_STRAIN;
         let rate = (excess / TARGET_STRAIN).clamp(-1.0, 1.0);
         let rate = rate * if rate > 0.0 { GROWTH_PER_S } else { DECREASE_PER_S };
@@ -55,8 +58,8 @@
 const EXCLUDED_ZONE_WEIGHT: f64 = 0.02;
 
 impl Balancer {
-    /// Applies new weights of zones. Attempts in flight in an excluded zone are cancelled where a repeat is safe, so
-    /// that the requests go elsewhere.
+    /// Applies new weights of zones. Attempts in flight in an excluded zone are cancelled where a repeat is
+    /// safe, so that the requests go elsewhere.
     pub(super) fn on_zone_weights(&mut self, now: f64, weights: Vec<f64>, actions: &mut Vec<Action>) {
         self.zone_weights = weights;
         self.rebuild_rendezvous_table(now);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,8 @@
-//! All decisions of the balancer, one file for each subject. Events and actions are defined in `src/interface.rs`.
+//! All decisions of the balancer, one file for each subject. Events and actions are defined in
+//! `src/interface.rs`.
 //!
-//! [`Balancer`] owns the state and dispatches each event. The operators' rules are kept in two places: every send
-//! passes `may_send`, and every refusal passes `refuse_or_fail`.
+//! [`Balancer`] owns the state and dispatches each event. The operators' rules are kept in two places:
+//! every send passes `may_send`, and every refusal passes `refuse_or_fail`.
 
 mod admission;
 mod backend_list;
@@ -72,7 +73,8 @@
 }
 
 impl Balancer {
-    /// Creates a balancer without a list of backends. The same seed and the same events give the same actions.
+    /// Creates a balancer without a list of backends. The same seed and the same events give the same
+    /// actions.
     ///
     /// # Errors
     /// Returns [`SettingsError`] if the settings have no class, or a value outside its range.
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Time between ticks: a sixth of the time in which an overloaded cold backend falls over, and at least twenty
-    /// times the time between the host's batches.
+    /// Time between ticks: a sixth of the time in which an overloaded cold backend falls over, and at least
+    /// twenty times the time between the host's batches.
     fn tick_interval_ms(&self) -> f64 {
         (self.settings.fall_ms / 6.0).max(20.0 * self.settings.tick_ms).max(1.0)
     }
@@ -163,9 +165,9 @@
         let seconds = ((now - self.last_tick) / 1000.0).max(1e-3);
         actions.push(Action::Timer { token: TICK_TIMER, at_ms: now + self.tick_interval_ms() });
         let cold = |b: &Backend| now - b.cold_since < self.settings.cold_ms;
-        // The budget of cold backends is measured by the rate that a warm backend serves for this node. The present
-        // rate may be lower, where few requests arrive or where most of them time out under overload. The highest
-        // rate seen counts, and decays within `cold_ms`.
+        // The budget of cold backends is measured by the rate that a warm backend serves for this node. The
+        // present rate may be lower, where few requests arrive or where most of them time out under
+        // overload. The highest rate seen counts, and decays within `cold_ms`.
         let warm = self.backends.iter().filter(|b| b.up && !b.failure_record.congested && !cold(b)).count();
         self.warm_rate.tick(seconds, warm, self.settings.cold_ms);
         for i in 0..self.backends.len() {
--- a/src/policy/refusal.rs
+++ b/src/policy/refusal.rs
@@ -4,8 +4,8 @@
 use crate::interface::{Action, Effect, Group, RequestId};
 
 impl Balancer {
-    /// Ends a request without an answer of a backend. It is refused where another try by the client does no harm,
-    /// and failed otherwise. Every refusal passes here.
+    /// Ends a request without an answer of a backend. It is refused where another try by the client does no
+    /// harm, and failed otherwise. Every refusal passes here.
     pub(super) fn refuse_or_fail(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         if open.finished || open.has_attempt_in_flight() {
@@ -26,9 +26,9 @@
         actions.push(Action::Refuse { id, retry_after_ms });
     }
 
-    /// Returns the CRAT (client retry-after time, the congestion paper's term) as a delay in milliseconds: the aim, at
-    /// most half of the longest allowed delay, plus a random part of it. Where every backend is congested, the time to
-    /// the earliest PRAT is added.
+    /// Returns the CRAT (client retry-after time, the congestion paper's term) as a delay in milliseconds:
+    /// the aim, at most half of the longest allowed delay, plus a random part of it. Where every backend is
+    /// congested, the time to the earliest PRAT is added.
     pub(super) fn client_retry_after_ms(&mut self, now: f64, aim: f64) -> f64 {
         let up = || self.backends.iter().filter(|b| b.up);
         let any_live = up().any(|b| !b.failure_record.congested);
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,4 +1,5 @@
-//! The life cycle of a request: arrival, attempts, retries and end, and what the outcome of each attempt updates.
+//! The life cycle of a request: arrival, attempts, retries and end, and what the outcome of each attempt
+//! updates.
 
 use super::admission::TARGET_STRAIN;
 use super::peer_messages::REPORT_ANSWERS_FROM;
@@ -9,7 +10,8 @@
 use crate::request_table::{Attempt, OpenRequest};
 use crate::statistics::{mix_bits, reported_pressure};
 
-/// Lowest cap of a backend that answers only errors: one request in 32 usual answer times shows when it recovers.
+/// Lowest cap of a backend that answers only errors: one request in 32 usual answer times shows when it
+/// recovers.
 const ERROR_CAP_FLOOR: f64 = 1.0 / 32.0;
 
 impl Balancer {
@@ -22,9 +24,9 @@
         let late_worth = class.map_or(0.0, |c| c.late_worth);
         let mut age = 0.0;
         if let Some(stats) = self.class_statistics.get_mut(request.class) {
-            // A client with a short time limit looks like one at its last try. Where a late answer still has worth,
-            // the request counts as a first try: otherwise these clients would all be refused, even by an unstrained
-            // fleet.
+            // A client with a short time limit looks like one at its last try. Where a late answer still
+            // has worth, the request counts as a first try: otherwise these clients would all be refused,
+            // even by an unstrained fleet.
             age = if late_worth > 0.0 { 0.0 } else { stats.request_age(given_ms, deadline) };
             stats.requests += if age > 0.0 { 0.0 } else { 1.0 };
         }
@@ -42,7 +44,8 @@
         if let Some(key) = request.key {
             self.key_counts.record(mix_bits(key));
         }
-        // The budgets for retries and spills grow more slowly under strain: an unstrained fleet can bear more of both.
+        // The budgets for retries and spills grow more slowly under strain: an unstrained fleet can bear
+        // more of both.
         let a = &mut self.admission;
         let share = 0.1 + 0.2 * (1.0 - a.strain / TARGET_STRAIN).max(0.0);
         (a.retry_tokens, a.spill_tokens) =
@@ -62,9 +65,9 @@
     /// Sends an attempt, or ends the request where no backend is usable or too little time is left.
     pub(super) fn send_attempt(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(index) = self.select_backend(now, id) else {
-            // A request that finds every backend blocked counts as strain, so that admission sheds by worth rather
-            // than by chance. It counts by the share of blocked backends: a hot key's two blocked candidates say
-            // nothing about the fleet.
+            // A request that finds every backend blocked counts as strain, so that admission sheds by worth
+            // rather than by chance. It counts by the share of blocked backends: a hot key's two blocked
+            // candidates say nothing about the fleet.
             let worth = self.open_requests.get(&id).map_or(0.0, |o| o.worth);
             self.counters.count_stop(StopReason::NoBackend);
             let blocked = self.admission.blocked_share;
@@ -74,8 +77,8 @@
         let gained = self.cold_tokens_gained(now, index);
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         let class = self.settings.classes.get(open.request.class);
-        // Where a late answer still has worth, the attempt may last until the deadline, but only while nearly all work
-        // is admitted.
+        // Where a late answer still has worth, the attempt may last until the deadline, but only while
+        // nearly all work is admitted.
         let late = class.is_some_and(|c| c.late_worth > 0.0);
         let end = if late && self.admission.level > 0.95 { open.request.deadline_ms } else { open.aim_at };
         let mut timeout_ms = end.min(open.request.deadline_ms) - now;
@@ -83,8 +86,8 @@
         if let Some(stats) =
             self.class_statistics.get(open.request.class).filter(|stats| stats.answers >= 20)
         {
-            // The time-out is short where the backend may be failing and a repeat is allowed, so that a backend
-            // that does not answer costs little time.
+            // The time-out is short where the backend may be failing and a repeat is allowed, so that a
+            // backend that does not answer costs little time.
             let suspect = b.failure_record.congested || b.failure_record.consecutive_failures > 0;
             if suspect && send_rules::may_repeat(class) && self.admission.retry_tokens >= 1.0 {
                 timeout_ms = timeout_ms.min(stats.mean_ms + 4.0 * stats.deviation_ms);
@@ -113,8 +116,8 @@
         actions.push(Action::Send { id, backend, timeout_ms });
     }
 
-    /// Records the first bytes of a streamed answer. They decide whether the answer is in time; the rest of the
-    /// answer has no time limit and no longer counts as in flight.
+    /// Records the first bytes of a streamed answer. They decide whether the answer is in time; the rest of
+    /// the answer has no time limit and no longer counts as in flight.
     pub(super) fn on_response_started(&mut self, now: f64, id: RequestId, attempt: u32, elapsed: f64) {
         let Some(o) = self.open_requests.get_mut(&id) else { return };
         o.aim_at = if elapsed <= o.aim_at - o.arrived_at { f64::INFINITY } else { now };
@@ -137,7 +140,8 @@
         }
     }
 
-    /// Records the end of an attempt and, where the request has no answer, sends the next attempt or ends the request.
+    /// Records the end of an attempt and, where the request has no answer, sends the next attempt or ends
+    /// the request.
     pub(super) fn on_attempt_ended(&mut self, now: f64, e: &AttemptEnded, actions: &mut Vec<Action>) {
         let (id, outcome) = (e.id, e.outcome);
         let Some(open) = self.open_requests.get_mut(&id) else { return };
@@ -158,8 +162,8 @@
         if let Some(i) = self.backend_index(backend) {
             self.backends[i].in_flight = self.backends[i].in_flight.saturating_sub(1);
             self.close_idle_connections(now, i, actions);
-            // A backend that fails or refuses quickly looks idle. Its failures count as full pressure, but only
-            // where answers carry load reports: nothing else would lower the pressure again.
+            // A backend that fails or refuses quickly looks idle. Its failures count as full pressure, but
+            // only where answers carry load reports: nothing else would lower the pressure again.
             let reported = match outcome {
                 Outcome::Done => reported_pressure(&e.load, self.settings.aim_ms(class)),
                 Outcome::Cancelled | Outcome::Skipped | Outcome::Rejected => None,
@@ -170,7 +174,8 @@
                 self.pressure += 0.05 * (value - self.pressure);
             }
             if is_trial {
-                // Any answer shows that the backend can be reached. A cancelled or unsent trial shows nothing.
+                // Any answer shows that the backend can be reached. A cancelled or unsent trial shows
+                // nothing.
                 match outcome {
                     Outcome::Cancelled | Outcome::Skipped => {
                         self.backends[i].failure_record.trial_in_flight = false
@@ -221,8 +226,8 @@
         if matches!(outcome, Outcome::Cancelled | Outcome::Skipped | Outcome::Rejected) {
             return;
         }
-        // A time-out counts as an answer that took at least that long. Without it each time-out would make the
-        // next time-out shorter.
+        // A time-out counts as an answer that took at least that long. Without it each time-out would make
+        // the next time-out shorter.
         if matches!(outcome, Outcome::Done | Outcome::TimedOut)
             && let Some(stats) = self.class_statistics.get_mut(class)
         {
@@ -234,8 +239,8 @@
         let aim = self.settings.aim_ms(class);
         let strain = match outcome {
             Outcome::Done if in_aim => {
-                // Strain starts at the geometric mean of the class's usual time and its aim. From there on, more
-                // requests in flight make no answer faster, long before the aim itself is missed.
+                // Strain starts at the geometric mean of the class's usual time and its aim. From there on,
+                // more requests in flight make no answer faster, long before the aim itself is missed.
                 let usual =
                     self.class_statistics.get(class).map_or(0.0, |stats| stats.usual_ms).min(0.8 * aim);
                 let from = (usual * aim).sqrt();
@@ -254,10 +259,10 @@
         if !broken && outcome != Outcome::Full && !b.failure_record.congested {
             self.admission.outcomes.record(worth * (1.0 - strain), worth * strain, 1.0);
         }
-        // Caps react to what distinguishes backends; strain of the whole fleet is left to admission.
-        // At the floor, all nodes together keep half a request in flight. The floor is far lower for errors, and an
-        // error counts as no quicker than an answer: otherwise a backend of quick errors would look idle and draw
-        // more requests.
+        // Caps react to what distinguishes backends; strain of the whole fleet is left to admission. At the
+        // floor, all nodes together keep half a request in flight. The floor is far lower for errors, and
+        // an error counts as no quicker than an answer: otherwise a backend of quick errors would look idle
+        // and draw more requests.
         let mean = self.class_statistics.get(class).map_or(0.0, |stats| stats.mean_ms);
         let (floor, elapsed) = match outcome {
             Outcome::Error => (ERROR_CAP_FLOOR, elapsed.max(mean)),
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,5 +1,5 @@
-//! Backend selection: two candidates by the request's key, the less loaded of them, and the spill to another backend
-//! where both are blocked.
+//! Backend selection: two candidates by the request's key, the less loaded of them, and the spill to
+//! another backend where both are blocked.
 
 use super::{Balancer, send_rules, slow_start};
 use crate::interface::{Observation, RequestId};
@@ -8,8 +8,8 @@
 
 /// Pressure up to which the first candidate always keeps its keys.
 const LOW_PRESSURE: f64 = 0.6;
-/// Probability of taking the second candidate, for each unit of pressure that it has less than the first: certain from
-/// a difference of 0.4 on.
+/// Probability of taking the second candidate, for each unit of pressure that it has less than the first:
+/// certain from a difference of 0.4 on.
 const SWITCH_PER_PRESSURE: f64 = 2.5;
 /// Further keys into which a key with a backend's mean share of the traffic is split.
 const HOT_KEY_SPLIT: f64 = 4.0;
@@ -45,14 +45,15 @@
             .collect();
     }
 
-    /// Selects a backend for the next attempt of a request: one of the key's two candidates or, if both are blocked,
-    /// the spill. The spill is the usable backend with the fewest requests in flight and, among equals, the highest
-    /// rank for the key, so that spilled keys too keep to few backends.
+    /// Selects a backend for the next attempt of a request: one of the key's two candidates or, if both are
+    /// blocked, the spill. The spill is the usable backend with the fewest requests in flight and, among
+    /// equals, the highest rank for the key, so that spilled keys too keep to few backends.
     pub(super) fn select_backend(&mut self, now: f64, id: RequestId) -> Option<usize> {
         let draw = self.rng.f64();
         let open = self.open_requests.get(&id)?;
-        // A key with more than one backend's part of the traffic is split at random into several keys: its two
-        // candidates could not carry it, and nodes that each have next to nothing in flight do not notice that.
+        // A key with more than one backend's part of the traffic is split at random into several keys: its
+        // two candidates could not carry it, and nodes that each have next to nothing in flight do not
+        // notice that.
         let given_key = open.request.key;
         let key = given_key.map_or_else(|| self.rng.u64(..), mix_bits);
         let sparse =
@@ -90,8 +91,9 @@
         if candidate.is_some() {
             return candidate;
         }
-        // A backend that has not served the key needs more work for a spilled request: spills take tokens of a budget.
-        // A spill also counts as strain on the first candidate's zone, since no outcome shows it.
+        // A backend that has not served the key needs more work for a spilled request: spills take tokens
+        // of a budget. A spill also counts as strain on the first candidate's zone, since no outcome shows
+        // it.
         let remote = self.backends.get(first).is_none_or(|b| self.is_priced_crossing(b.zone));
         if self.settings.warm_keys && self.admission.spill_tokens < 1.0 {
             self.locality.record(remote, 1.0);
@@ -120,9 +122,10 @@
         spill
     }
 
-    /// True if the second candidate is to be taken: it has fewer of this node's requests in flight or, where both
-    /// have as many (with many nodes, nearly always none), it reports less pressure. The probability grows with
-    /// the difference in pressure, so that nodes that received the same report do not all switch at once.
+    /// True if the second candidate is to be taken: it has fewer of this node's requests in flight or,
+    /// where both have as many (with many nodes, nearly always none), it reports less pressure. The
+    /// probability grows with the difference in pressure, so that nodes that received the same report do
+    /// not all switch at once.
     pub(super) fn prefers_second(&self, now: f64, first: usize, second: usize, draw: f64) -> bool {
         let (a, b) = (&self.backends[first], &self.backends[second]);
         if a.in_flight != b.in_flight {
@@ -134,8 +137,8 @@
         first > LOW_PRESSURE && draw < (first - second) * SWITCH_PER_PRESSURE
     }
 
-    /// True if the backend is not congested (or due for a trial by request), below its cap, within its cold budget,
-    /// not tried before by this request, and allowed by the send rules.
+    /// True if the backend is not congested (or due for a trial by request), below its cap, within its cold
+    /// budget, not tried before by this request, and allowed by the send rules.
     pub(super) fn is_usable(&self, now: f64, open: &OpenRequest, index: usize) -> bool {
         let b = &self.backends[index];
         let may_repeat = || send_rules::may_repeat(self.settings.classes.get(open.request.class));
--- a/src/policy/send_rules.rs
+++ b/src/policy/send_rules.rs
@@ -1,5 +1,5 @@
-//! The rules that every send must keep, whatever backend selection prefers: the operators' limits on attempts,
-//! repeats, draining backends and cold backends.
+//! The rules that every send must keep, whatever backend selection prefers: the operators' limits on
+//! attempts, repeats, draining backends and cold backends.
 
 use super::Balancer;
 use crate::interface::{Class, Effect, Group, Outcome, RequestId, Settings};
@@ -27,9 +27,9 @@
         (!self.rules_hold(now, open, n, b)).then_some(Outcome::Skipped)
     }
 
-    /// True if none of what may change while an attempt waits for its connection forbids it: the backend is up, the
-    /// request is not finished, its deadline is not over, and a repeat is still allowed. `attempt` is the attempt's
-    /// number, `usize::MAX` for one that is not made yet.
+    /// True if none of what may change while an attempt waits for its connection forbids it: the backend is
+    /// up, the request is not finished, its deadline is not over, and a repeat is still allowed. `attempt`
+    /// is the attempt's number, `usize::MAX` for one that is not made yet.
     fn rules_hold(&self, now: f64, open: &OpenRequest, attempt: usize, b: &Backend) -> bool {
         let key_ttl_ms = self.settings.classes.get(open.request.class).map_or(0.0, |c| c.key_ttl_ms);
         let repeat_allowed =
@@ -54,8 +54,8 @@
     class.is_some_and(|c| c.effect != Effect::Unsafe)
 }
 
-/// True if the outcome proves that the attempt never ran. Sends, refusals and the retry budget all rely on this
-/// function. Where backends shed work late, `Full` is no proof.
+/// True if the outcome proves that the attempt never ran. Sends, refusals and the retry budget all rely on
+/// this function. Where backends shed work late, `Full` is no proof.
 pub(super) fn never_ran(s: &Settings, outcome: Outcome) -> bool {
     match outcome {
         Outcome::NotConnected | Outcome::Skipped => true,
--- a/src/policy/shared_state.rs
+++ b/src/policy/shared_state.rs
@@ -1,5 +1,5 @@
-//! State that nodes share: reports about backends, the locations of keys, and tenants' shares. Each item expires some
-//! seconds after it was received; without it the node decides alone.
+//! State that nodes share: reports about backends, the locations of keys, and tenants' shares. Each item
+//! expires some seconds after it was received; without it the node decides alone.
 
 use super::Balancer;
 use crate::interface::{Action, BackendId, Observation, SharedUpdate};
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Number of nodes whose report against a backend counts. Reports count if this node has seen a failure there
-    /// too, or if there are enough of them, and only while more than half of the backends that are up are not
-    /// congested.
+    /// Number of nodes whose report against a backend counts. Reports count if this node has seen a failure
+    /// there too, or if there are enough of them, and only while more than half of the backends that are up
+    /// are not congested.
     pub(super) fn credible_peer_reports(&self, now: f64, i: usize) -> f64 {
         let record = &self.backends[i].failure_record;
         let reports = record.peer_reports.iter().filter(|report| report.1 > now).count();
@@ -63,7 +63,8 @@
         if enough && most_live() { reports as f64 } else { 0.0 }
     }
 
-    /// Shares with the other nodes that a backend fails or serves again, if that differs from what was shared last.
+    /// Shares with the other nodes that a backend fails or serves again, if that differs from what was
+    /// shared last.
     pub(super) fn share_observation(&mut self, i: usize, failing: bool, actions: &mut Vec<Action>) {
         let b = &mut self.backends[i];
         if self.shared_state.enabled && b.failure_record.shared_failing != failing {
